--- a/benches/calling.cpp
+++ b/benches/calling.cpp
@@ -125,7 +125,7 @@
  public:
   explicit Whole(Kind kind) : kind_(kind), key_(tokens::Key::fresh(tokens::Algorithm::kEs256)) {
     const Start start = start_from(kSettings, Site{"bench", "127.0.0.1:0", "", "", 7, "", ""});
-    terms_ = read_terms(start.settings), door_ = read_door_terms(start.settings);
+    terms_ = read_router_settings(start.settings), door_ = read_wire_settings(start.settings);
     limits_ = limits_for(1024, door_, terms_);
     for (int i = 0; i < 4; ++i) {
       hosts_.push_back(
@@ -239,8 +239,8 @@
   standins::Authority authority_{"authority"};
   std::vector<standins::Identity> identities_;
   Loop theirs_;
-  Terms terms_;
-  DoorTerms door_;
+  RouterSettings terms_;
+  WireSettings door_;
   Limits limits_;
   std::vector<std::unique_ptr<standins::Host>> hosts_;
   std::unique_ptr<standins::Discovery> discovery_;
--- a/benches/choice.cpp
+++ b/benches/choice.cpp
@@ -10,38 +10,38 @@
 
 #include <memory>
 
-#include "../proofs/fleet_terms.hpp"
+#include "../proofs/fleet_settings.hpp"
 
 namespace ashbeam {
 
-struct Bench : Sink {
-  std::unique_ptr<Router> router;
+struct Bench : RouterActions {
+  std::unique_ptr<RouterPolicy> router;
   Instant now = Instant::at_us(100'000'000);
-  HitId hit = 0;
-  HostIndex host = 0;
+  RequestId hit = 0;
+  EndpointIndex host = 0;
   bool sent = false;
 
   explicit Bench(unsigned hosts) {
-    Terms terms = fleet_terms(300, 0);
+    RouterSettings terms = fleet_settings(300, 0);
     terms.customer_per_s.clear();  // no beat ends this router's youth: none of its bounds
-    router = make_router(terms, 7, *this);
+    router = make_router_policy(terms, 7, *this);
     router->clock(now);
     router->started();
     router->list_begin(true);
-    for (HostIndex h = 0; h < hosts; ++h)
-      router->list_host(h, HostState::kReady, h % 10 == 0 ? 2 : 1, h % 2, h / 8, h / 2 % 2,
+    for (EndpointIndex h = 0; h < hosts; ++h)
+      router->list_host(h, EndpointState::kReady, h % 10 == 0 ? 2 : 1, h % 2, h / 8, h / 2 % 2,
                         h % 20 == 0 ? now + Span::s(3600) : Instant());
     router->list_end();
-    router->stage_told(2, 1, Phase::kTrial, false, Answer::kTaken, 0.3, Span());
+    router->stage_told(2, 1, ReleasePhase::kCanary, false, VoteOutcome::kAccepted, 0.3, Span());
   }
-  void forward(HitId, HostIndex h, Span) override { sent = true, host = h; }
-  void bounce(HitId, Span) override {}
-  void error(HitId) override {}
-  void cancel(HitId, unsigned) override {}
+  void forward(RequestId, EndpointIndex h, Span) override { sent = true, host = h; }
+  void bounce(RequestId, Span) override {}
+  void error(RequestId) override {}
+  void cancel(RequestId, unsigned) override {}
   void wake(Span, std::uint64_t) override {}
-  void ask_load(HostIndex) override {}
+  void ask_load(EndpointIndex) override {}
   void follow_list() override {}
-  void vote(BuildId, unsigned, Vote) override {}
+  void vote(ReleaseVersion, unsigned, Vote) override {}
   void tell_peers(std::span<const std::uint8_t>) override {}
   void log(std::string_view) override {}
 };
@@ -54,7 +54,7 @@
   b.router->taken(b.hit, b.hit % 3, 0, 0, b.now + Span::ms(2400), 0);
   b.now = b.now + Span::ms(100);
   b.router->clock(b.now);
-  if (b.sent) b.router->ended(b.hit, 0, b.host, Result::kOk, Span::ms(100), true, {});
+  if (b.sent) b.router->ended(b.hit, 0, b.host, AttemptResult::kOk, Span::ms(100), true, {});
 }
 
 [[gnu::noinline]] void one_beat(Bench& b) {
--- a/proofs/discovery_queue.cpp
+++ b/proofs/discovery_queue.cpp
@@ -66,10 +66,10 @@
 }
 
 Span first_ask(unsigned routers) {
-  Terms terms;
+  RouterSettings terms;
   terms.routers = routers;
   terms.ask_within = Span::s(10);
-  return limits_for(1024, DoorTerms{}, terms).first_ask;
+  return limits_for(1024, WireSettings{}, terms).first_ask;
 }
 
 void show(Proof& proof, const std::string& name, const Outcome& outcome, double most_late) {
--- a/proofs/fleet.cpp
+++ b/proofs/fleet.cpp
@@ -17,7 +17,7 @@
 #include "base/pcg.hpp"
 #include "choice.hpp"
 #include "figures.hpp"
-#include "fleet_terms.hpp"
+#include "fleet_settings.hpp"
 
 namespace ashbeam {
 namespace {
@@ -32,7 +32,7 @@
 struct Host {
   unsigned zone = 0, kind = 0;
   double cores = 0;  // of usual speed
-  BuildId build = 1;
+  ReleaseVersion build = 1;
   bool there = true;       // else its place is still empty
   Instant start, free_at;  // when its work in hand will be done
   bool up = true, drains = false, fell = false, counted = false;
@@ -63,7 +63,7 @@
       else cores += hosts_[h].cores;
     }
     per_s_ = cores * 1000 / kWorkMs;
-    terms_ = fleet_terms(routers, kShares * per_s_);
+    terms_ = fleet_settings(routers, kShares * per_s_);
     if (release != Release::kNone) terms_.bake = Span::ms(1200), terms_.votes_per_s = routers / 4.0;
     double weights = 0;
     for (unsigned r = 0; r < routers; ++r) {
@@ -115,26 +115,27 @@
     Instant give_up;
     std::vector<Leg> legs;
   };
-  struct Instance : Sink {
+  struct Instance : RouterActions {
     Fleet* fleet = nullptr;
     unsigned me = 0, life = 0;
     double weight = 0, owed = 0;
-    std::unique_ptr<Router> router;
+    std::unique_ptr<RouterPolicy> router;
     std::vector<Hit> hits;
     std::vector<Instant> drain_told;
     std::deque<Instant> taken[3], trial[3];
-    void forward(HitId hit, HostIndex host, Span) override { fleet->forward(*this, hit, host); }
-    void bounce(HitId hit, Span after) override { fleet->finish(*this, hit, after); }
-    void error(HitId hit) override { fleet->finish(*this, hit, Span()); }
-    void cancel(HitId hit, unsigned leg) override {
-      fleet->due_.push({fleet->now_ + kStep, ++fleet->order_, me, life, 1, hit, leg, Result::kCancelled});
+    void forward(RequestId hit, EndpointIndex host, Span) override { fleet->forward(*this, hit, host); }
+    void bounce(RequestId hit, Span after) override { fleet->finish(*this, hit, after); }
+    void error(RequestId hit) override { fleet->finish(*this, hit, Span()); }
+    void cancel(RequestId hit, unsigned leg) override {
+      fleet->due_.push(
+          {fleet->now_ + kStep, ++fleet->order_, me, life, 1, hit, leg, AttemptResult::kCancelled});
     }
     void wake(Span in, std::uint64_t token) override {
       fleet->due_.push({fleet->now_ + in, ++fleet->order_, me, life, 2, 0, static_cast<unsigned>(token), {}});
     }
-    void ask_load(HostIndex) override {}
+    void ask_load(EndpointIndex) override {}
     void follow_list() override {}
-    void vote(BuildId, unsigned stage, Vote vote) override { fleet->vote(*this, stage, vote); }
+    void vote(ReleaseVersion, unsigned stage, Vote vote) override { fleet->vote(*this, stage, vote); }
     void tell_peers(std::span<const std::uint8_t>) override {}
     void log(std::string_view) override {}
   };
@@ -144,9 +145,9 @@
     // 1: a forward ends, 2: a wake, 3: news of a host, 4: a client comes again, 5: an answer of the desk, 6:
     // its news, 7: a machine starts, 8: a tally
     unsigned router, life, what;
-    HitId hit;
+    RequestId hit;
     unsigned other;
-    Result result;
+    AttemptResult result;
     bool operator<(const Due& o) const { return std::tie(at, order) > std::tie(o.at, o.order); }
   };
 
@@ -158,20 +159,21 @@
     for (auto* counts : {&r.taken, &r.trial}) {
       for (auto& one : *counts) one.clear();
     }
-    Terms terms = terms_;
+    RouterSettings terms = terms_;
     terms.zone = r.me % 2;
-    r.router = make_router(terms, chance_.next() | 1ULL, r);
+    r.router = make_router_policy(terms, chance_.next() | 1ULL, r);
     r.router->clock(now_);
     r.router->started();
     r.router->list_begin(true);
     for (unsigned h = 0; h < hosts_.size(); ++h) {
       if (!hosts_[h].there) continue;
-      r.router->list_host(h, HostState::kReady, hosts_[h].build, hosts_[h].zone, h, hosts_[h].kind, {});
+      r.router->list_host(h, EndpointState::kReady, hosts_[h].build, hosts_[h].zone, h, hosts_[h].kind, {});
     }
     r.router->list_end();
     if (release_ == Release::kNone)
-      r.router->stage_told(2, 0, Phase::kTrial, false, Answer::kTaken, terms_.caps[0], Span::s(4));
-    else r.router->stage_told(1, 2, Phase::kReleased, false, Answer::kTaken, 1, Span::s(60));
+      r.router->stage_told(2, 0, ReleasePhase::kCanary, false, VoteOutcome::kAccepted, terms_.caps[0],
+                           Span::s(4));
+    else r.router->stage_told(1, 2, ReleasePhase::kReleased, false, VoteOutcome::kAccepted, 1, Span::s(60));
   }
 
   // ---- The desk ----
@@ -179,7 +181,7 @@
   void run_desk() {
     if (offered_ == Instant()) offered_ = now_, move_to(0);
     tokens_ = std::min(tokens_ + terms_.votes_per_s * kStep.s(), terms_.votes_per_s);
-    if (phase_ != Phase::kTrial) return;
+    if (phase_ != ReleasePhase::kCanary) return;
     if (now_ - tallied_ >= kTally) {
       tallied_ = now_;
       for (Instance& r : routers_) due_.push({now_ + kNetwork, ++order_, r.me, r.life, 8, 0, 0, {}});
@@ -188,18 +190,18 @@
     unsigned on = 0, off = 0;
     for (const Stands& s : stands_) {
       if (now_ - s.since > terms_.vote_life) continue;
-      on += s.vote == Vote::kOn && s.stage == stage_, off += s.vote == Vote::kBack;
+      on += s.vote == Vote::kPromote && s.stage == stage_, off += s.vote == Vote::kAbort;
     }
     const Span at = now_ - offered_;
     if (off >= terms_.back_needed) {
-      phase_ = Phase::kReverting, tally_.back_s = at.s();
+      phase_ = ReleasePhase::kRollingBack, tally_.back_s = at.s();
       for (unsigned h = 0; h < hosts_.size(); ++h) {
         if (hosts_[h].build == 2 && hosts_[h].there) hosts_[h].drains = true, tell(h);
       }
       tell_stage();
     } else if (on >= routers_.size() * 2 / 5 && now_ - clock_from_ >= terms_.bake) {
       if (stage_ + 1 < terms_.rings.size()) return move_to(stage_ + 1);
-      phase_ = Phase::kReleased, tally_.released_s = at.s();
+      phase_ = ReleasePhase::kReleased, tally_.released_s = at.s();
       tell_stage();
     }
   }
@@ -225,16 +227,17 @@
   }
 
   void vote(Instance& r, unsigned stage, Vote vote) {
-    auto answer = Answer::kTaken;
-    if (tokens_ < 1) answer = Answer::kFull, ++tally_.calls_turned_away;
-    else if (stage != stage_ || phase_ != Phase::kTrial) answer = Answer::kVoid, ++tally_.calls_void;
-    if (answer != Answer::kFull) tokens_ -= 1;
-    if (answer == Answer::kTaken) stands_[r.me] = {vote, stage, now_}, ++tally_.calls_taken;
-    due_.push({now_ + Span::ms(90), ++order_, r.me, r.life, 5, static_cast<HitId>(answer), 0, {}});
+    auto answer = VoteOutcome::kAccepted;
+    if (tokens_ < 1) answer = VoteOutcome::kThrottled, ++tally_.calls_turned_away;
+    else if (stage != stage_ || phase_ != ReleasePhase::kCanary)
+      answer = VoteOutcome::kConditionFailed, ++tally_.calls_void;
+    if (answer != VoteOutcome::kThrottled) tokens_ -= 1;
+    if (answer == VoteOutcome::kAccepted) stands_[r.me] = {vote, stage, now_}, ++tally_.calls_taken;
+    due_.push({now_ + Span::ms(90), ++order_, r.me, r.life, 5, static_cast<RequestId>(answer), 0, {}});
   }
 
-  void tell_router(Instance& r, bool answers, Answer answer) {
-    const double cap = phase_ == Phase::kReverting ? 0 : terms_.caps[stage_];
+  void tell_router(Instance& r, bool answers, VoteOutcome answer) {
+    const double cap = phase_ == ReleasePhase::kRollingBack ? 0 : terms_.caps[stage_];
     r.router->stage_told(2, stage_, phase_, answers, answer, cap, now_ - moved_);
   }
 
@@ -275,7 +278,7 @@
   }
 
   void ask(Instance& r, unsigned tries) {
-    const auto id = static_cast<HitId>(r.hits.size());
+    const auto id = static_cast<RequestId>(r.hits.size());
     r.hits.push_back({chance_.below(3), tries, false, now_ + terms_.path_groups[0].client_timeout, {}});
     r.taken[r.hits.back().group].push_back(now_);
     ++tally_.asked;
@@ -288,7 +291,7 @@
     return terms_.start_capacity + (1 - terms_.start_capacity) * grown;
   }
 
-  void forward(Instance& r, HitId id, HostIndex at) {
+  void forward(Instance& r, RequestId id, EndpointIndex at) {
     Hit& hit = r.hits[id];
     Host& h = hosts_[at];
     tally_.twice += hit.done;
@@ -302,7 +305,7 @@
     hit.legs.push_back({at, true, true, now_});
     const auto leg = static_cast<unsigned>(hit.legs.size() - 1);
     if (!h.up || h.fell) {  // nothing answers there
-      due_.push({now_ + kConnect, ++order_, r.me, r.life, 1, id, leg, Result::kNoConnect});
+      due_.push({now_ + kConnect, ++order_, r.me, r.life, 1, id, leg, AttemptResult::kConnectFailed});
       return;
     }
     // The work counts when it comes, and what is turned away has come, too.
@@ -321,16 +324,17 @@
     }
     h.free_at = std::max(h.free_at, now_) + Span::ms(work / (h.cores * able(h)));
     const Instant end = std::max(h.free_at, now_ + Span::ms(work)) + kNetwork;
-    Result result = end < hit.give_up ? Result::kOk : Result::kTimeout;
+    AttemptResult result = end < hit.give_up ? AttemptResult::kOk : AttemptResult::kTimeout;
     if (release_ == Release::kBad && h.build == 2 && chance_.below(3) == 0)
-      result = Result::kError, ++tally_.bad_hits;
-    if (h.free_at - now_ > Span::s(2)) result = Result::kFull;
-    if (cold && result == Result::kOk && !std::exchange(h.counted, true)) ++tally_.cold_served;
+      result = AttemptResult::kError, ++tally_.bad_hits;
+    if (h.free_at - now_ > Span::s(2)) result = AttemptResult::kRejected;
+    if (cold && result == AttemptResult::kOk && !std::exchange(h.counted, true)) ++tally_.cold_served;
     if (chance_.below(10) == 0) {  // the platform counts a sample
       auto& [all, lost] = sample_[h.build - 1][hit.group];
-      ++all, lost += result != Result::kOk;
+      ++all, lost += result != AttemptResult::kOk;
     }
-    const Instant told = result == Result::kFull ? now_ + kNetwork * 2 : std::min(end, hit.give_up);
+    const Instant told =
+        result == AttemptResult::kRejected ? now_ + kNetwork * 2 : std::min(end, hit.give_up);
     due_.push({told, ++order_, r.me, r.life, 1, id, leg, result});
   }
 
@@ -345,7 +349,7 @@
           static_cast<double>(out.size()) > terms_.spare + terms_.caps[0] * static_cast<double>(in.size());
   }
 
-  void finish(Instance& r, HitId id, Span after) {
+  void finish(Instance& r, RequestId id, Span after) {
     Hit& hit = r.hits[id];
     tally_.twice += hit.done;
     tally_.missing += now_ > hit.give_up;
@@ -366,8 +370,8 @@
     r.router->clock(now_);
     if (d.what == 2) return r.router->woken(d.other);
     if (d.what == 4) return ask(r, d.other);
-    if (d.what == 5) return tell_router(r, true, static_cast<Answer>(d.hit));
-    if (d.what == 6) return tell_router(r, false, Answer::kTaken);
+    if (d.what == 5) return tell_router(r, true, static_cast<VoteOutcome>(d.hit));
+    if (d.what == 6) return tell_router(r, false, VoteOutcome::kAccepted);
     if (d.what == 8) {
       for (unsigned build = 1; build <= 2; ++build) {
         for (unsigned g = 0; g < 3; ++g) {
@@ -382,28 +386,28 @@
       if (h.drains && r.drain_told[d.hit] == Instant::never())
         r.drain_told[d.hit] = now_, ++tally_.drains_told;
       r.router->list_begin(false);
-      r.router->list_host(d.hit, h.drains ? HostState::kDraining : HostState::kReady, h.build, h.zone, d.hit,
-                          h.kind, h.start);
+      r.router->list_host(d.hit, h.drains ? EndpointState::kDraining : EndpointState::kReady, h.build, h.zone,
+                          d.hit, h.kind, h.start);
       return r.router->list_end();
     }
     Hit& hit = r.hits[d.hit];
     Leg& leg = hit.legs[d.other];
     if (!leg.out) return;
     leg.out = false;
-    leg.may_have_run = d.result != Result::kFull && d.result != Result::kNoConnect;
-    const bool ok = d.result == Result::kOk && !hit.done;
+    leg.may_have_run = d.result != AttemptResult::kRejected && d.result != AttemptResult::kConnectFailed;
+    const bool ok = d.result == AttemptResult::kOk && !hit.done;
     if (ok) hit.done = true, ++tally_.served;
     r.router->ended(d.hit, d.other, leg.host, d.result, now_ - leg.sent, ok, {});
   }
 
   struct Stands {
-    Vote vote = Vote::kNone;
+    Vote vote = Vote::kAbstain;
     unsigned stage = 0;
     Instant since;
   };
   Release release_;
   unsigned stage_ = 0;
-  Phase phase_ = Phase::kTrial;
+  ReleasePhase phase_ = ReleasePhase::kCanary;
   Instant offered_, moved_, clock_from_;
   double tokens_ = 0;
   using Counted = std::array<std::pair<unsigned, unsigned>, 3>;  // by path group: all, lost
@@ -411,7 +415,7 @@
   Instant tallied_;
   Pcg chance_;
   Tally& tally_;
-  Terms terms_;
+  RouterSettings terms_;
   double per_s_ = 0;
   Instant now_ = Instant::at_us(1'000'000'000);
   std::uint64_t order_ = 0;
--- a/proofs/metadata.cpp
+++ b/proofs/metadata.cpp
@@ -111,8 +111,8 @@
       const Start start = start_from(kSettings, site);
       Site full = start.site;
       full.desk = site.desk, full.discovery = site.discovery, full.known = site.known, full.news = site.news;
-      const Terms terms = read_terms(start.settings);
-      const DoorTerms door = read_door_terms(start.settings);
+      const RouterSettings terms = read_router_settings(start.settings);
+      const WireSettings door = read_wire_settings(start.settings);
       const Limits limits = limits_for(1024, door, terms);
       Service service(loop, limits, terms, door, full, [](std::string_view line) {
         if (std::getenv("PROOF_LOG"))
--- a/src/choice.cpp
+++ b/src/choice.cpp
@@ -51,7 +51,7 @@
 constexpr double kUsual = 0.01, kRecent = 0.03, kUsualSent = 0.005;  // what a new figure weighs, at the least
 constexpr double kAnew = 4, kFaultStep = 0.15, kFreeLoad = 1;  // a host's own work in open hits, before load
 constexpr std::uint64_t kBeatToken = 1, kAskToken = 2;
-constexpr HostIndex kNobody = UINT32_MAX, kExcused = kNobody - 1;
+constexpr EndpointIndex kNobody = UINT32_MAX, kExcused = kNobody - 1;
 constexpr std::size_t kSamples = 96, kMostPins = 1 << 17;  // keys remembered; new ones beyond: to no trial
 // Times this old are still compared; news of a host's speed gives way to its zone's that soon.
 constexpr Span kSameTimes = Span::s(10), kNewsFades = Span::s(2);
@@ -61,8 +61,8 @@
 constexpr double kFade = 80, kTallyFade = 160, kEarlierFades = 0.94;
 
 struct Forward {
-  HostIndex host = 0;
-  BuildId build = 0;
+  EndpointIndex host = 0;
+  ReleaseVersion build = 0;
   Instant sent;
   double predicted_ms = 0, load = 0;
   bool out = false, may_have_run = false;
@@ -74,9 +74,9 @@
 };
 
 struct Host {
-  HostState state = HostState::kGone;
+  EndpointState state = EndpointState::kRemoved;
   bool in_list = false;
-  BuildId build = 0;
+  ReleaseVersion build = 0;
   unsigned zone = 0, cell = 0, kind = 0;
   Instant last_start, last_heard, last_ok, unheard_since, rest_until;
   Instant dead_at;      // when it last refused a connection, or none came up
@@ -108,25 +108,25 @@
 struct Sample {
   Instant at;
   float ms = 0;
-  HostIndex host = 0;
+  EndpointIndex host = 0;
 };
 
 using Samples = Recent<Sample, kSamples>;
 
 struct Pick {
-  HostIndex host = IndexMap::kNone;
+  EndpointIndex host = IndexMap::kNone;
   double predicted_ms = 0;
   explicit operator bool() const { return host != IndexMap::kNone; }
 };
 
-using Drawable = std::pair<HostIndex, double>;  // that may have the hit, and how often it is drawn
+using Drawable = std::pair<EndpointIndex, double>;  // that may have the hit, and how often it is drawn
 
 enum class Harm { kQuiet, kModerate, kSevere };
 enum class Side : std::uint8_t { kEarlier, kTrial };
 
-class Choice final : public Router {
+class Choice final : public RouterPolicy {
   struct Hit {
-    HitId id = 0;
+    RequestId id = 0;
     bool live = false, done = false;  // live: in a place of the slab; done: finally answered
     unsigned group = 0, legs = 0;
     double worth = 1;     // against the mean hit's
@@ -134,16 +134,16 @@
     std::uint64_t key = 0;
     Instant late_at, give_up_at;
     std::array<Forward, kMostLegs> leg;
-    HostIndex blamed = kNobody;  // whose error is not settled yet
+    EndpointIndex blamed = kNobody;  // whose error is not settled yet
     Instant blamed_from;
     // What comes next: at a time, and when a forward's result is handed in.
     Instant due = Instant::never();
     void (Choice::*at_due)(Hit&) = nullptr;
-    void (Choice::*at_result)(Hit&, Result) = nullptr;
+    void (Choice::*at_result)(Hit&, AttemptResult) = nullptr;
   };
   struct GroupFigures {  // a path group, as far as decisions use it
-    Repeats repeats;
-    DropGroup drop;
+    Idempotency repeats;
+    IdempotencyScope drop;
     Span target, memory;
     double benefit;
     double mean_ms;  // learnt mean latency at warm hosts
@@ -152,12 +152,12 @@
   struct Customer {
     double per_s, tokens;
   };
-  using Wish = std::tuple<Vote, BuildId, unsigned>;  // and its stage
+  using Wish = std::tuple<Vote, ReleaseVersion, unsigned>;  // and its stage
 
  public:
   void clock(Instant now) override { now_ = now; }
 
-  Choice(const Terms& t, std::uint64_t seed, Sink& sink)
+  Choice(const RouterSettings& t, std::uint64_t seed, RouterActions& sink)
       : sink_(sink), chance_(seed), zone_(t.zone), kinds_(t.kinds),
         max_forwards_(std::min(t.max_forwards, kMostLegs)), must_ask_(t.must_ask), may_cancel_(t.may_cancel),
         may_copy_(t.may_copy), by_group_(t.by_path_group), one_way_(t.one_way), clocked_(t.clocked),
@@ -171,7 +171,7 @@
         sure_(kSure + 2 * crowd_), pace_(std::clamp(t.bake / kUsualBake, 0.3, 1.0)),
         cross_price_(t.cross_price), over_share_worth_(t.over_share_worth), first_cap_(t.caps.front()),
         spare_(t.spare), reported_share_(t.reported_share), rings_(t.rings), closed_stages_(t.closed_stages) {
-    for (const PathGroup& g : t.path_groups) {
+    for (const RequestClass& g : t.path_groups) {
       groups_.push_back({g.repeats, g.group, g.target, g.memory, g.benefit, g.target.ms() / 6, {}, {}});
     }
     for (const double per_s : t.customer_per_s) customers_.push_back({per_s / t.routers, per_s / t.routers});
@@ -201,11 +201,11 @@
     for (Host& host : hosts_) host.in_list = !whole && host.in_list;
   }
 
-  void list_host(HostIndex h, HostState state, BuildId build, unsigned zone, unsigned cell, unsigned kind,
-                 Instant last_start) override {
+  void list_host(EndpointIndex h, EndpointState state, ReleaseVersion build, unsigned zone, unsigned cell,
+                 unsigned kind, Instant last_start) override {
     if (h >= hosts_.size()) hosts_.resize(h + 1);
     Host& host = hosts_[h];
-    if (host.build != build || host.last_start != last_start || host.state == HostState::kGone) {
+    if (host.build != build || host.last_start != last_start || host.state == EndpointState::kRemoved) {
       Host former = std::exchange(host, Host{});  // another process: what was learnt of it says nothing
       host.open = former.open, host.forwards = std::move(former.forwards);
       host.by_group.resize(groups_.size() + 1);
@@ -219,11 +219,11 @@
 
   void list_end() override {
     ready_ = trial_ready_ = earlier_ready_ = 0;
-    BuildId lowest = UINT32_MAX;
+    ReleaseVersion lowest = UINT32_MAX;
     newest_start_ = Instant();
     for (Host& host : hosts_) {
-      if (!host.in_list) host.state = HostState::kGone;
-      if (host.state != HostState::kReady) continue;
+      if (!host.in_list) host.state = EndpointState::kRemoved;
+      if (host.state != EndpointState::kReady) continue;
       ++ready_;
       lowest = std::min(lowest, host.build);
     }
@@ -233,7 +233,7 @@
       fair_part_ = fair_per_s_ * cold_window_.s() / static_cast<double>(most_ready_);
     young_part_ = young_part();
     for (const Host& host : hosts_) {
-      if (host.state != HostState::kReady) continue;
+      if (host.state != EndpointState::kReady) continue;
       ++(on_trial(host.build) ? trial_ready_ : earlier_ready_);
       if (host.build == build_) newest_start_ = std::max(newest_start_, host.last_start);
     }
@@ -242,33 +242,33 @@
   // The list could not be had: the old one stands for as long as it is valid.
   void list_failed() override { sink_.wake(calls_for_list_.wait_after_failure(chance_.unit()), kAskToken); }
 
-  void list_valid(const ListValidity& validity) override { list_validity_ = validity; }
+  void list_valid(const EndpointListValidity& validity) override { list_validity_ = validity; }
 
-  void host_valid(HostIndex h, Instant until) override {
+  void host_valid(EndpointIndex h, Instant until) override {
     if (h < hosts_.size()) hosts_[h].valid_until = std::max(hosts_[h].valid_until, until);
   }
 
-  void stage_told(BuildId build, unsigned stage, Phase phase, bool answers_vote, Answer answer, double cap,
-                  Span age) override {
-    if (answers_vote && answer != Answer::kTaken) {
+  void stage_told(ReleaseVersion build, unsigned stage, ReleasePhase phase, bool answers_vote,
+                  VoteOutcome answer, double cap, Span age) override {
+    if (answers_vote && answer != VoteOutcome::kAccepted) {
       // No news with it. Void, full or failed: nothing stands. No answer: it may stand, so it is cast again.
-      standing_ = Vote::kNone;
-      next_vote_ = now_ + turn(answer == Answer::kVoid ? 2 : 0.25, 0.75);
+      standing_ = Vote::kAbstain;
+      next_vote_ = now_ + turn(answer == VoteOutcome::kConditionFailed ? 2 : 0.25, 0.75);
       return;
     }
     if (told_ && build < build_) return;
     if (!told_ || build != build_) fresh_build(build);
     if (stage != stage_ || phase != phase_ || !told_) {
       stage_since_ = now_ - age;
-      if (standing_ == Vote::kOn || standing_ == Vote::kHold) standing_ = Vote::kNone;
+      if (standing_ == Vote::kPromote || standing_ == Vote::kPause) standing_ = Vote::kAbstain;
       held_ = false;
-      if (told_ || phase == Phase::kTrial)
+      if (told_ || phase == ReleasePhase::kCanary)
         log("build %u stage %u phase %d cap %.3f share %.2f", build, stage, static_cast<int>(phase), cap,
             share_);
     }
-    if (phase == Phase::kReverting || phase == Phase::kWithdrawn) {
+    if (phase == ReleasePhase::kRollingBack || phase == ReleasePhase::kWithdrawn) {
       gone_back_ = build;  // no key is bound to it, or to one before it, any longer
-      standing_ = Vote::kNone;
+      standing_ = Vote::kAbstain;
     }
     told_ = true;
     stage_ = stage;
@@ -277,7 +277,7 @@
     list_end();
   }
 
-  void tally_told(BuildId build, unsigned group, std::uint32_t count, std::uint32_t lost, Span,
+  void tally_told(ReleaseVersion build, unsigned group, std::uint32_t count, std::uint32_t lost, Span,
                   Span) override {
     if (group >= groups_.size() || build > build_) return;
     Count& c = tally_[build == build_][group];
@@ -285,40 +285,45 @@
     c.merge({1.0 * count, 1.0 * lost});
   }
 
-  void answer_disputed(HostIndex h, unsigned, Span since_sent) override {
+  void answer_disputed(EndpointIndex h, unsigned, Span since_sent) override {
     if (h < hosts_.size() && now_ - since_sent > hosts_[h].last_start) hosts_[h].served.failed += 1;
   }
 
   // ---- Judging ----
 
   // Takes in a forward's outcome: the host's speed, its health, and the evidence for or against its build.
-  void learn(Hit& hit, const Forward& f, Result result, Span took) {
+  void learn(Hit& hit, const Forward& f, AttemptResult result, Span took) {
     Host& host = hosts_[f.host];
     GroupFigures& group = groups_[hit.group];
-    if (result == Result::kFull || result == Result::kMoot || result == Result::kLocal) return;
+    if (result == AttemptResult::kRejected || result == AttemptResult::kCancelledBeforeSent ||
+        result == AttemptResult::kLocalFailure)
+      return;
     if (f.sent < host.last_start || f.build != host.build) return;  // of another process
-    if (result == Result::kNoConnect || result == Result::kReset) last_trouble_ = now_;
-    if (result == Result::kNoConnect) {
+    if (result == AttemptResult::kConnectFailed || result == AttemptResult::kReset) last_trouble_ = now_;
+    if (result == AttemptResult::kConnectFailed) {
       host.dead_at = now_;
       if (++zones_[host.zone].dead >= kLostZone) zones_[host.zone].dead_at = now_;
-    } else if (result < Result::kTimeout) {
+    } else if (result < AttemptResult::kTimeout) {
       zones_[host.zone].dead = 0;
     }
-    const bool failed = result != Result::kOk && result != Result::kCancelled;
-    if (result == Result::kError) return blame_later(hit, f);
-    if (result != Result::kCancelled) weigh(f.host, failed);
-    if (result == Result::kOk) note(host, hit, 0), host.served.all += 1;
-    if (result != Result::kOk && result != Result::kCancelled && result != Result::kTimeout) return;
+    const bool failed = result != AttemptResult::kOk && result != AttemptResult::kCancelled;
+    if (result == AttemptResult::kError) return blame_later(hit, f);
+    if (result != AttemptResult::kCancelled) weigh(f.host, failed);
+    if (result == AttemptResult::kOk) note(host, hit, 0), host.served.all += 1;
+    if (result != AttemptResult::kOk && result != AttemptResult::kCancelled &&
+        result != AttemptResult::kTimeout)
+      return;
     const double ms = took.ms();
-    if (result == Result::kOk) host.last_ok = now_;
+    if (result == AttemptResult::kOk) host.last_ok = now_;
     // Called off early, or at a host known to be sick, it says nothing of speed.
-    if (result != Result::kOk && (ms < f.predicted_ms || host.ejected)) return;
+    if (result != AttemptResult::kOk && (ms < f.predicted_ms || host.ejected)) return;
     const double unit = ms * able(host) * mean_ms_ / group.mean_ms / (kFreeLoad + f.load);
     teach(speed(host), unit, 0.02);
     if (warm(host) && host.build <= build_) {
       samples(side(host), host.kind, hit.group).add({now_, static_cast<float>(ms), f.host});
     }
-    if (result != Result::kOk && host.last_ok <= f.sent) return;  // answers nobody: it is sick, not slow
+    if (result != AttemptResult::kOk && host.last_ok <= f.sent)
+      return;  // answers nobody: it is sick, not slow
     host.speed.unit_ms = unit_ms(host);
     teach(host.speed, unit, 0.1);
     if (!warm(host)) return;
@@ -364,7 +369,7 @@
   }
 
   // The sequential test: is this host sick, against good hosts and against its own build's failures?
-  void weigh(HostIndex h, double failed) {
+  void weigh(EndpointIndex h, double failed) {
     Host& host = hosts_[h];
     const double others = usual_fails_[static_cast<int>(side(host))].rate();
     const bool alone = (side(host) == Side::kTrial ? trial_ready_ : earlier_ready_) < 2;
@@ -394,11 +399,11 @@
   // a lone one only holds its build while hosts of earlier builds are out for failing. Earlier outcomes fade:
   // trouble for all that begins during a trial must not stand against a long good past.
   Harm failures(Count& trial, Count& earlier) {
-    std::vector<std::pair<double, HostIndex>> tried;
+    std::vector<std::pair<double, EndpointIndex>> tried;
     bool sickness = false;
-    for (HostIndex h = 0; h < hosts_.size(); ++h) {
+    for (EndpointIndex h = 0; h < hosts_.size(); ++h) {
       Host& host = hosts_[h];
-      if (host.state == HostState::kGone) continue;
+      if (host.state == EndpointState::kRemoved) continue;
       for (Count& c : host.by_group) c.fade(host.build < build_ && !host.ejected ? kEarlierFades : 1);
       const Count& all = host.by_group.back();
       sickness = sickness || (host.build < build_ && host.ejected && all.failed >= kModerateFails);
@@ -407,14 +412,16 @@
     const Harm worst = tried.size() == 1 && sickness ? Harm::kModerate : Harm::kSevere;
     std::sort(tried.begin(), tried.end());
     std::vector<bool> left_out(hosts_.size());
-    const std::size_t spared = tried.size() < 2 ? 0 : phase_ == Phase::kReleased ? (tried.size() + 3) / 4 : 1;
+    const std::size_t spared = tried.size() < 2                    ? 0
+                               : phase_ == ReleasePhase::kReleased ? (tried.size() + 3) / 4
+                                                                   : 1;
     for (std::size_t i = 0; i < spared; ++i) left_out[tried[i].second] = true;
     Harm harm = Harm::kQuiet;
     for (std::size_t g = 0; g <= groups_.size(); ++g) {
       Count t, e;
-      for (HostIndex h = 0; h < hosts_.size(); ++h) {
+      for (EndpointIndex h = 0; h < hosts_.size(); ++h) {
         const Host& host = hosts_[h];
-        if (host.state == HostState::kGone || host.build > build_) continue;
+        if (host.state == EndpointState::kRemoved || host.build > build_) continue;
         if ((host.ejected && sickness) || left_out[h]) continue;
         (side(host) == Side::kTrial ? t : e).merge(host.by_group[g]);
       }
@@ -492,7 +499,7 @@
     }
     // Departure: a build that slows old and new hosts alike shows only against the times before it came. A
     // released one has nothing beside it: there only twice as much counts.
-    const bool beside = phase_ == Phase::kTrial;
+    const bool beside = phase_ == ReleasePhase::kCanary;
     const double yardstick = calm_unit_ms_ * (beside ? 1 : 2),
                  slower = yardstick > 0 ? recent_.mean / yardstick : 1;
     look_for_burst(slower > kAllSlow);
@@ -525,9 +532,9 @@
 
   // ---- Share and votes ----
 
-  void fresh_build(BuildId build) {
+  void fresh_build(ReleaseVersion build) {
     // A released one is now the earlier build, its times the yardstick.
-    if (told_ && phase_ == Phase::kReleased) samples_[0] = samples_[1], tally_[0] = tally_[1];
+    if (told_ && phase_ == ReleasePhase::kReleased) samples_[0] = samples_[1], tally_[0] = tally_[1];
     std::fill(samples_[1].begin(), samples_[1].end(), Samples{});
     std::fill(tally_[1].begin(), tally_[1].end(), Count{});
     calm_unit_ms_ = told_ && usual_.count >= kEnoughTimes ? usual_.mean : 0;
@@ -535,16 +542,16 @@
     build_ = build, share_ = kFirstShare, braked_ = stepped_back_ = false;
     quiet_from_ = full_from_ = now_;
     harm_from_ = Instant();
-    standing_ = Vote::kNone;
+    standing_ = Vote::kAbstain;
   }
 
   void step_share() {
-    if (!told_ || phase_ == Phase::kReverting || phase_ == Phase::kWithdrawn) return;
+    if (!told_ || phase_ == ReleasePhase::kRollingBack || phase_ == ReleasePhase::kWithdrawn) return;
     const Harm harm = braked_ ? Harm::kSevere : judge();
     if (harm == Harm::kSevere) {
       if (!braked_) log("brake: build %u stage %u share %.2f to 0, voting back", build_, stage_, share_);
       braked_ = true, share_ = 0;
-      return cast(Vote::kBack);
+      return cast(Vote::kAbort);
     }
     if (harm == Harm::kModerate) {
       if (harm_from_ == Instant()) harm_from_ = now_;
@@ -552,16 +559,16 @@
     } else if (now_ - last_harm_ >= kQuietStep * pace_) {
       harm_from_ = Instant();
     }
-    if (phase_ == Phase::kReleased) return;
+    if (phase_ == ReleasePhase::kReleased) return;
     if (harm == Harm::kModerate) {
       if (!stepped_back_) {
         share_ = std::max(share_ - kShareStep, kShareStep);
         stepped_back_ = true;
         log("step back: build %u stage %u share %.2f", build_, stage_, share_);
-        if (clocked_ && !held_) cast(Vote::kHold), held_ = true;
+        if (clocked_ && !held_) cast(Vote::kPause), held_ = true;
       }
       quiet_from_ = full_from_ = now_;
-      if (standing_ == Vote::kOn) cast(Vote::kNone);
+      if (standing_ == Vote::kPromote) cast(Vote::kAbstain);
       return;
     }
     stepped_back_ = false;
@@ -572,7 +579,7 @@
       if (share_ >= 1) log("full share: build %u stage %u", build_, stage_);
     }
     if (share_ < 1) full_from_ = now_;
-    if (!clocked_ && ready_for_on()) cast(Vote::kOn);
+    if (!clocked_ && ready_for_on()) cast(Vote::kPromote);
   }
 
   // Patient: two quiet seconds at the full cap, and three past the newest trial start, of which the stage's
@@ -590,14 +597,14 @@
   }
 
   void cast(Vote vote) {
-    const bool stands = standing_ == vote && (vote == Vote::kBack || standing_stage_ == stage_);
+    const bool stands = standing_ == vote && (vote == Vote::kAbort || standing_stage_ == stage_);
     if (stands && now_ - voted_at_ < vote_life_ * 0.7) return;
     // Guards against all routers voting at once: each waits for a turn of its own choosing within the time
     // that the platform takes to hear them, 'back' for the votes that it needs. What a second can take is
     // cast at once.
     if (const Wish wish(vote, build_, stage_); !stands && wish != wish_) {
       wish_ = wish;
-      const Span round = vote == Vote::kOn ? vote_round_ * 0.75 : back_round_;
+      const Span round = vote == Vote::kPromote ? vote_round_ * 0.75 : back_round_;
       next_vote_ = now_ + std::max(Span(), round - Span::s(1)) * chance_.unit();
     }
     if (now_ < next_vote_) return;
@@ -660,7 +667,7 @@
 
   double quickness(const Host& host) const { return std::sqrt(usual_.mean / unit_ms(host)); }
 
-  double predicted(const Hit& hit, HostIndex h) const {
+  double predicted(const Hit& hit, EndpointIndex h) const {
     const Host& host = hosts_[h];
     return groups_[hit.group].mean_ms / mean_ms_ * unit_ms(host) * (kFreeLoad + host.open) / able(host);
   }
@@ -693,7 +700,7 @@
   Pick pick(const Hit& hit, Side side, double share) {
     for (const bool only_fit : {true, false}) {
       own_.clear(), other_.clear();
-      for (HostIndex h = 0; h < hosts_.size(); ++h) {
+      for (EndpointIndex h = 0; h < hosts_.size(); ++h) {
         const Host& host = hosts_[h];
         if (only_fit && !fit(host)) continue;
         if (on_trial(host.build) != (side == Side::kTrial)) continue;
@@ -715,7 +722,7 @@
   Pick pick_lot(const Hit& hit) {
     if (hit.legs > 0 || lots_.empty()) return {};
     own_.clear();
-    for (const HostIndex h : lots_) {
+    for (const EndpointIndex h : lots_) {
       const bool trial = on_trial(hosts_[h].build);
       if (trial && ((one_way_ && hit.key != 0) || hosts_[h].phase >= room(hosts_[h]) * share_)) continue;
       if (fit(hosts_[h]) && may_forward(hit, h, trial ? share_ : 1.0))
@@ -749,7 +756,7 @@
 
   // ---- A hit's steps ----
 
-  void taken(HitId id, unsigned group, unsigned customer, std::uint64_t key, Instant give_up_at,
+  void taken(RequestId id, unsigned group, unsigned customer, std::uint64_t key, Instant give_up_at,
              double) override {
     if (group >= groups_.size()) return sink_.error(id);
     const std::uint32_t place = hits_.take();
@@ -781,7 +788,7 @@
     const double left = (hit.late_at - now_).ms();
     if (!to) {
       // No host may have it now. It waits only while an answer could still be in time.
-      const bool hope = groups_[hit.group].repeats == Repeats::kRepeatable || !may_have_run(hit);
+      const bool hope = groups_[hit.group].repeats == Idempotency::kIdempotent || !may_have_run(hit);
       if (!hope || left <= groups_[hit.group].mean_ms * 1.5 || ready_ == 0 || now_ >= list_validity_.any_host)
         return give_up(hit);
       hit.due = now_ + kBeat;
@@ -805,7 +812,7 @@
     hit.at_result = &Choice::after_forward;
     hit.due = hit.give_up_at, hit.at_due = &Choice::give_up;
     const GroupFigures& group = groups_[hit.group];
-    if (!last && group.repeats != Repeats::kMutating && hit.legs < max_forwards_ &&
+    if (!last && group.repeats != Idempotency::kUnsafe && hit.legs < max_forwards_ &&
         (may_copy_ || may_cancel_)) {
       const double target = group.target.ms();
       const Span patience = Span::ms(std::clamp(3 * to.predicted_ms, 0.35 * target, 0.65 * target));
@@ -828,10 +835,10 @@
     send(hit, to, true);
   }
 
-  void after_forward(Hit& hit, Result result) {
+  void after_forward(Hit& hit, AttemptResult result) {
     if (any_out(hit)) return;  // a copy is still on its way
     const bool in_time = now_ + Span::ms(groups_[hit.group].mean_ms * 0.5) < hit.give_up_at;
-    if (result == Result::kLocal && in_time && hit.legs < max_forwards_) {
+    if (result == AttemptResult::kLocalFailure && in_time && hit.legs < max_forwards_) {
       // It never left: no part of the retry budget, and a moment for this machine to recover.
       hit.due = now_ + kBeat * static_cast<double>(1U << hit.legs), hit.at_due = &Choice::route;
       return;
@@ -868,7 +875,7 @@
     hits_.give_back(place);
   }
 
-  void ended(HitId id, unsigned leg, HostIndex h, Result result, Span took, bool terminal,
+  void ended(RequestId id, unsigned leg, EndpointIndex h, AttemptResult result, Span took, bool terminal,
              std::span<const float>) override {
     const std::uint32_t place = places_.find(id);
     if (place == IndexMap::kNone || h >= hosts_.size()) return;
@@ -876,22 +883,23 @@
     if (leg >= hit.legs || !hit.leg[leg].out) return;
     Forward& f = hit.leg[leg];
     f.out = false;
-    f.may_have_run = result != Result::kFull && result != Result::kNoConnect && result != Result::kMoot &&
-                     result != Result::kLocal;
+    f.may_have_run = result != AttemptResult::kRejected && result != AttemptResult::kConnectFailed &&
+                     result != AttemptResult::kCancelledBeforeSent && result != AttemptResult::kLocalFailure;
     Host& host = hosts_[h];
     host.open -= host.open > 0;
-    if (result < Result::kTimeout) host.last_heard = now_;  // what we ended ourselves is no sign of life
+    if (result < AttemptResult::kTimeout)
+      host.last_heard = now_;  // what we ended ourselves is no sign of life
     learn(hit, f, result, took);
-    if (result == Result::kOk && one_way_ && hit.key != 0 && f.build >= build_) {
+    if (result == AttemptResult::kOk && one_way_ && hit.key != 0 && f.build >= build_) {
       const std::uint32_t bound = pins_.find(hit.key);
       pins_.put(hit.key, bound == IndexMap::kNone ? f.build : std::max(f.build, bound));
     }
     if (hit.done) drop_if_over(hit);
-    else if (terminal) over(hit, result == Result::kOk);
+    else if (terminal) over(hit, result == AttemptResult::kOk);
     else (this->*hit.at_result)(hit, result);
   }
 
-  void client_left(HitId id) override {
+  void client_left(RequestId id) override {
     const std::uint32_t place = places_.find(id);
     if (place != IndexMap::kNone && !hits_[place].done) over(hits_[place]);
   }
@@ -927,9 +935,9 @@
     for (GroupFigures& g : groups_) in += static_cast<double>(g.taken.from(now_ - long_window + tick_));
     lots_.clear();
     for (Kind& k : kind_) k.sent = k.hosts = 0;
-    for (HostIndex h = 0; h < hosts_.size(); ++h) {
+    for (EndpointIndex h = 0; h < hosts_.size(); ++h) {
       Host& host = hosts_[h];
-      if (host.state != HostState::kReady) continue;
+      if (host.state != EndpointState::kReady) continue;
       const double most = room(host);
       const bool by_lot = most < 1;
       if (by_lot && host.zone == zone_ && host.phase < most) lots_.push_back(h);
@@ -973,13 +981,13 @@
   // ---- Guards ----
 
   // A build is on trial unless it is told to be released; what the news does not name yet is as well.
-  bool on_trial(BuildId build) const {
-    return build > build_ || (build == build_ && phase_ != Phase::kReleased);
+  bool on_trial(ReleaseVersion build) const {
+    return build > build_ || (build == build_ && phase_ != ReleasePhase::kReleased);
   }
 
-  bool exposure_allows(const Hit& hit, BuildId build, double share) {
+  bool exposure_allows(const Hit& hit, ReleaseVersion build, double share) {
     const unsigned stage = build == build_ && told_ ? stage_ : 0;
-    if (stage < closed_stages_ && groups_[hit.group].repeats != Repeats::kRepeatable) return false;
+    if (stage < closed_stages_ && groups_[hit.group].repeats != Idempotency::kIdempotent) return false;
     const double cap = build == build_ && told_ ? cap_ : first_cap_;
     if (cap <= 0 || share <= 0) return false;
     // Forwards are counted a tick longer and takings a tick shorter than the window, against edges of it.
@@ -1021,9 +1029,9 @@
   }
 
   // The one place that says whether a forward is allowed.
-  bool may_forward(const Hit& hit, HostIndex h, double share) {
+  bool may_forward(const Hit& hit, EndpointIndex h, double share) {
     Host& host = hosts_[h];
-    if (hit.done || host.state != HostState::kReady) return false;
+    if (hit.done || host.state != EndpointState::kReady) return false;
     if (now_ >= hit.give_up_at || hit.legs >= max_forwards_) return false;
     if (!news_allows(host)) return false;
     const GroupFigures& group = groups_[hit.group];
@@ -1031,12 +1039,12 @@
       const Forward& f = hit.leg[i];
       if (f.host == h && (f.out || ready_ > 2)) return false;  // not where it was before
       if (!f.out && !f.may_have_run) continue;
-      if (group.repeats == Repeats::kMutating) return false;
-      if (group.repeats != Repeats::kTagged) continue;
+      if (group.repeats == Idempotency::kUnsafe) return false;
+      if (group.repeats != Idempotency::kKeyed) continue;
       if (now_ - f.sent >= group.memory - tick_) return false;
       const Host& first = hosts_[f.host];
-      if (group.drop == DropGroup::kZone && first.zone != host.zone) return false;
-      if (group.drop == DropGroup::kCell && (first.cell != host.cell || first.zone != host.zone))
+      if (group.drop == IdempotencyScope::kZone && first.zone != host.zone) return false;
+      if (group.drop == IdempotencyScope::kCell && (first.cell != host.cell || first.zone != host.zone))
         return false;
     }
     if (one_way_ && hit.key != 0) {
@@ -1060,8 +1068,8 @@
   // A bounce says that trying again is harmless.
   bool may_bounce(const Hit& hit) const {
     const GroupFigures& group = groups_[hit.group];
-    if (group.repeats == Repeats::kRepeatable || !may_have_run(hit)) return true;
-    return group.repeats == Repeats::kTagged && group.drop == DropGroup::kAll;
+    if (group.repeats == Idempotency::kIdempotent || !may_have_run(hit)) return true;
+    return group.repeats == Idempotency::kKeyed && group.drop == IdempotencyScope::kAll;
   }
 
  private:
@@ -1079,7 +1087,7 @@
     sink_.log({line, static_cast<std::size_t>(std::clamp(n, 0, 159))});
   }
 
-  Sink& sink_;
+  RouterActions& sink_;
   Pcg chance_;
   Instant now_;
   // Figures derived from the terms.
@@ -1100,18 +1108,18 @@
   // What is out there.
   std::vector<Host> hosts_;
   std::vector<Drawable> own_, other_;  // scratch for picking
-  std::vector<HostIndex> lots_;        // hosts near by of which we have drawn a part of a hit
+  std::vector<EndpointIndex> lots_;    // hosts near by of which we have drawn a part of a hit
   std::vector<Kind> kind_;
   std::vector<Zone> zones_;
   std::vector<Speed> speeds_;  // by zone and kind of machine
-  ListValidity list_validity_;
+  EndpointListValidity list_validity_;
   std::size_t ready_ = 0, most_ready_ = 0;
   bool many_out_ = false;
   // The build on trial.
   bool told_ = false;
-  BuildId build_ = 0, gone_back_ = 0;
+  ReleaseVersion build_ = 0, gone_back_ = 0;
   unsigned stage_ = 0;
-  Phase phase_ = Phase::kReleased;
+  ReleasePhase phase_ = ReleasePhase::kReleased;
   double cap_ = 0, share_ = kFirstShare;
   Instant stage_since_, quiet_from_, full_from_, harm_from_, last_harm_, next_judge_, newest_start_,
       last_trouble_, last_burst_, born_;
@@ -1124,7 +1132,7 @@
   std::array<std::vector<Samples>, 2> samples_;  // by kind of machine and path group
   std::array<std::vector<Count>, 2> tally_;      // by path group
   // Our vote.
-  Vote standing_ = Vote::kNone;
+  Vote standing_ = Vote::kAbstain;
   unsigned standing_stage_ = 0;
   Wish wish_;
   Instant voted_at_, next_vote_;
@@ -1140,7 +1148,8 @@
 
 }  // namespace
 
-std::unique_ptr<Router> make_router(const Terms& terms, std::uint64_t seed, Sink& sink) {
+std::unique_ptr<RouterPolicy> make_router_policy(const RouterSettings& terms, std::uint64_t seed,
+                                                 RouterActions& sink) {
   return std::make_unique<Choice>(terms, seed, sink);
 }
 
--- a/src/program/demo.cpp
+++ b/src/program/demo.cpp
@@ -45,7 +45,7 @@
   explicit Demo(const DemoOptions& options)
       : start_(start_from(kSettings,
                           Site{"demo", "127.0.0.1:" + std::to_string(options.port), "", "", 7, "", ""})),
-        terms_(read_terms(start_.settings)), door_(read_door_terms(start_.settings)),
+        terms_(read_router_settings(start_.settings)), door_(read_wire_settings(start_.settings)),
         limits_(limits_for(1024, door_, terms_)), discovery_(loop_, limits_),
         desk_(loop_, limits_, {0.2, 0.5, 1.0}, [this](const standins::Desk::State& s) { changed(s); }),
         next_(loop_, [this] { next(); }), load_(loop_, [this] { hits(); }),
@@ -179,8 +179,8 @@
 
   Loop loop_;
   Start start_;
-  Terms terms_;
-  DoorTerms door_;
+  RouterSettings terms_;
+  WireSettings door_;
   Limits limits_;
   std::vector<unsigned> builds_;
   std::vector<std::unique_ptr<standins::Host>> hosts_;
--- a/src/program/environment.cpp
+++ b/src/program/environment.cpp
@@ -15,7 +15,7 @@
   return listed_name(value.text().value_or(std::string(value.raw())));
 }
 
-void put(Pairs& pairs, const std::string& path, const Json& value) {
+void put(SettingsMap& pairs, const std::string& path, const Json& value) {
   const std::string inside = path.empty() ? "" : path + ".";
   if (value.is_object()) {
     value.each_member([&](const std::string& name, const Json& v) { put(pairs, inside + name, v); });
@@ -45,8 +45,8 @@
 
 }  // namespace
 
-Pairs pairs_of(const Json& settings) {
-  Pairs pairs;
+SettingsMap pairs_of(const Json& settings) {
+  SettingsMap pairs;
   put(pairs, "", settings);
   return pairs;
 }
@@ -95,7 +95,7 @@
 }
 
 // Sockets: a few for ourselves, the rest in halves: each hit in hand holds one of both kinds.
-Limits limits_for(std::size_t sockets, const DoorTerms& door, const Terms& terms) {
+Limits limits_for(std::size_t sockets, const WireSettings& door, const RouterSettings& terms) {
   constexpr std::size_t kOwn = 32;
   Limits limits;
   limits.clients = (sockets - kOwn) / 2;
@@ -105,7 +105,7 @@
   limits.host_idle = std::min(limits.host_idle, door.host_idle * 0.8);
   limits.desk_answer = terms.answer_wait;
   Span longest;
-  for (const PathGroup& g : terms.path_groups) {
+  for (const RequestClass& g : terms.path_groups) {
     limits.stop_at_latest =
         std::max(limits.stop_at_latest, g.client_timeout + limits.stop_accepting + Span::ms(250));
     longest = std::max(longest, g.client_timeout);
--- a/src/program/guardian.cpp
+++ b/src/program/guardian.cpp
@@ -5,8 +5,8 @@
 
 namespace ashbeam {
 
-Guardian::Guardian(Loop& loop, Service& service, const DoorTerms& door, const Terms& terms, std::string path,
-                   std::uint64_t seed, Service::Note note)
+Guardian::Guardian(Loop& loop, Service& service, const WireSettings& door, const RouterSettings& terms,
+                   std::string path, std::uint64_t seed, Service::Note note)
     : loop_(loop), service_(service),
       reading_by_(std::make_shared<Reading>(Reading{std::move(path), door, terms})), note_(std::move(note)),
       look_(loop, [this] { look(); }) {
--- a/src/program/guardian.hpp
+++ b/src/program/guardian.hpp
@@ -16,8 +16,8 @@
 class Guardian {
  public:
   // Throws OperatorsError or FileError where the file can't be used: the program does not start on it.
-  Guardian(Loop& loop, Service& service, const DoorTerms& door, const Terms& terms, std::string path,
-           std::uint64_t seed, Service::Note note);
+  Guardian(Loop& loop, Service& service, const WireSettings& door, const RouterSettings& terms,
+           std::string path, std::uint64_t seed, Service::Note note);
   // Reads all of it again, off the loop. What stands in the files now is in force once taken() has come to
   // the number that this gives; 0 where nothing is read.
   std::uint64_t reread();
@@ -34,8 +34,8 @@
   // What a job on the worker reads by: it owns all of it, and may outlive us.
   struct Reading {
     std::string path;
-    DoorTerms door;
-    Terms terms;
+    WireSettings door;
+    RouterSettings terms;
     Fresh read(const std::string& keys_only) const;
   };
   void take(const Fresh& fresh, bool all);
--- a/src/program/operators.cpp
+++ b/src/program/operators.cpp
@@ -133,7 +133,7 @@
 
 class Reader {
  public:
-  Reader(const std::string& path, const DoorTerms* door, const Terms* terms)
+  Reader(const std::string& path, const WireSettings* door, const RouterSettings* terms)
       : path_(path), door_(door), terms_(terms) {}
 
   Operators read(std::string_view text) {
@@ -188,7 +188,7 @@
     for (const Value& tenant : v["tenants"].items) t.tenants.push_back(tenant_of(tenant));
     if (terms_) {
       t.routers = terms_->routers;
-      for (const PathGroup& g : terms_->path_groups)
+      for (const RequestClass& g : terms_->path_groups)
         t.longest_hit = std::max(t.longest_hit, g.client_timeout);
     }
     if (door_) {
@@ -249,8 +249,8 @@
   }
 
   const std::string& path_;
-  const DoorTerms* door_;
-  const Terms* terms_;
+  const WireSettings* door_;
+  const RouterSettings* terms_;
   std::vector<records::Problem> problems_;
 };
 
@@ -258,8 +258,8 @@
 
 std::string_view operators_schema() { return kSchema; }
 
-Operators operators_from(std::string_view text, const std::string& path, const DoorTerms* door,
-                         const Terms* terms) {
+Operators operators_from(std::string_view text, const std::string& path, const WireSettings* door,
+                         const RouterSettings* terms) {
   return Reader(path, door, terms).read(text);
 }
 
@@ -273,7 +273,7 @@
           read(terms.crl, kLongestList), read(terms.revoked, kLongestList)};
 }
 
-Operators read_operators(const std::string& path, const DoorTerms* door, const Terms* terms) {
+Operators read_operators(const std::string& path, const WireSettings* door, const RouterSettings* terms) {
   return operators_from(read_file(path, records::kLongestFile), path, door, terms);
 }
 
--- a/src/program/operators.hpp
+++ b/src/program/operators.hpp
@@ -36,9 +36,9 @@
 
 // Paths in the file are relative to its folder. `door` and `terms` say what the file's names stand for;
 // without them these names are taken as they are. Throws OperatorsError, FileError.
-Operators read_operators(const std::string& path, const DoorTerms* door, const Terms* terms);
+Operators read_operators(const std::string& path, const WireSettings* door, const RouterSettings* terms);
 TlsFiles read_tls_files(const TlsTerms& terms);  // throws FileError
-Operators operators_from(std::string_view text, const std::string& path, const DoorTerms* door,
-                         const Terms* terms);
+Operators operators_from(std::string_view text, const std::string& path, const WireSettings* door,
+                         const RouterSettings* terms);
 
 }  // namespace ashbeam
--- a/src/program/serve.cpp
+++ b/src/program/serve.cpp
@@ -42,8 +42,8 @@
 void read_again(const Start& standing, Service& service) {
   try {
     const Start next = read();
-    read_terms(next.settings);
-    read_door_terms(next.settings);
+    read_router_settings(next.settings);
+    read_wire_settings(next.settings);
     service.move_to(next.site.discovery, next.site.desk);
     spdlog::info("configuration read again: discovery {}, desk {}{}", next.site.discovery, next.site.desk,
                  next.settings == standing.settings ? "" : "; other settings count from the next start");
@@ -59,9 +59,9 @@
     start.sockets = std::min<std::size_t>(start.sockets, std::max<rlim_t>(descriptors.rlim_cur, 64));
   }
   std::vector<std::string> doubts;
-  const Terms terms = read_terms(start.settings, &doubts);
+  const RouterSettings terms = read_router_settings(start.settings, &doubts);
   for (const std::string& doubt : doubts) spdlog::warn("{}", doubt);
-  const DoorTerms door = read_door_terms(start.settings);
+  const WireSettings door = read_wire_settings(start.settings);
   const Limits limits = limits_for(start.sockets, door, terms);
 
   Loop loop;
--- a/src/routing/desk.cpp
+++ b/src/routing/desk.cpp
@@ -9,22 +9,23 @@
 
 const char* word(Vote vote) {
   switch (vote) {
-    case Vote::kOn:
+    case Vote::kPromote:
       return "promote";
-    case Vote::kHold:
+    case Vote::kPause:
       return "pause";
-    case Vote::kBack:
+    case Vote::kAbort:
       return "abort";
-    case Vote::kNone:
+    case Vote::kAbstain:
       break;
   }
   return "abstain";
 }
 
-Answer answer_of(const std::string& error) {
-  if (error == "Throttling") return Answer::kFull;
-  if (error == "ConditionFailed") return Answer::kVoid;
-  return error == "InternalFailure" || error == "ValidationError" ? Answer::kFailed : Answer::kUnknown;
+VoteOutcome answer_of(const std::string& error) {
+  if (error == "Throttling") return VoteOutcome::kThrottled;
+  if (error == "ConditionFailed") return VoteOutcome::kConditionFailed;
+  return error == "InternalFailure" || error == "ValidationError" ? VoteOutcome::kFailed
+                                                                  : VoteOutcome::kUnknown;
 }
 
 }  // namespace
@@ -55,8 +56,8 @@
   if (vote && !answers_.armed()) answers_.at(calls_.back().until);
 }
 
-void Desk::vote(BuildId build, unsigned stage, Vote vote) {
-  if (!connection_) return loop_.later([this] { answered_(Answer::kFailed, nullptr); });
+void Desk::vote(ReleaseVersion build, unsigned stage, Vote vote) {
+  if (!connection_) return loop_.later([this] { answered_(VoteOutcome::kFailed, nullptr); });
   call("release.vote",
        "{\"image\":" + std::to_string(build) + ",\"ring\":" + std::to_string(stage) + ",\"opinion\":\"" +
            word(vote) + "\"}",
@@ -74,7 +75,7 @@
       continue;
     }
     c.vote = false;
-    answered_(Answer::kUnknown, nullptr);
+    answered_(VoteOutcome::kUnknown, nullptr);
   }
   if (next < Instant::never()) answers_.at(next);
   end_if_retired();
@@ -128,12 +129,12 @@
     calls_.pop_front();
     if (!at_hand.vote) continue;
     if (static_cast<double>(at_hand.id) < id) {
-      answered_(Answer::kUnknown, nullptr);
+      answered_(VoteOutcome::kUnknown, nullptr);
     } else if (error) {
-      const Answer fate = answer_of(error->text("message"));
+      const VoteOutcome fate = answer_of(error->text("message"));
       answered_(fate, nullptr);
-      if (fate == Answer::kUnknown) return false;
-    } else if (!answered_(Answer::kTaken, &*result)) {
+      if (fate == VoteOutcome::kUnknown) return false;
+    } else if (!answered_(VoteOutcome::kAccepted, &*result)) {
       return false;
     }
   }
@@ -149,7 +150,7 @@
 void Desk::lost(const char* why) {
   if (tries_++ == 0) note_(std::string("connection ") + why);
   // What was never written was not carried out; of the rest that is not known.
-  const Answer fate = opened_ ? Answer::kUnknown : Answer::kFailed;
+  const VoteOutcome fate = opened_ ? VoteOutcome::kUnknown : VoteOutcome::kFailed;
   drop();
   const std::deque<Call> calls = std::move(calls_);
   calls_.clear();
--- a/src/routing/desk.hpp
+++ b/src/routing/desk.hpp
@@ -19,7 +19,7 @@
  public:
   // Both say whether what came could be read; if not, its connection is of no further use.
   using News = std::function<bool(const std::string& method, const Json& params)>;
-  using Answered = std::function<bool(Answer, const Json* state)>;  // the state comes with kTaken
+  using Answered = std::function<bool(VoteOutcome, const Json* state)>;  // the state comes with kTaken
   using Note =
       std::function<void(const std::string& what)>;  // once when it is lost, once when it stands again
   Desk(Loop& loop, const Limits& limits, std::string address, std::uint64_t seed, News news,
@@ -28,7 +28,7 @@
   // The desk is elsewhere from now on: no more news from here and no new connection; `over`, after this
   // returns, once every vote cast here has its answer or is given up.
   void retire(std::function<void()> over);
-  void vote(BuildId build, unsigned stage, Vote vote);  // `answered` comes after this returns
+  void vote(ReleaseVersion build, unsigned stage, Vote vote);  // `answered` comes after this returns
 
  private:
   struct Call {
--- a/src/routing/host_pools.cpp
+++ b/src/routing/host_pools.cpp
@@ -9,13 +9,13 @@
 
 class HostPools::Link : public Connection::Owner {
  public:
-  Link(HostPools& pools, HostIndex host, std::size_t place)
+  Link(HostPools& pools, EndpointIndex host, std::size_t place)
       : pools_(pools), host_(host), place_(place),
         connection_(pools.loop_, pools.limits_, *this, pools.hosts_[host].address),
         answers_(http::Messages::Side::kAnswers, pools.limits_.head, pools.limits_.body),
         timer_(pools.loop_, [this] { late(); }) {}
 
-  HostIndex host() const { return host_; }
+  EndpointIndex host() const { return host_; }
   bool waiting() const { return next_ != nullptr; }
   bool written() const { return !bytes_ && !connection_.unwritten(); }
   bool usable() const { return connection_.quiet(); }
@@ -37,7 +37,7 @@
   }
 
   // The forward's end, told at once or, from within a call of the owner's, after it.
-  void finish(Result result, bool at_once) {
+  void finish(AttemptResult result, bool at_once) {
     Next next = std::move(next_);
     next_ = nullptr;
     pools_.remove(this);
@@ -46,9 +46,10 @@
   }
 
   // What is not written whole has not run.
-  Result unless_unwritten(Result result) const {
+  AttemptResult unless_unwritten(AttemptResult result) const {
     if (written()) return result;
-    return connection_.failure() == Failure::kLocal ? Result::kLocal : Result::kNoConnect;
+    return connection_.failure() == Failure::kLocal ? AttemptResult::kLocalFailure
+                                                    : AttemptResult::kConnectFailed;
   }
 
   void opened() override {
@@ -68,7 +69,7 @@
       pools_.hosts_[host_].unasked_at = pools_.loop_.now();
       return pools_.remove(this);
     }
-    if (got == http::Messages::Got::kBad) return finish(unless_unwritten(Result::kReset), true);
+    if (got == http::Messages::Got::kBad) return finish(unless_unwritten(AttemptResult::kReset), true);
     if (!bytes.empty()) pools_.hosts_[host_].unasked_at = pools_.loop_.now();
     answered(bytes.empty() && !answers_.last());
   }
@@ -78,15 +79,15 @@
     // Only an end in order ends a body of no length: a reset may come in the midst of it.
     if (!connection_.broken() && answers_.stream_ended() == http::Messages::Got::kWhole)
       return answered(false);
-    finish(unless_unwritten(Result::kReset), true);
+    finish(unless_unwritten(AttemptResult::kReset), true);
   }
 
  private:
   void answered(bool keep) {
     const unsigned status = answers_.status();
-    Result result = status == 200 ? Result::kOk : Result::kError;
+    AttemptResult result = status == 200 ? AttemptResult::kOk : AttemptResult::kError;
     if (status == 503 || status == 504) {
-      if (answers_.head().find("X-Unprocessed") == "1") result = Result::kFull;
+      if (answers_.head().find("X-Unprocessed") == "1") result = AttemptResult::kRejected;
     }
     const Next next = std::move(next_);
     next_ = nullptr;
@@ -101,11 +102,11 @@
 
   void late() {
     if (!waiting()) return pools_.remove(this);
-    finish(unless_unwritten(Result::kTimeout), true);
+    finish(unless_unwritten(AttemptResult::kTimeout), true);
   }
 
   HostPools& pools_;
-  HostIndex host_;
+  EndpointIndex host_;
   std::size_t place_;
   Connection connection_;
   http::Messages answers_;
@@ -123,7 +124,7 @@
 
 Instant HostPools::opened_at(const Link* link) { return link ? link->opened_at() : Instant::never(); }
 
-void HostPools::place(HostIndex h, const std::string& address, bool fresh, bool takes_more) {
+void HostPools::place(EndpointIndex h, const std::string& address, bool fresh, bool takes_more) {
   if (h >= hosts_.size()) hosts_.resize(h + 1);
   hosts_[h].address = address;
   if (!fresh && takes_more) return;
@@ -135,7 +136,7 @@
   }
   for (Link* link : stale) {
     link->let_go();
-    if (link->waiting() && !link->written()) link->finish(Result::kNoConnect, false);
+    if (link->waiting() && !link->written()) link->finish(AttemptResult::kConnectFailed, false);
   }
 }
 
@@ -148,7 +149,7 @@
                                                                : limits_.host_settle_busy;
 }
 
-HostPools::Link* HostPools::idle_link(HostIndex h) {
+HostPools::Link* HostPools::idle_link(EndpointIndex h) {
   const Instant settled = loop_.now() - rest(hosts_[h]);
   auto& idle = hosts_[h].idle;
   for (std::size_t i = idle.size(); i-- > 0;) {
@@ -177,25 +178,25 @@
   return true;
 }
 
-HostPools::Link* HostPools::send(HostIndex h, Bytes bytes, Instant until, Next next) {
+HostPools::Link* HostPools::send(EndpointIndex h, Bytes bytes, Instant until, Next next) {
   Link* link = h < hosts_.size() ? idle_link(h) : nullptr;
   if (!link && h < hosts_.size() && make_room()) {
     links_.push_back(std::make_unique<Link>(*this, h, links_.size()));
     link = links_.back().get();
   }
   if (!link) {
-    loop_.later([next = std::move(next)] { next(Result::kLocal, nullptr); });
+    loop_.later([next = std::move(next)] { next(AttemptResult::kLocalFailure, nullptr); });
     return nullptr;
   }
   link->send(std::move(bytes), until, std::move(next));
   return link;
 }
 
-void HostPools::cancel(Link* link) { link->finish(link->unless_unwritten(Result::kCancelled), false); }
+void HostPools::cancel(Link* link) { link->finish(link->unless_unwritten(AttemptResult::kCancelled), false); }
 
 bool HostPools::recall(Link* link) {
   if (link->written()) return false;
-  link->finish(Result::kMoot, false);
+  link->finish(AttemptResult::kCancelledBeforeSent, false);
   return true;
 }
 
--- a/src/routing/host_pools.hpp
+++ b/src/routing/host_pools.hpp
@@ -17,7 +17,7 @@
  public:
   class Link;  // one connection
   // What comes next for a forward. The answer stands during the call only; there is none where none came.
-  using Next = std::function<void(Result, const http::Messages*)>;
+  using Next = std::function<void(AttemptResult, const http::Messages*)>;
 
   // `connect` bounds how long a forward waits to be written.
   HostPools(Loop& loop, const Limits& limits, Span connect);
@@ -27,11 +27,11 @@
 
   // What the list says of a host. `fresh`: another process than the one that kept connections lead to. One
   // that takes no more gets nothing that is not written yet.
-  void place(HostIndex host, const std::string& address, bool fresh, bool takes_more);
+  void place(EndpointIndex host, const std::string& address, bool fresh, bool takes_more);
   // Never calls `next` before it returns. The link, for `cancel`, stands until then; it may be null. `bytes`
   // is asked once, when the connection is there.
   using Bytes = std::function<std::string(Instant until)>;
-  Link* send(HostIndex host, Bytes bytes, Instant until, Next next);
+  Link* send(EndpointIndex host, Bytes bytes, Instant until, Next next);
   void cancel(Link* link);  // `next` is told after this returns
   // Ends a forward that is not written whole as moot, since it has never run: `next` is told after this
   // returns, and the link must not be named again. False, and nothing done, where it is too late.
@@ -47,7 +47,7 @@
     Instant unasked_at;       // when it last sent something that was not asked for
   };
   Span rest(const Host& host) const;
-  Link* idle_link(HostIndex host);
+  Link* idle_link(EndpointIndex host);
   bool make_room();
   void remove(Link* link);
   Loop& loop_;
--- a/src/routing/service.cpp
+++ b/src/routing/service.cpp
@@ -61,14 +61,14 @@
 }
 
 // Is a figure that decisions need missing, or there twice, so that a host might take the other one?
-bool unclear(const http::Head& head, Repeats repeats, std::size_t longest_id) {
+bool unclear(const http::Head& head, Idempotency repeats, std::size_t longest_id) {
   for (const char* name :
        {"X-Correlation-Id", "X-Account", "X-Time-Left-Ms", "Idempotency-Key", "X-Session-Key"}) {
     if (head.count(name) > 1) return true;
   }
   const auto id = head.find("X-Correlation-Id").value_or("");
   return id.empty() || id.size() > longest_id || !head.find("X-Time-Left-Ms") ||
-         (repeats == Repeats::kTagged && head.find("Idempotency-Key").value_or("").empty());
+         (repeats == Idempotency::kKeyed && head.find("Idempotency-Key").value_or("").empty());
 }
 
 // Calls back with each name=value of a comma-separated list whose value is a number.
@@ -84,7 +84,7 @@
   });
 }
 
-const char* name_of(Result result) {
+const char* name_of(AttemptResult result) {
   constexpr std::array kNames{"ok",    "error",     "turned away",           "timeout",      "no connect",
                               "reset", "cancelled", "cancelled before sent", "local failure"};
   const auto at = static_cast<std::size_t>(result);
@@ -95,12 +95,12 @@
 
 // A forward may wait for its connection, and reaches its host that much later: a repeat must still come while
 // the host remembers.
-Terms Service::on_sockets(Terms terms, Span connect) {
-  for (PathGroup& g : terms.path_groups) g.memory = std::max(Span(), g.memory - connect);
+RouterSettings Service::on_sockets(RouterSettings terms, Span connect) {
+  for (RequestClass& g : terms.path_groups) g.memory = std::max(Span(), g.memory - connect);
   return terms;
 }
 
-Service::Service(Loop& loop, const Limits& limits, const Terms& terms, const DoorTerms& door,
+Service::Service(Loop& loop, const Limits& limits, const RouterSettings& terms, const WireSettings& door,
                  const Site& site, Note note)
     : loop_(loop), limits_(limits), door_(door), site_(site), note_(std::move(note)), detail_(note_),
       callers_(
@@ -119,15 +119,15 @@
           }),
       stop_(loop, [this] { check_wound_down(); }), refused_(loop, [this] { tell_refused(); }),
       zones_(door.zones, "zones"), kinds_(door.kinds, "kinds"),
-      module_(make_router(on_sockets(terms, pools_.connect()), site.seed, *this)) {
-  for (const PathGroup& g : terms.path_groups) repeats_.push_back(g.repeats);
+      module_(make_router_policy(on_sockets(terms, pools_.connect()), site.seed, *this)) {
+  for (const RequestClass& g : terms.path_groups) repeats_.push_back(g.repeats);
 }
 
 Service::~Service() = default;
 
 void Service::start() {
   listed_ready_.in(limits_.first_list);
-  tell([](Router& r) { r.started(); });
+  tell([](RouterPolicy& r) { r.started(); });
   if (!site_.known.empty() && !discovery_.take(site_.known)) note_("known list can't be read");
   known_until_ = loop_.now() + limits_.known_list;
   lease_changed("started");
@@ -171,13 +171,13 @@
   path.remove_prefix(1);
   const unsigned group = index_of(door_.path_groups, path.substr(0, path.find('/')));
   if (group >= door_.path_groups.size()) return caller.answer_plain(404);
-  const Repeats repeats = repeats_[group];
-  const std::string method = repeats == Repeats::kRepeatable ? "GET" : "POST";
+  const Idempotency repeats = repeats_[group];
+  const std::string method = repeats == Idempotency::kIdempotent ? "GET" : "POST";
   if (head.word(0) != method) return caller.answer_plain(405, "Allow: " + method + "\r\n");
   if (unclear(head, repeats, limits_.id)) return caller.answer_plain(400);
   const auto left_ms = http::whole_number(*head.find("X-Time-Left-Ms"));
   // What may run again has no body: a host might take one for a request behind it.
-  if (!left_ms || (repeats == Repeats::kRepeatable && !request.raw_body().empty()))
+  if (!left_ms || (repeats == Idempotency::kIdempotent && !request.raw_body().empty()))
     return caller.answer_plain(400);
   Instant give_up_at = now + Span::ms(std::min(static_cast<double>(*left_ms), 3.6e6));
   // What comes after the signal to stop is answered before the machine may kill this process.
@@ -193,7 +193,7 @@
     return caller.answer_plain(409);
   }
 
-  const HitId place = hits_.take();
+  const RequestId place = hits_.take();
   Hit& hit = hits_[place];
   ++in_hand_;
   hit.live = true;
@@ -234,7 +234,7 @@
     detail_.line(LogTopic::kRequests, now, "request %u taken: id %.*s class %u, time left %.0f ms", place,
                  static_cast<int>(id.size()), id.data(), group, (give_up_at - now).ms());
   }
-  tell([&](Router& r) { r.taken(place, group, customer, key, give_up_at, hint); });
+  tell([&](RouterPolicy& r) { r.taken(place, group, customer, key, give_up_at, hint); });
 }
 
 // ---- Who is calling ----
@@ -303,7 +303,7 @@
   note_("calling: refused within 1 s: " + line);
 }
 
-Caller* Service::take_caller(HitId id) {
+Caller* Service::take_caller(RequestId id) {
   Caller* const caller = hits_[id].caller;
   hits_[id].caller = nullptr;
   if (caller) caller->hit = UINT32_MAX;
@@ -311,26 +311,26 @@
 }
 
 void Service::left(Caller& caller) {
-  const HitId id = caller.hit;
+  const RequestId id = caller.hit;
   if (id == UINT32_MAX) return;
   detail_.line(LogTopic::kRequests, loop_.now(), "request %u: its client closed", id);
   take_caller(id);
   abandon(id);
 }
 
-void Service::abandon(HitId id) {
-  tell([&](Router& r) { r.client_left(id); });
+void Service::abandon(RequestId id) {
+  tell([&](RouterPolicy& r) { r.client_left(id); });
   drop_if_over(id);
 }
 
 // Guards against a hit that the module would leave without an answer.
-void Service::overdue(HitId id) {
+void Service::overdue(RequestId id) {
   note_("hit overdue: answered with an error");
   if (Caller* const caller = take_caller(id)) caller->answer_plain(504);
   abandon(id);
 }
 
-void Service::drop_if_over(HitId id) {
+void Service::drop_if_over(RequestId id) {
   Hit& hit = hits_[id];
   if (!hit.live || hit.caller || hit.out > 0) return;
   --in_hand_;
@@ -339,7 +339,7 @@
   hits_.give_back(id);
 }
 
-void Service::bounce(HitId id, Span retry_after) {
+void Service::bounce(RequestId id, Span retry_after) {
   char after[48] = "";
   if (retry_after > Span()) std::snprintf(after, sizeof after, "Retry-After: %.3f\r\n", retry_after.s());
   // A file that no host had in a good form is no lack of room.
@@ -349,7 +349,7 @@
   answer_finally(id, 503, after);
 }
 
-void Service::error(HitId id) {
+void Service::error(RequestId id) {
   const Hit& hit = hits_[id];
   if (hit.metadata && !hit.metadata->refused.empty())
     return answer_finally(id, 502, "X-Refused: " + hit.metadata->refused + "\r\n");
@@ -357,7 +357,7 @@
 }
 
 // The place is given back after the call at hand: the module may still name the hit in it.
-void Service::answer_finally(HitId id, unsigned status, std::string_view fields) {
+void Service::answer_finally(RequestId id, unsigned status, std::string_view fields) {
   detail_.line(LogTopic::kRequests, loop_.now(),
                "request %u answered %u without an endpoint's answer, endpoint list %s", id, status,
                policy::name_of(lease_.state(loop_.now())));
@@ -367,7 +367,7 @@
 
 // ---- Metadata ----
 
-bool Service::fit(Hit& hit, HostIndex host, const http::Messages& answer) {
+bool Service::fit(Hit& hit, EndpointIndex host, const http::Messages& answer) {
   std::string plain;
   metadata::Refusal why;
   if (answer.head().find("Content-Encoding")) {
@@ -397,7 +397,7 @@
 
 // ---- Forwards ----
 
-void Service::forward(HitId id, HostIndex host, Span try_for) {
+void Service::forward(RequestId id, EndpointIndex host, Span try_for) {
   Hit& hit = hits_[id];
   const Instant now = loop_.now();
   const auto leg = static_cast<unsigned>(hit.legs.size());
@@ -415,12 +415,12 @@
   ++hit.out;
   ++hosts_[host].out;
   hit.legs.back().link =
-      pools_.send(host, bytes, until, [this, id, leg](Result result, const http::Messages* answer) {
+      pools_.send(host, bytes, until, [this, id, leg](AttemptResult result, const http::Messages* answer) {
         forward_ended(id, leg, result, answer);
       });
 }
 
-void Service::cancel(HitId id, unsigned leg) {
+void Service::cancel(RequestId id, unsigned leg) {
   Hit& hit = hits_[id];
   if (leg >= hit.legs.size() || !hit.legs[leg].link) return;
   HostPools::Link* const link = hit.legs[leg].link;
@@ -428,18 +428,18 @@
   pools_.cancel(link);
 }
 
-void Service::forward_ended(HitId id, unsigned leg, Result result, const http::Messages* answer) {
+void Service::forward_ended(RequestId id, unsigned leg, AttemptResult result, const http::Messages* answer) {
   Hit& hit = hits_[id];
   Leg& forward = hit.legs[leg];
   const Instant opened = HostPools::opened_at(forward.link);
   forward.link = nullptr;
   --hit.out;
-  const HostIndex host = forward.host;
+  const EndpointIndex host = forward.host;
   --hosts_[host].out;
   const Span took = loop_.now() - forward.sent;
-  if (result == Result::kLocal) failed_locally();
-  if (result == Result::kOk && lease_.vouches(opened))
-    tell([&](Router& r) { r.host_valid(host, lease_.valid_after_answer(forward.sent)); });
+  if (result == AttemptResult::kLocalFailure) failed_locally();
+  if (result == AttemptResult::kOk && lease_.vouches(opened))
+    tell([&](RouterPolicy& r) { r.host_valid(host, lease_.valid_after_answer(forward.sent)); });
   detail_.line(LogTopic::kRequests, loop_.now(),
                "request %u attempt %u to endpoint %u ended: %s, after %.1f ms", id, leg, host,
                name_of(result), took.ms());
@@ -447,11 +447,12 @@
   unsigned status = 200;
   if (hit.metadata && answer) {
     // A client asks for the root after the last one until there is none (TUF 5.3.3): that is no failure.
-    if (result == Result::kError && answer->status() == 404 && hit.metadata->file.ends_with("root.json"))
-      result = Result::kOk, status = 404;
-    else if (result == Result::kOk && !fit(hit, host, *answer)) result = Result::kError;
+    if (result == AttemptResult::kError && answer->status() == 404 &&
+        hit.metadata->file.ends_with("root.json"))
+      result = AttemptResult::kOk, status = 404;
+    else if (result == AttemptResult::kOk && !fit(hit, host, *answer)) result = AttemptResult::kError;
   }
-  if (result == Result::kOk) {
+  if (result == AttemptResult::kOk) {
     if (Caller* const caller = take_caller(id)) {
       std::string fields = kept_lines(answer->head());
       if (answer->body_by_stream_end())
@@ -460,9 +461,9 @@
       terminal = true;
     }
   }
-  if (result == Result::kOk && hit.key != 0) recall_earlier(hit.key, hosts_[host].build);
+  if (result == AttemptResult::kOk && hit.key != 0) recall_earlier(hit.key, hosts_[host].build);
   const auto told = report(answer);
-  tell([&](Router& r) { r.ended(id, leg, host, result, took, terminal, told); });
+  tell([&](RouterPolicy& r) { r.ended(id, leg, host, result, took, terminal, told); });
   drop_if_over(id);
 }
 
@@ -476,7 +477,7 @@
 // Guards against a key that goes back: a forward at an earlier build may still wait for its connection when a
 // newer one answers for its key, and would arrive after that. It has never run, and is decided anew.
 void Service::recall_earlier(std::uint64_t key, double build) {
-  for (HitId id = 0; id < hits_.places(); ++id) {
+  for (RequestId id = 0; id < hits_.places(); ++id) {
     Hit& hit = hits_[id];
     if (!hit.live || hit.key != key) continue;
     for (Leg& leg : hit.legs) {
@@ -497,14 +498,14 @@
   return report_;
 }
 
-void Service::ask_load(HostIndex host) {
+void Service::ask_load(EndpointIndex host) {
   const std::string path = door_.report_columns.empty() ? "/health/live" : "/stats";
   const std::string bytes = "GET " + path + " HTTP/1.1\r\nHost: " + hosts_[host].address + "\r\n\r\n";
   pools_.send(
       host, [bytes](Instant) { return bytes; }, loop_.now() + limits_.connect,
-      [this, host](Result result, const http::Messages* a) {
+      [this, host](AttemptResult result, const http::Messages* a) {
         const auto told = report(a);
-        tell([&](Router& r) { r.load_told(host, result == Result::kOk, told); });
+        tell([&](RouterPolicy& r) { r.load_told(host, result == AttemptResult::kOk, told); });
       });
 }
 
@@ -516,25 +517,26 @@
 }
 
 void Service::listed(bool whole, const Json& entries) {
-  tell([&](Router& r) { r.list_begin(whole); });
+  tell([&](RouterPolicy& r) { r.list_begin(whole); });
   if (whole) {
     for (Known& known : hosts_) known.listed = false;
   }
   entries.each_item([this](const Json& entry) { list_entry(entry); });
   if (whole) {
-    for (HostIndex h = 0; h < hosts_.size(); ++h) {
+    for (EndpointIndex h = 0; h < hosts_.size(); ++h) {
       if (hosts_[h].listed || hosts_[h].gone_at < Instant::never()) continue;
       hosts_[h].gone_at = loop_.now();
       pools_.place(h, hosts_[h].address, false, false);
     }
   }
-  tell([](Router& r) { r.list_end(); });
+  tell([](RouterPolicy& r) { r.list_end(); });
   forget_hosts();
   if (watch_tries_ > 0) note_("discovery: watch stands again, tries " + std::to_string(watch_tries_));
   watch_tries_ = 0;
 }
 
-policy::EndpointLeaseTerms Service::lease_terms(const Limits& limits, const Terms& terms, Span connect) {
+policy::EndpointLeaseTerms Service::lease_terms(const Limits& limits, const RouterSettings& terms,
+                                                Span connect) {
   policy::EndpointLeaseTerms lease;
   if (terms.must_ask) lease.notified_within = std::min(lease.notified_within, terms.ask_within);
   lease.drain_grace = terms.drain_grace;
@@ -566,10 +568,10 @@
 }
 
 void Service::publish_lease() {
-  ListValidity validity;
+  EndpointListValidity validity;
   validity.any_host = std::max(lease_.valid_until(), known_until_);
   validity.no_host = lease_.pending_until();
-  tell([&](Router& r) { r.list_valid(validity); });
+  tell([&](RouterPolicy& r) { r.list_valid(validity); });
   if (validity.any_host > loop_.now()) lease_over_.at(validity.any_host);
   else lease_over_.off();
 }
@@ -601,7 +603,7 @@
                  std::string(entry.raw().substr(0, 200)));
   }
   const auto found = indices_.find(name);
-  auto host = static_cast<HostIndex>(hosts_.size());
+  auto host = static_cast<EndpointIndex>(hosts_.size());
   if (found != indices_.end()) {
     host = found->second;
   } else {
@@ -629,11 +631,11 @@
     if (const std::string met = names->take_unknown(); !met.empty())
       note_("list: '" + met + "' is not in the settings' " + names->what());
   }
-  const HostState as = state == "up"         ? HostState::kReady
-                       : state == "draining" ? HostState::kDraining
-                                             : HostState::kGone;
-  tell([&](Router& r) {
-    r.list_host(host, as, static_cast<BuildId>(std::lround(std::clamp(build, 0.0, 65535.0))), zone,
+  const EndpointState as = state == "up"         ? EndpointState::kReady
+                           : state == "draining" ? EndpointState::kDraining
+                                                 : EndpointState::kRemoved;
+  tell([&](RouterPolicy& r) {
+    r.list_host(host, as, static_cast<ReleaseVersion>(std::lround(std::clamp(build, 0.0, 65535.0))), zone,
                 static_cast<unsigned>(std::max(0.0, entry.number("pod_group", 0))), kind, known.start);
   });
 }
@@ -643,7 +645,7 @@
   if (refused) lease_.unreachable(loop_.now());
   lease_changed(why);
   if (watch_tries_++ == 0) note_(std::string("discovery: watch ") + why);
-  if (!again) tell([](Router& r) { r.list_failed(); });
+  if (!again) tell([](RouterPolicy& r) { r.list_failed(); });
 }
 
 // ---- The release desk ----
@@ -652,16 +654,16 @@
   desk_ = std::make_unique<Desk>(
       loop_, limits_, site_.desk, site_.seed,
       [this](const std::string& method, const Json& params) { return desk_said(method, params); },
-      [this](Answer answer, const Json* state) { return vote_answered(answer, state); },
+      [this](VoteOutcome answer, const Json* state) { return vote_answered(answer, state); },
       [this](const std::string& what) { note_("desk: " + what); });
   desk_->start();
 }
 
-void Service::vote(BuildId build, unsigned stage, Vote vote) { desk_->vote(build, stage, vote); }
+void Service::vote(ReleaseVersion build, unsigned stage, Vote vote) { desk_->vote(build, stage, vote); }
 
-bool Service::vote_answered(Answer answer, const Json* state) {
-  if (answer == Answer::kTaken) return stage(*state, true);
-  tell([&](Router& r) { r.stage_told(0, 0, Phase::kTrial, true, answer, 0, Span()); });
+bool Service::vote_answered(VoteOutcome answer, const Json* state) {
+  if (answer == VoteOutcome::kAccepted) return stage(*state, true);
+  tell([&](RouterPolicy& r) { r.stage_told(0, 0, ReleasePhase::kCanary, true, answer, 0, Span()); });
   return true;
 }
 
@@ -672,12 +674,13 @@
                cap = state.number("ceiling", -1);
   if (phase >= phases.size() || build < 0 || build > 65535 || at < 0 || at > 255 || cap < 0) {
     note_("desk: a state that can't be read is passed over: " + std::string(state.raw().substr(0, 200)));
-    if (answers_vote) vote_answered(Answer::kUnknown, nullptr);
+    if (answers_vote) vote_answered(VoteOutcome::kUnknown, nullptr);
     return false;
   }
-  tell([&](Router& r) {
-    r.stage_told(static_cast<BuildId>(build), static_cast<unsigned>(at), static_cast<Phase>(phase),
-                 answers_vote, Answer::kTaken, cap, Span::ms(std::max(0.0, state.number("lag_ms", 0))));
+  tell([&](RouterPolicy& r) {
+    r.stage_told(static_cast<ReleaseVersion>(build), static_cast<unsigned>(at),
+                 static_cast<ReleasePhase>(phase), answers_vote, VoteOutcome::kAccepted, cap,
+                 Span::ms(std::max(0.0, state.number("lag_ms", 0))));
   });
   return true;
 }
@@ -691,12 +694,12 @@
   const auto host = indices_.find(params.text("host"));
   if (method == "SAMPLE" && group < door_.path_groups.size() && build >= 0 && build < 65536 && bad >= 0 &&
       count >= bad && count < 4e9) {
-    tell([&](Router& r) {
-      r.tally_told(static_cast<BuildId>(build), group, static_cast<std::uint32_t>(count),
+    tell([&](RouterPolicy& r) {
+      r.tally_told(static_cast<ReleaseVersion>(build), group, static_cast<std::uint32_t>(count),
                    static_cast<std::uint32_t>(bad), Span::ms(params.number("latency_ms", 0)), age);
     });
   } else if (method == "DISPUTE" && group < door_.path_groups.size() && host != indices_.end()) {
-    tell([&](Router& r) { r.answer_disputed(host->second, group, age); });
+    tell([&](RouterPolicy& r) { r.answer_disputed(host->second, group, age); });
   } else {
     note_("desk: news that can't be used is passed over: " + method + " " +
           std::string(params.raw().substr(0, 200)));
@@ -712,7 +715,7 @@
 void Service::wake(Span from_now, std::uint64_t token) {
   auto& timer = wakes_[token];
   if (!timer) {
-    timer = std::make_unique<Timer>(loop_, [this, token] { tell([&](Router& r) { r.woken(token); }); });
+    timer = std::make_unique<Timer>(loop_, [this, token] { tell([&](RouterPolicy& r) { r.woken(token); }); });
   }
   timer->in(from_now);
 }
@@ -746,7 +749,7 @@
   callers_.part_idle();
   const Span since = loop_.now() - stop_at_;
   if (since > limits_.stop_at_latest) {  // whoever still waits gets an answer, and a moment to read it
-    for (HitId id = 0; id < hits_.places(); ++id) {
+    for (RequestId id = 0; id < hits_.places(); ++id) {
       if (hits_[id].live && hits_[id].caller) overdue(id);
     }
   }
--- a/src/routing/service.hpp
+++ b/src/routing/service.hpp
@@ -34,11 +34,11 @@
   std::string known, news;  // JSON in discovery's and the release desk's forms, or empty
 };
 
-class Service : private Sink, private Discovery::Events {
+class Service : private RouterActions, private Discovery::Events {
  public:
   using Note = std::function<void(std::string_view)>;  // a log line
-  Service(Loop& loop, const Limits& limits, const Terms& terms, const DoorTerms& door, const Site& site,
-          Note note);
+  Service(Loop& loop, const Limits& limits, const RouterSettings& terms, const WireSettings& door,
+          const Site& site, Note note);
   ~Service() override;
   void start();
   // Ends the program by and by: not ready, all that comes is answered, `ended` once nothing is left.
@@ -63,7 +63,7 @@
 
  private:
   struct Leg {
-    HostIndex host = 0;
+    EndpointIndex host = 0;
     Instant sent;
     HostPools::Link* link = nullptr;  // stands while the forward is out
   };
@@ -108,17 +108,17 @@
     std::string untold_;
     const char* what_;
   };
-  static Terms on_sockets(Terms terms, Span connect);
+  static RouterSettings on_sockets(RouterSettings terms, Span connect);
 
   // What the module does.
-  void forward(HitId id, HostIndex host, Span try_for) override;
-  void bounce(HitId id, Span retry_after) override;
-  void error(HitId id) override;
-  void cancel(HitId id, unsigned leg) override;
+  void forward(RequestId id, EndpointIndex host, Span try_for) override;
+  void bounce(RequestId id, Span retry_after) override;
+  void error(RequestId id) override;
+  void cancel(RequestId id, unsigned leg) override;
   void wake(Span from_now, std::uint64_t token) override;
-  void ask_load(HostIndex host) override;
+  void ask_load(EndpointIndex host) override;
   void follow_list() override;
-  void vote(BuildId build, unsigned stage, Vote vote) override;
+  void vote(ReleaseVersion build, unsigned stage, Vote vote) override;
   void tell_peers(std::span<const std::uint8_t>) override {}  // the pages give routers no way to each other
   void log(std::string_view line) override;
 
@@ -128,37 +128,38 @@
   void refuse(Caller& caller, calling::Refusal why, Span retry_after);
   void tell_refused();
   // Is this answer fit for the client? What is not counts as an error of its host.
-  bool fit(Hit& hit, HostIndex host, const http::Messages& answer);
+  bool fit(Hit& hit, EndpointIndex host, const http::Messages& answer);
 
   // What comes in.
   void came(Caller& caller, http::Messages& request);
   void left(Caller& caller);
-  void forward_ended(HitId id, unsigned leg, Result result, const http::Messages* answer);
+  void forward_ended(RequestId id, unsigned leg, AttemptResult result, const http::Messages* answer);
   void recall_earlier(std::uint64_t key, double build);
   void listed(bool whole, const Json& entries) override;
   void list_confirmed() override;
   void list_begun() override;
   void list_lost(const char* why, bool again, bool refused) override;
-  static policy::EndpointLeaseTerms lease_terms(const Limits& limits, const Terms& terms, Span connect);
+  static policy::EndpointLeaseTerms lease_terms(const Limits& limits, const RouterSettings& terms,
+                                                Span connect);
   void lease_changed(const char* why);
   void publish_lease();
   void list_entry(const Json& entry);
   void forget_hosts();
   bool desk_said(const std::string& method, const Json& params);
   bool stage(const Json& state, bool answers_vote);
-  bool vote_answered(Answer answer, const Json* state);
+  bool vote_answered(VoteOutcome answer, const Json* state);
   void open_desk();
-  void overdue(HitId id);
+  void overdue(RequestId id);
 
   template <class What>
   void tell(What&& what) {
     module_->clock(loop_.now());
     what(*module_);
   }
-  Caller* take_caller(HitId id);  // for its final answer
-  void answer_finally(HitId id, unsigned status, std::string_view fields = {});
-  void abandon(HitId id);  // the module need not answer it any more
-  void drop_if_over(HitId id);
+  Caller* take_caller(RequestId id);  // for its final answer
+  void answer_finally(RequestId id, unsigned status, std::string_view fields = {});
+  void abandon(RequestId id);  // the module need not answer it any more
+  void drop_if_over(RequestId id);
   void failed_locally();
   std::span<const float> report(const http::Messages* answer);
   void check_wound_down();
@@ -167,8 +168,8 @@
 
   Loop& loop_;
   const Limits& limits_;
-  DoorTerms door_;
-  std::vector<Repeats> repeats_;  // by path group
+  WireSettings door_;
+  std::vector<Idempotency> repeats_;  // by path group
   Site site_;
   Note note_;
   DetailLog detail_;
@@ -186,9 +187,9 @@
   Ids ids_;
   std::string id_;  // of the request at hand; kept for its room
   unsigned in_hand_ = 0;
-  std::map<std::string, HostIndex, std::less<>> indices_;
+  std::map<std::string, EndpointIndex, std::less<>> indices_;
   std::vector<Known> hosts_;
-  std::vector<HostIndex> free_hosts_;
+  std::vector<EndpointIndex> free_hosts_;
   std::vector<float> report_;
   std::map<std::uint64_t, std::unique_ptr<Timer>> wakes_;
   unsigned watch_tries_ = 0;  // since it was lost
@@ -207,7 +208,7 @@
   std::vector<std::uint64_t> refused_told_;  // by reason, as last logged
   Timer refused_;
   Names zones_, kinds_;
-  std::unique_ptr<Router> module_;
+  std::unique_ptr<RouterPolicy> module_;
 };
 
 }  // namespace ashbeam
--- a/src/simhost/fleet.cpp
+++ b/src/simhost/fleet.cpp
@@ -44,41 +44,41 @@
 };
 constexpr std::size_t kEntryBytes = 27;
 
-Result result_of(std::uint16_t verdict, const Reader& in) {
+AttemptResult result_of(std::uint16_t verdict, const Reader& in) {
   switch (verdict) {
     case 200:
-      return Result::kOk;
+      return AttemptResult::kOk;
     case 502:
-      return Result::kError;
+      return AttemptResult::kError;
     case 429:
-      return Result::kFull;
+      return AttemptResult::kRejected;
     case 408:
-      return Result::kTimeout;
+      return AttemptResult::kTimeout;
     case 521:
-      return Result::kNoConnect;
+      return AttemptResult::kConnectFailed;
     case 520:
-      return Result::kReset;
+      return AttemptResult::kReset;
     case 444:
-      return Result::kCancelled;
+      return AttemptResult::kCancelled;
     case 409:
-      return Result::kMoot;
+      return AttemptResult::kCancelledBeforeSent;
     default:
       in.fail("unknown verdict " + std::to_string(verdict));
   }
 }
 
-Answer answer_of(std::uint16_t verdict, const Reader& in) {
+VoteOutcome answer_of(std::uint16_t verdict, const Reader& in) {
   switch (verdict) {
     case 200:
-      return Answer::kTaken;
+      return VoteOutcome::kAccepted;
     case 409:
-      return Answer::kVoid;
+      return VoteOutcome::kConditionFailed;
     case 429:
-      return Answer::kFull;
+      return VoteOutcome::kThrottled;
     case 502:
-      return Answer::kFailed;
+      return VoteOutcome::kFailed;
     case 408:
-      return Answer::kUnknown;
+      return VoteOutcome::kUnknown;
     default:
       in.fail("unknown vote verdict " + std::to_string(verdict));
   }
@@ -87,20 +87,20 @@
 }  // namespace
 
 // One router with its door: the wire's host addresses become small indices here.
-class Fleet::Instance : public Sink {
+class Fleet::Instance : public RouterActions {
  public:
   Instance(std::uint32_t who, Writer*& reply, const Instance*& speaking)
       : who_(who), reply_(reply), speaking_(speaking) {}
 
   bool running() const { return router_ != nullptr; }
-  Router& router() { return *router_; }
-  void start(const Terms& terms, std::uint64_t seed) {
+  RouterPolicy& router() { return *router_; }
+  void start(const RouterSettings& terms, std::uint64_t seed) {
     addresses_.clear();
     indices_ = IndexMap();
-    router_ = make_router(terms, seed, *this);
+    router_ = make_router_policy(terms, seed, *this);
   }
   void halt() { router_.reset(); }
-  HostIndex index_of(std::uint64_t address) {
+  EndpointIndex index_of(std::uint64_t address) {
     std::uint32_t i = indices_.find(address);
     if (i == IndexMap::kNone) {
       i = static_cast<std::uint32_t>(addresses_.size());
@@ -111,17 +111,17 @@
   }
   bool knows(std::uint64_t address) const { return indices_.find(address) != IndexMap::kNone; }
 
-  void forward(HitId hit, HostIndex host, Span try_for) override {
+  void forward(RequestId hit, EndpointIndex host, Span try_for) override {
     say(kTransmit).u32(hit);
     reply_->address(addresses_[host]);
     reply_->f64(try_for.ms());
   }
-  void bounce(HitId hit, Span retry_after) override {
+  void bounce(RequestId hit, Span retry_after) override {
     say(kTurnAway).u32(hit);
     reply_->f64(retry_after.ms());
   }
-  void error(HitId hit) override { say(kDropRequest).u32(hit); }
-  void cancel(HitId hit, unsigned leg) override {
+  void error(RequestId hit) override { say(kDropRequest).u32(hit); }
+  void cancel(RequestId hit, unsigned leg) override {
     say(kWithdraw).u32(hit);
     reply_->u8(static_cast<std::uint8_t>(leg));
   }
@@ -129,9 +129,9 @@
     say(kWakeAt).f64(from_now.ms());
     reply_->u64(token);
   }
-  void ask_load(HostIndex host) override { say(kAskLoad).address(addresses_[host]); }
+  void ask_load(EndpointIndex host) override { say(kAskLoad).address(addresses_[host]); }
   void follow_list() override { say(kFollow).u8(1); }
-  void vote(BuildId build, unsigned stage, Vote vote) override {
+  void vote(ReleaseVersion build, unsigned stage, Vote vote) override {
     say(kBallot).u16(static_cast<std::uint16_t>(build));
     reply_->u8(static_cast<std::uint8_t>(stage));
     reply_->u8(static_cast<std::uint8_t>(vote));
@@ -162,7 +162,7 @@
   const Instance*& speaking_;
   std::vector<std::uint64_t> addresses_;
   IndexMap indices_;
-  std::unique_ptr<Router> router_;
+  std::unique_ptr<RouterPolicy> router_;
 };
 
 Fleet::Fleet() = default;
@@ -216,8 +216,9 @@
     case kStart: {
       const std::uint64_t seed = in.u64();
       const auto text = in.bytes(in.u32());
-      to.start(read_terms(Pairs({reinterpret_cast<const char*>(text.data()), text.size()})), seed);
-      call([&](Router& r) { r.started(); });
+      to.start(read_router_settings(SettingsMap({reinterpret_cast<const char*>(text.data()), text.size()})),
+               seed);
+      call([&](RouterPolicy& r) { r.started(); });
       break;
     }
     case kRosterChange: {
@@ -226,15 +227,15 @@
       const std::uint8_t buffer = in.u8();
       if (mode > 3) in.fail("unknown list mode " + std::to_string(mode));
       if (mode == 3) {
-        call([&](Router& r) { r.list_failed(); });
+        call([&](RouterPolicy& r) { r.list_failed(); });
         break;
       }
       if (buffer >= sheets_.size()) in.fail("list buffer " + std::to_string(buffer) + " out of range");
-      call([&](Router& r) {
+      call([&](RouterPolicy& r) {
         r.list_begin(mode != 0);
         Reader rows(sheets_[buffer]);
         while (!rows.done()) {
-          const HostIndex host = to.index_of(rows.address());
+          const EndpointIndex host = to.index_of(rows.address());
           const std::uint8_t zone = rows.u8();
           const float build = rows.f32();
           const std::uint8_t kind = rows.u8();
@@ -243,10 +244,10 @@
           rows.f32();
           const double start = rows.f64();
           r.list_host(host,
-                      state == 1   ? HostState::kReady
-                      : state == 2 ? HostState::kDraining
-                                   : HostState::kGone,
-                      static_cast<BuildId>(std::lround(build)), zone, cell, kind,
+                      state == 1   ? EndpointState::kReady
+                      : state == 2 ? EndpointState::kDraining
+                                   : EndpointState::kRemoved,
+                      static_cast<ReleaseVersion>(std::lround(build)), zone, cell, kind,
                       start > 0 ? Instant::at_ms(start) : Instant());
         }
         r.list_end();
@@ -254,48 +255,48 @@
       break;
     }
     case kAccept: {
-      const HitId hit = in.u32();
+      const RequestId hit = in.u32();
       const std::uint8_t bits = in.u8();
       const double give_up = in.f64();
       const double hint = in.f64();
       const std::uint16_t customer = in.u16();
       const std::uint64_t key = in.u64();
       const std::uint8_t group = in.u8();
-      call([&](Router& r) {
+      call([&](RouterPolicy& r) {
         r.taken(hit, group, customer, key, Instant::at_ms(give_up), (bits & 1U) != 0 ? hint : 0);
       });
       break;
     }
     case kOpened: {
-      const HitId hit = in.u32();
+      const RequestId hit = in.u32();
       const std::uint8_t leg = in.u8();
       in.address();
       in.f64();
-      call([&](Router& r) { r.opened(hit, leg); });
+      call([&](RouterPolicy& r) { r.opened(hit, leg); });
       break;
     }
     case kResponse: {
-      const HitId hit = in.u32();
+      const RequestId hit = in.u32();
       const std::uint8_t leg = in.u8();
       const std::uint64_t host = in.address();
-      const Result result = result_of(in.u16(), in);
+      const AttemptResult result = result_of(in.u16(), in);
       const double took = in.f64();
       const bool terminal = in.u8() != 0;
       read_report();
       if (!to.knows(host)) break;
-      call([&](Router& r) {
+      call([&](RouterPolicy& r) {
         r.ended(hit, leg, to.index_of(host), result, Span::ms(took), terminal, report_);
       });
       break;
     }
     case kExpired: {
-      const HitId hit = in.u32();
-      call([&](Router& r) { r.client_left(hit); });
+      const RequestId hit = in.u32();
+      call([&](RouterPolicy& r) { r.client_left(hit); });
       break;
     }
     case kWake: {
       const std::uint64_t token = in.u64();
-      call([&](Router& r) { r.woken(token); });
+      call([&](RouterPolicy& r) { r.woken(token); });
       break;
     }
     case kChecked: {
@@ -304,13 +305,13 @@
       in.f64();
       read_report();
       if (!to.knows(host)) break;
-      call([&](Router& r) { r.load_told(to.index_of(host), answered, report_); });
+      call([&](RouterPolicy& r) { r.load_told(to.index_of(host), answered, report_); });
       break;
     }
     case kMessage: {
       const std::uint32_t peer = in.u32();
       const auto text = in.bytes(in.u16());
-      call([&](Router& r) { r.peer_told(peer, text); });
+      call([&](RouterPolicy& r) { r.peer_told(peer, text); });
       break;
     }
     case kHalt:
@@ -321,12 +322,12 @@
       const std::uint8_t stage = in.u8();
       const std::uint8_t phase = in.u8();
       const bool asked = in.u8() != 0;
-      const Answer answer = answer_of(in.u16(), in);
+      const VoteOutcome answer = answer_of(in.u16(), in);
       const float cap = in.f32();
       const double age = in.f64();
       if (phase > 3) in.fail("unknown release phase " + std::to_string(phase));
-      call([&](Router& r) {
-        r.stage_told(build, stage, static_cast<Phase>(phase), asked, answer, static_cast<double>(cap),
+      call([&](RouterPolicy& r) {
+        r.stage_told(build, stage, static_cast<ReleasePhase>(phase), asked, answer, static_cast<double>(cap),
                      Span::ms(age));
       });
       break;
@@ -338,7 +339,7 @@
       const std::uint32_t lost = in.u32();
       const double age = in.f64();
       const std::uint8_t group = in.u8();
-      call([&](Router& r) { r.tally_told(build, group, count, lost, Span::ms(mean), Span::ms(age)); });
+      call([&](RouterPolicy& r) { r.tally_told(build, group, count, lost, Span::ms(mean), Span::ms(age)); });
       break;
     }
     case kDisputed: {
@@ -346,7 +347,7 @@
       const std::uint8_t group = in.u8();
       const double since = in.f64();
       if (!to.knows(host)) break;
-      call([&](Router& r) { r.answer_disputed(to.index_of(host), group, Span::ms(since)); });
+      call([&](RouterPolicy& r) { r.answer_disputed(to.index_of(host), group, Span::ms(since)); });
       break;
     }
     default:
--- a/src/terms/terms.cpp
+++ b/src/terms/terms.cpp
@@ -12,7 +12,7 @@
   double v = 0;
   const auto [end, err] = std::from_chars(text.data(), text.data() + text.size(), v);
   if (err != std::errc() || end != text.data() + text.size()) {
-    throw TermsError("settings: '" + path + "' is not a number: '" + text + "'");
+    throw SettingsError("settings: '" + path + "' is not a number: '" + text + "'");
   }
   return v;
 }
@@ -25,7 +25,7 @@
   return name;
 }
 
-Pairs::Pairs(std::string_view lines) {
+SettingsMap::SettingsMap(std::string_view lines) {
   while (!lines.empty()) {
     const std::size_t end = std::min(lines.find('\n'), lines.size());
     const std::string_view line = lines.substr(0, end);
@@ -35,23 +35,23 @@
   }
 }
 
-std::string Pairs::word(const std::string& path) const {
+std::string SettingsMap::word(const std::string& path) const {
   const auto it = values_.find(path);
-  if (it == values_.end()) throw TermsError("settings: '" + path + "' is missing");
+  if (it == values_.end()) throw SettingsError("settings: '" + path + "' is missing");
   return it->second;
 }
 
-std::string Pairs::word(const std::string& path, const char* otherwise) const {
+std::string SettingsMap::word(const std::string& path, const char* otherwise) const {
   return values_.contains(path) ? word(path) : otherwise;
 }
 
-double Pairs::number(const std::string& path) const { return parse(path, word(path)); }
+double SettingsMap::number(const std::string& path) const { return parse(path, word(path)); }
 
-double Pairs::number(const std::string& path, double otherwise) const {
+double SettingsMap::number(const std::string& path, double otherwise) const {
   return values_.contains(path) ? number(path) : otherwise;
 }
 
-std::vector<std::string> Pairs::words(const std::string& path) const {
+std::vector<std::string> SettingsMap::words(const std::string& path) const {
   std::vector<std::string> all;
   std::string rest = word(path, "");
   while (!rest.empty()) {
@@ -62,7 +62,7 @@
   return all;
 }
 
-std::vector<double> Pairs::numbers(const std::string& path) const {
+std::vector<double> SettingsMap::numbers(const std::string& path) const {
   std::vector<double> all;
   for (const std::string& w : words(path)) all.push_back(parse(path, w));
   return all;
@@ -74,7 +74,7 @@
 
 // How many routers there are. What can't be is read as the most that the rest of the settings speak of: each
 // router divides by it what all together may send a cold host, and one that thinks itself alone sends it all.
-std::uint32_t read_routers(const Pairs& given, std::vector<std::string>& doubts) {
+std::uint32_t read_routers(const SettingsMap& given, std::vector<std::string>& doubts) {
   const double told = given.number("replicasOfMe", 0);
   const double spoken_of = std::max({given.number("myNumber", 0) + 1, given.number("familyInfo.onVotes", 1),
                                      given.number("familyInfo.noesNeeded", 1), 1.0});
@@ -90,20 +90,22 @@
 
 }  // namespace
 
-Terms read_terms(const Pairs& given, std::vector<std::string>* told) {
-  Terms t;
+RouterSettings read_router_settings(const SettingsMap& given, std::vector<std::string>* told) {
+  RouterSettings t;
   std::vector<std::string> doubts;
   const std::uint32_t groups = given.count("grades.count");
   for (std::uint32_t i = 0; i < groups; ++i) {
     const std::string at = "grades." + std::to_string(i) + ".";
-    PathGroup g;
+    RequestClass g;
     const std::string effect = given.word(at + "effect");
-    if (effect == "idempotent") g.repeats = Repeats::kRepeatable;
-    else if (effect == "deduplicated") g.repeats = Repeats::kTagged;
-    else if (effect == "at_most_once") g.repeats = Repeats::kMutating;
-    else throw TermsError("settings: '" + at + "effect' is unknown: '" + effect + "'");
+    if (effect == "idempotent") g.repeats = Idempotency::kIdempotent;
+    else if (effect == "deduplicated") g.repeats = Idempotency::kKeyed;
+    else if (effect == "at_most_once") g.repeats = Idempotency::kUnsafe;
+    else throw SettingsError("settings: '" + at + "effect' is unknown: '" + effect + "'");
     const std::string group = given.word(at + "group", "all");
-    g.group = group == "zone" ? DropGroup::kZone : group == "cell" ? DropGroup::kCell : DropGroup::kAll;
+    g.group = group == "zone"   ? IdempotencyScope::kZone
+              : group == "cell" ? IdempotencyScope::kCell
+                                : IdempotencyScope::kAll;
     g.target = given.span(at + "goalTimeMs");
     g.client_timeout = given.span(at + "deadlineMs");
     g.memory = Span::ms(given.number(at + "memorySpanMs", 0));
@@ -111,7 +113,7 @@
     g.late_worth = given.number(at + "lateWorth", 0);
     t.path_groups.push_back(g);
   }
-  if (groups == 0) throw TermsError("settings: 'grades.count' is 0");
+  if (groups == 0) throw SettingsError("settings: 'grades.count' is 0");
   const auto parties = static_cast<std::uint32_t>(given.number("parties.count", 0));
   for (std::uint32_t i = 0; i < parties; ++i) {
     t.customer_per_s.push_back(given.number("parties." + std::to_string(i) + ".allowancePerS", 0));
@@ -147,7 +149,7 @@
   t.cross_price = given.number("prices.crossZone", 0);
   t.probe_price = given.number("prices.probe", 0);
   t.caps = given.numbers("familyInfo.mostShares");
-  if (t.caps.empty()) throw TermsError("settings: 'familyInfo.mostShares' is missing");
+  if (t.caps.empty()) throw SettingsError("settings: 'familyInfo.mostShares' is missing");
   t.rings = given.numbers("familyInfo.rings");
   t.by_path_group = given.word("familyInfo.counts", "all") == "per_lane";
   t.one_way = given.flag("familyInfo.forwardOnly");
@@ -173,8 +175,8 @@
   return t;
 }
 
-DoorTerms read_door_terms(const Pairs& given) {
-  DoorTerms t;
+WireSettings read_wire_settings(const SettingsMap& given) {
+  WireSettings t;
   const auto names = [&](const std::string& list, std::vector<std::string>& to) {
     const auto count = static_cast<std::uint32_t>(given.number(list + ".count", 0));
     for (std::uint32_t i = 0; i < count; ++i)
--- a/src/terms/terms.hpp
+++ b/src/terms/terms.hpp
@@ -11,19 +11,19 @@
 
 namespace ashbeam {
 
-struct TermsError : std::runtime_error {
+struct SettingsError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
 std::string listed_name(std::string name);  // as names stand in the settings' lists
 
-class Pairs {
+class SettingsMap {
  public:
-  Pairs() = default;
-  explicit Pairs(std::string_view lines);  // one path=value a line
+  SettingsMap() = default;
+  explicit SettingsMap(std::string_view lines);  // one path=value a line
   void put(std::string path, std::string value) { values_[std::move(path)] = std::move(value); }
 
-  std::string word(const std::string& path) const;  // throws TermsError where it is missing
+  std::string word(const std::string& path) const;  // throws SettingsError where it is missing
   std::string word(const std::string& path, const char* otherwise) const;
   double number(const std::string& path) const;
   double number(const std::string& path, double otherwise) const;
@@ -32,21 +32,21 @@
   bool flag(const std::string& path) const { return word(path, "false") == "true"; }
   std::vector<std::string> words(const std::string& path) const;  // of a list; none where it is missing
   std::vector<double> numbers(const std::string& path) const;
-  bool operator==(const Pairs&) const = default;
+  bool operator==(const SettingsMap&) const = default;
 
  private:
   std::map<std::string, std::string> values_;
 };
 
-// Throws TermsError where something that decisions need is missing. What can't be (no routers, fewer than the
-// votes that are needed, no calls a second) is read safely, with a line for the log each.
-Terms read_terms(const Pairs& given, std::vector<std::string>* doubts = nullptr);
+// Throws SettingsError where something that decisions need is missing. What can't be (no routers, fewer than
+// the votes that are needed, no calls a second) is read safely, with a line for the log each.
+RouterSettings read_router_settings(const SettingsMap& given, std::vector<std::string>* doubts = nullptr);
 
 // What a router on sockets needs besides: names become small indices by their place here.
-struct DoorTerms {
+struct WireSettings {
   std::vector<std::string> path_groups, customers, zones, kinds, report_columns;
   Span connect, host_idle;
 };
-DoorTerms read_door_terms(const Pairs& given);
+WireSettings read_wire_settings(const SettingsMap& given);
 
 }  // namespace ashbeam
--- a/tests/choice_test.cpp
+++ b/tests/choice_test.cpp
@@ -9,12 +9,12 @@
 
 using Outcome = World::Outcome;
 
-World on_trial(const Terms& terms = usual_terms(), double cap = 0.4, unsigned earlier = 8,
+World on_trial(const RouterSettings& terms = default_settings(), double cap = 0.4, unsigned earlier = 8,
                unsigned trial = 3) {
   World w(terms, earlier, 0);
   w.run(Span::s(5), 100);
   w.list(earlier, trial);
-  w.stage(2, 0, Phase::kTrial, cap);
+  w.stage(2, 0, ReleasePhase::kCanary, cap);
   return w;
 }
 
@@ -35,108 +35,120 @@
 
 TEST(Share, ModerateHarmStepsBackOnceAndRecovers) {
   World w = on_trial();
-  w.serve = [](BuildId b, HostIndex) {
+  w.serve = [](ReleaseVersion b, EndpointIndex) {
     static int n = 0;
-    return Outcome{b == 2 && ++n % 28 == 0 ? Result::kError : Result::kOk};
+    return Outcome{b == 2 && ++n % 28 == 0 ? AttemptResult::kError : AttemptResult::kOk};
   };
   w.run(Span::s(7), 300);
   EXPECT_TRUE(w.sink.logged("step back"));
-  EXPECT_FALSE(w.sink.voted(Vote::kBack));
+  EXPECT_FALSE(w.sink.voted(Vote::kAbort));
 }
 
 TEST(Share, SevereHarmBrakesAndVotesBack) {
   World w = on_trial();
-  w.serve = [](BuildId b, HostIndex) {
+  w.serve = [](ReleaseVersion b, EndpointIndex) {
     static int n = 0;
-    return Outcome{b == 2 && ++n % 4 == 0 ? Result::kError : Result::kOk};
+    return Outcome{b == 2 && ++n % 4 == 0 ? AttemptResult::kError : AttemptResult::kOk};
   };
   w.run(Span::s(4), 200);
-  EXPECT_TRUE(w.sink.voted(Vote::kBack));
+  EXPECT_TRUE(w.sink.voted(Vote::kAbort));
   const std::size_t from = w.sink.sent.size();
   w.run(Span::s(1), 200);
   EXPECT_EQ(w.sent_to(2, from), 0u);
 }
 
 TEST(Share, OneFailingPathGroupDoesNotHideAmongTheOthers) {
-  Terms terms = usual_terms();
+  RouterSettings terms = default_settings();
   World w = on_trial(terms);
   w.run(Span::ms(300), 0);
-  for (int i = 0; i < 1600 && !w.sink.voted(Vote::kBack); ++i) {
+  for (int i = 0; i < 1600 && !w.sink.voted(Vote::kAbort); ++i) {
     const unsigned group = i % 12 == 0 ? 1 : 0;
     w.take(group);
     const Noted::Sent s = w.sink.sent.back();
     const bool fails = w.builds[s.host] == 2 && group == 1;
     w.now = w.now + Span::ms(5);
-    w.end(s, fails ? Result::kError : Result::kOk, Span::ms(50), fails);
+    w.end(s, fails ? AttemptResult::kError : AttemptResult::kOk, Span::ms(50), fails);
     w.beat();
   }
-  EXPECT_TRUE(w.sink.voted(Vote::kBack));
+  EXPECT_TRUE(w.sink.voted(Vote::kAbort));
 }
 
 TEST(Judging, OneSickHostDoesNotConvictItsBuild) {
-  World w = on_trial(usual_terms(), 0.4, 8, 4);
-  w.serve = [](BuildId, HostIndex h) { return Outcome{h == 9 ? Result::kError : Result::kOk}; };
+  World w = on_trial(default_settings(), 0.4, 8, 4);
+  w.serve = [](ReleaseVersion, EndpointIndex h) {
+    return Outcome{h == 9 ? AttemptResult::kError : AttemptResult::kOk};
+  };
   w.run(Span::s(6), 200);
-  EXPECT_FALSE(w.sink.voted(Vote::kBack));
+  EXPECT_FALSE(w.sink.voted(Vote::kAbort));
   EXPECT_TRUE(w.sink.logged("host 9 out"));
 }
 
 TEST(Judging, ALoneSickTrialHostIsHeldWhileEarlierHostsAreSickToo) {
   for (const bool others : {false, true}) {
-    World w = on_trial(usual_terms(), 0.4, 8, 1);
+    World w = on_trial(default_settings(), 0.4, 8, 1);
     w.serve =
-        others ? [](BuildId, HostIndex h) { return Outcome{h < 2 || h == 8 ? Result::kError : Result::kOk}; }
-               : [](BuildId, HostIndex h) { return Outcome{h == 8 ? Result::kError : Result::kOk}; };
+        others ? [](ReleaseVersion,
+                    EndpointIndex
+                        h) { return Outcome{h < 2 || h == 8 ? AttemptResult::kError : AttemptResult::kOk}; }
+               : [](ReleaseVersion, EndpointIndex h) {
+                   return Outcome{h == 8 ? AttemptResult::kError : AttemptResult::kOk};
+                 };
     w.run(Span::s(6), 200);
-    EXPECT_EQ(w.sink.voted(Vote::kBack), !others);
-    EXPECT_FALSE(w.sink.voted(Vote::kOn));
+    EXPECT_EQ(w.sink.voted(Vote::kAbort), !others);
+    EXPECT_FALSE(w.sink.voted(Vote::kPromote));
   }
 }
 
 TEST(Judging, AFewSickHostsDoNotSendBackAReleasedBuild) {
   for (const bool all : {false, true}) {
-    World w(usual_terms(), 0, 12);
-    w.stage(2, 2, Phase::kReleased, 1);
-    w.serve = all ? [](BuildId, HostIndex) {
+    World w(default_settings(), 0, 12);
+    w.stage(2, 2, ReleasePhase::kReleased, 1);
+    w.serve = all ? [](ReleaseVersion, EndpointIndex) {
       static int n = 0;
-      return Outcome{++n % 5 == 0 ? Result::kError : Result::kOk};
-    } : [](BuildId, HostIndex h) { return Outcome{h < 3 && h % 2 == 0 ? Result::kError : Result::kOk}; };
+      return Outcome{++n % 5 == 0 ? AttemptResult::kError : AttemptResult::kOk};
+    } : [](ReleaseVersion, EndpointIndex h) { return Outcome{h < 3 && h % 2 == 0 ? AttemptResult::kError : AttemptResult::kOk}; };
     w.run(Span::s(4), 200);
-    EXPECT_EQ(w.sink.voted(Vote::kBack), all);
+    EXPECT_EQ(w.sink.voted(Vote::kAbort), all);
   }
 }
 
 TEST(Judging, TrialHostsThatGoOutOneByOneCountAgainstTheirBuild) {
-  World w = on_trial(usual_terms(), 0.4, 8, 5);  // the oldest turn bad first; each is soon out
-  w.serve = [](BuildId, HostIndex h) { return Outcome{h >= 8 && h < 11 ? Result::kError : Result::kOk}; };
+  World w = on_trial(default_settings(), 0.4, 8, 5);  // the oldest turn bad first; each is soon out
+  w.serve = [](ReleaseVersion, EndpointIndex h) {
+    return Outcome{h >= 8 && h < 11 ? AttemptResult::kError : AttemptResult::kOk};
+  };
   w.run(Span::s(12), 200);
-  EXPECT_TRUE(w.sink.voted(Vote::kBack));
-  EXPECT_FALSE(w.sink.voted(Vote::kOn));
+  EXPECT_TRUE(w.sink.voted(Vote::kAbort));
+  EXPECT_FALSE(w.sink.voted(Vote::kPromote));
 }
 
 TEST(Judging, FailuresEverywhereAreNotTheTrials) {
   World w = on_trial();
-  w.serve = [](BuildId, HostIndex) {
+  w.serve = [](ReleaseVersion, EndpointIndex) {
     static int n = 0;
-    return Outcome{++n % 10 == 0 ? Result::kError : Result::kOk};
+    return Outcome{++n % 10 == 0 ? AttemptResult::kError : AttemptResult::kOk};
   };
   w.run(Span::s(6), 200);
-  EXPECT_FALSE(w.sink.voted(Vote::kBack));
+  EXPECT_FALSE(w.sink.voted(Vote::kAbort));
 }
 
 TEST(Judging, BrokenConnectionsDoNotConvictABuild) {
   World w = on_trial();
-  w.serve = [](BuildId b, HostIndex) { return Outcome{b == 2 ? Result::kNoConnect : Result::kOk}; };
+  w.serve = [](ReleaseVersion b, EndpointIndex) {
+    return Outcome{b == 2 ? AttemptResult::kConnectFailed : AttemptResult::kOk};
+  };
   w.run(Span::s(6), 200);
-  EXPECT_FALSE(w.sink.voted(Vote::kBack));
+  EXPECT_FALSE(w.sink.voted(Vote::kAbort));
 }
 
 TEST(Judging, LastingSlownessOfTheTrialIsSevere) {
   World w = on_trial();
-  w.serve = [](BuildId b, HostIndex) { return Outcome{Result::kOk, Span::ms(b == 2 ? 130 : 50)}; };
+  w.serve = [](ReleaseVersion b, EndpointIndex) {
+    return Outcome{AttemptResult::kOk, Span::ms(b == 2 ? 130 : 50)};
+  };
   w.run(Span::s(10), 200);
   EXPECT_TRUE(w.sink.logged("step back"));
-  EXPECT_TRUE(w.sink.voted(Vote::kBack));
+  EXPECT_TRUE(w.sink.voted(Vote::kAbort));
 }
 
 TEST(Judging, ABuildThatSlowsAllHostsIsCaughtUnlessHostsAreLostOrABurstCameFirst) {
@@ -144,62 +156,62 @@
     World w = on_trial();
     if (burst) w.run(Span::s(1), 300);
     w.serve =
-        lost ? [](BuildId,
-                  HostIndex h) { return Outcome{h < 2 ? Result::kNoConnect : Result::kOk, Span::ms(300)}; }
-             : [](BuildId, HostIndex) {
-                 return Outcome{Result::kOk, Span::ms(300)};
+        lost ? [](ReleaseVersion,
+                  EndpointIndex h) { return Outcome{h < 2 ? AttemptResult::kConnectFailed : AttemptResult::kOk, Span::ms(300)}; }
+             : [](ReleaseVersion, EndpointIndex) {
+                 return Outcome{AttemptResult::kOk, Span::ms(300)};
                };
     w.run(Span::ms(9500), burst ? 300 : 60);
-    EXPECT_EQ(w.sink.voted(Vote::kBack), !lost && !burst);
+    EXPECT_EQ(w.sink.voted(Vote::kAbort), !lost && !burst);
     EXPECT_EQ(w.sink.logged("step back"), !lost && !burst);  // 8 s from the burst's end, not from its start
   }
 }
 
 TEST(Judging, AReleasedBuildUnderWhichAllGrowsSlowGoesBack) {
   World w = on_trial();
-  w.stage(2, 2, Phase::kReleased, 1);
-  w.serve = [](BuildId, HostIndex) { return Outcome{Result::kOk, Span::ms(500)}; };
+  w.stage(2, 2, ReleasePhase::kReleased, 1);
+  w.serve = [](ReleaseVersion, EndpointIndex) { return Outcome{AttemptResult::kOk, Span::ms(500)}; };
   w.run(Span::s(10), 60);
-  EXPECT_TRUE(w.sink.voted(Vote::kBack));
+  EXPECT_TRUE(w.sink.voted(Vote::kAbort));
 }
 
 TEST(Judging, DisputedAnswersConvict) {
-  Terms terms = usual_terms();
+  RouterSettings terms = default_settings();
   terms.reported_share = 0.15;
   World w = on_trial(terms);
   w.run(Span::s(3), 100);
   for (int i = 0; i < 4; ++i) w.router->answer_disputed(8 + i % 3, 0, Span::ms(500));
   w.run(Span::ms(300), 100);
-  EXPECT_TRUE(w.sink.voted(Vote::kBack));
+  EXPECT_TRUE(w.sink.voted(Vote::kAbort));
 }
 
 TEST(Judging, TheTallyStandsInWhileOwnOutcomesAreFew) {
-  World w = on_trial(usual_terms(), 0.1);
+  World w = on_trial(default_settings(), 0.1);
   w.router->tally_told(1, 0, 100, 0, Span::ms(50), Span());
   w.router->tally_told(2, 0, 40, 10, Span::ms(50), Span());
   w.run(Span::s(1), 5);
-  EXPECT_TRUE(w.sink.voted(Vote::kBack));
+  EXPECT_TRUE(w.sink.voted(Vote::kAbort));
 }
 
 TEST(Votes, OnIsPatient) {
   World w = on_trial();
   w.list(8, 3, w.now);  // the newest trial host has just started
   const Instant started = w.now;
-  while (!w.sink.voted(Vote::kOn) && w.now - started < Span::s(30)) w.run(Span::ms(100), 200);
-  EXPECT_TRUE(w.sink.voted(Vote::kOn));
+  while (!w.sink.voted(Vote::kPromote) && w.now - started < Span::s(30)) w.run(Span::ms(100), 200);
+  EXPECT_TRUE(w.sink.voted(Vote::kPromote));
   EXPECT_GT(w.now - started, Span::s(5));
 }
 
 TEST(Votes, PatienceIsForTheStagesOfTheTerms) {
-  Terms terms = usual_terms();
+  RouterSettings terms = default_settings();
   terms.bake = Span::s(1);
   World w = on_trial(terms);
   w.list(8, 3, w.now);
   const Instant started = w.now;
-  while (!w.sink.voted(Vote::kOn) && w.now - started < Span::s(30)) w.run(Span::ms(100), 200);
+  while (!w.sink.voted(Vote::kPromote) && w.now - started < Span::s(30)) w.run(Span::ms(100), 200);
   EXPECT_GT(w.now - started, Span::s(2));
   EXPECT_LT(w.now - started, Span::s(4.5));
-  w.stage(2, 2, Phase::kTrial, 1);  // the last one, where all load follows
+  w.stage(2, 2, ReleasePhase::kCanary, 1);  // the last one, where all load follows
   w.list(8, 8, w.now);
   const Instant last = w.now;
   const std::size_t before = w.sink.votes.size();
@@ -210,21 +222,23 @@
 // A zone is lost while the stage goes through: what of it can't be there does not keep the build from going
 // on.
 TEST(Votes, HostsThatAreOutAreNotWaitedFor) {
-  World w = on_trial(usual_terms(), 1, 8, 4);
-  w.serve = [](BuildId, HostIndex h) { return Outcome{h % 2 != 0 ? Result::kNoConnect : Result::kOk}; };
-  w.stage(2, 2, Phase::kTrial, 1);  // all eight are due
+  World w = on_trial(default_settings(), 1, 8, 4);
+  w.serve = [](ReleaseVersion, EndpointIndex h) {
+    return Outcome{h % 2 != 0 ? AttemptResult::kConnectFailed : AttemptResult::kOk};
+  };
+  w.stage(2, 2, ReleasePhase::kCanary, 1);  // all eight are due
   w.run(Span::s(9.5), 200);
-  EXPECT_FALSE(w.sink.voted(Vote::kOn));  // two of the four that are left
+  EXPECT_FALSE(w.sink.voted(Vote::kPromote));  // two of the four that are left
   w.list(8, 6);
   w.run(Span::s(1), 200);
-  EXPECT_TRUE(w.sink.voted(Vote::kOn));  // three of four; in the list are six of eight
+  EXPECT_TRUE(w.sink.voted(Vote::kPromote));  // three of four; in the list are six of eight
 }
 
 TEST(Votes, RenewedBeforeTheyLapseAndNeverOnUnderTheClock) {
   World w = on_trial();
   w.run(Span::s(30), 200);
   EXPECT_GE(w.sink.votes.size(), 3u);
-  Terms terms = usual_terms();
+  RouterSettings terms = default_settings();
   terms.clocked = true;
   World c = on_trial(terms);
   c.run(Span::s(20), 200);
@@ -232,22 +246,22 @@
 }
 
 TEST(Votes, AFailedVoteCarriesNoNewsAndIsCastAgain) {
-  Terms terms = usual_terms();
+  RouterSettings terms = default_settings();
   terms.votes_per_s = 4;
   World w = on_trial(terms);
   w.run(Span::s(15), 200);
-  ASSERT_TRUE(w.sink.voted(Vote::kOn));
+  ASSERT_TRUE(w.sink.voted(Vote::kPromote));
   const std::size_t before = w.sink.votes.size();
-  w.router->stage_told(0, 0, Phase::kTrial, true, Answer::kUnknown, 0, Span());
+  w.router->stage_told(0, 0, ReleasePhase::kCanary, true, VoteOutcome::kUnknown, 0, Span());
   w.run(Span::s(1), 200);  // it may have been lost: soon
   EXPECT_GT(w.sink.votes.size(), before);
-  EXPECT_EQ(w.sink.votes.back().second, Vote::kOn);
+  EXPECT_EQ(w.sink.votes.back().second, Vote::kPromote);
 }
 
 // Three hundred routers that are ready at one time, and a desk that takes 16 calls a second and turns the
 // rest away.
 TEST(Votes, ManyRoutersTogetherGetTheVotesThatAreNeeded) {
-  Terms terms = usual_terms();
+  RouterSettings terms = default_settings();
   terms.routers = 300;
   terms.votes_per_s = 16;
   terms.back_needed = 45;
@@ -259,7 +273,7 @@
     for (unsigned r = 0; r < terms.routers; ++r) {
       fleet.emplace_back(terms, 8, 0, r + 1);
       fleet.back().list(8, 3);
-      fleet.back().stage(2, 0, Phase::kTrial, 0.4);
+      fleet.back().stage(2, 0, ReleasePhase::kCanary, 0.4);
       if (bad) fleet.back().router->tally_told(1, 0, 900, 0, Span::ms(50), Span());
       if (bad) fleet.back().router->tally_told(2, 0, 900, 800, Span::ms(50), Span());
       stands.emplace_back();
@@ -275,8 +289,8 @@
             const bool full = taken >= 16;
             taken += !full;
             if (!full) stands[r] = w.now;
-            w.router->stage_told(2, 0, Phase::kTrial, true, full ? Answer::kFull : Answer::kTaken, 0.4,
-                                 Span());
+            w.router->stage_told(2, 0, ReleasePhase::kCanary, true,
+                                 full ? VoteOutcome::kThrottled : VoteOutcome::kAccepted, 0.4, Span());
           }
         }
         const Instant now = fleet.front().now;
@@ -289,41 +303,41 @@
 }
 
 TEST(Departure, FullCapWhereNoEarlierHostIsLeft) {
-  World w(usual_terms(), 0, 6);
-  w.stage(2, 2, Phase::kTrial, 1.0);
+  World w(default_settings(), 0, 6);
+  w.stage(2, 2, ReleasePhase::kCanary, 1.0);
   w.run(Span::s(2), 100);
   EXPECT_GT(w.sink.sent.size(), 190u);
 }
 
 // The news that the last stage has passed is late: further forwards and steps back must not starve the hits.
 TEST(Departure, WhereOnlyTheTrialIsLeftEachHitKeepsItsRoom) {
-  Terms terms = usual_terms();
+  RouterSettings terms = default_settings();
   terms.may_copy = false;
   World w(terms, 0, 8);
-  w.stage(2, 2, Phase::kTrial, 1.0);
-  w.serve = [](BuildId, HostIndex) {
+  w.stage(2, 2, ReleasePhase::kCanary, 1.0);
+  w.serve = [](ReleaseVersion, EndpointIndex) {
     static int forwards = 0;  // one in 16 takes long
-    return Outcome{Result::kOk, Span::ms(++forwards % 16 == 0 ? 900 : 50)};
+    return Outcome{AttemptResult::kOk, Span::ms(++forwards % 16 == 0 ? 900 : 50)};
   };
   w.run(Span::s(10), 150, {0, 1, 2});
   EXPECT_LT(w.sink.bounced.size() + w.sink.errored.size(), 30u);  // of 1500
 }
 
 TEST(Exposure, NothingAtCapZeroAndStageZeroBeforeTheNews) {
-  World w(usual_terms(), 8, 8);
+  World w(default_settings(), 8, 8);
   w.run(Span::s(2), 200);  // build 2 is listed but not announced
   EXPECT_LE(w.sent_to(2), 2 + 0.1 * 400);
-  w.stage(2, 1, Phase::kReverting, 0);
+  w.stage(2, 1, ReleasePhase::kRollingBack, 0);
   const std::size_t from = w.sink.sent.size();
   w.run(Span::s(2), 200);
   EXPECT_EQ(w.sent_to(2, from), 0u);
 }
 
 TEST(Exposure, AKeyAnsweredByTheNewBuildStaysWithIt) {
-  Terms terms = usual_terms();
+  RouterSettings terms = default_settings();
   terms.one_way = true;
   World w(terms, 4, 4);
-  w.stage(2, 1, Phase::kTrial, 0.9);
+  w.stage(2, 1, ReleasePhase::kCanary, 0.9);
   std::map<std::uint64_t, bool> bound;
   for (int i = 0; i < 4000; ++i) {
     const std::uint64_t key = 1 + static_cast<std::uint64_t>(i % 100) * 7919;
@@ -334,7 +348,7 @@
       const bool blue = w.builds[w.sink.sent[s].host] == 2;
       EXPECT_TRUE(blue || !bound[key] || w.sink.sent[s].hit != w.next_hit - 1);
       if (blue) bound[key] = true;
-      w.end(w.sink.sent[s], Result::kOk);
+      w.end(w.sink.sent[s], AttemptResult::kOk);
     }
     w.beat();
   }
@@ -343,16 +357,16 @@
 
 // News of a build gone back may come once more while hosts of the next one answer already.
 TEST(Exposure, KeysStayWithTheNextBuildWhenTheLastOneGoesBack) {
-  Terms terms = usual_terms();
+  RouterSettings terms = default_settings();
   terms.one_way = true;
   World w(terms, 0, 4);
-  for (HostIndex h = 0; h < 4; ++h) w.router->list_host(h, HostState::kReady, 3, 0, h, 0, Instant());
+  for (EndpointIndex h = 0; h < 4; ++h) w.router->list_host(h, EndpointState::kReady, 3, 0, h, 0, Instant());
   w.router->list_end();
-  w.stage(2, 0, Phase::kWithdrawn, 0);
+  w.stage(2, 0, ReleasePhase::kWithdrawn, 0);
   w.take(0, 77);
   ASSERT_EQ(w.sink.sent.size(), 1u);
-  w.end(w.sink.sent[0], Result::kOk);
-  w.stage(2, 0, Phase::kWithdrawn, 0);
+  w.end(w.sink.sent[0], AttemptResult::kOk);
+  w.stage(2, 0, ReleasePhase::kWithdrawn, 0);
   w.list(4, 0);
   w.take(0, 77);
   EXPECT_EQ(w.sink.sent.size(), 1u);
@@ -361,36 +375,36 @@
 }
 
 TEST(Hits, MutatingIsErroredOnceItMayHaveRunAndBouncedBefore) {
-  World w(usual_terms());
-  const HitId ran = w.take(2);
-  w.end(w.sink.sent.back(), Result::kReset);
-  EXPECT_EQ(w.sink.errored, std::vector<HitId>{ran});
+  World w(default_settings());
+  const RequestId ran = w.take(2);
+  w.end(w.sink.sent.back(), AttemptResult::kReset);
+  EXPECT_EQ(w.sink.errored, std::vector<RequestId>{ran});
   w.run(Span::s(1), 50);  // a few hits earn the budget for further forwards
-  const HitId proved = w.take(2);
-  for (int i = 0; i < 4; ++i) w.end(w.sink.sent.back(), Result::kNoConnect);
+  const RequestId proved = w.take(2);
+  for (int i = 0; i < 4; ++i) w.end(w.sink.sent.back(), AttemptResult::kConnectFailed);
   EXPECT_EQ(w.sink.legs[proved], 4u);
-  EXPECT_EQ(w.sink.bounced, std::vector<HitId>{proved});
+  EXPECT_EQ(w.sink.bounced, std::vector<RequestId>{proved});
 }
 
 TEST(Hits, TaggedStaysInItsZoneAndMemory) {
-  World w(usual_terms());
+  World w(default_settings());
   w.take(1);
-  const HostIndex first = w.sink.sent.back().host;
-  w.end(w.sink.sent.back(), Result::kError);
+  const EndpointIndex first = w.sink.sent.back().host;
+  w.end(w.sink.sent.back(), AttemptResult::kError);
   ASSERT_EQ(w.sink.sent.size(), 2u);
   EXPECT_EQ(w.sink.sent.back().host % 2, first % 2);
   w.now = w.now + Span::ms(1100);  // what it may have done is forgotten by now
-  w.end(w.sink.sent.back(), Result::kError);
+  w.end(w.sink.sent.back(), AttemptResult::kError);
   EXPECT_EQ(w.sink.sent.size(), 2u);
   EXPECT_EQ(w.sink.errored.size(), 1u);
 }
 
 // A zone that is lost whole is left alone though it is half of the list: the other still answers.
 TEST(Hosts, ALostZoneIsLeftOutAndAllAreTriedWhereAllFail) {
-  World w(usual_terms(), 8);
+  World w(default_settings(), 8);
   w.run(Span::s(2), 200);
-  w.serve = [](BuildId, HostIndex h) {
-    return World::Outcome{h % 2 != 0 ? Result::kNoConnect : Result::kOk};
+  w.serve = [](ReleaseVersion, EndpointIndex h) {
+    return World::Outcome{h % 2 != 0 ? AttemptResult::kConnectFailed : AttemptResult::kOk};
   };
   w.run(Span::s(1), 200);
   const auto lost = [&](std::size_t from) {
@@ -400,7 +414,7 @@
   std::size_t from = w.sink.sent.size();
   w.run(Span::s(1), 200);
   EXPECT_LT(lost(from), 20);
-  w.serve = [](BuildId, HostIndex) { return World::Outcome{Result::kNoConnect}; };
+  w.serve = [](ReleaseVersion, EndpointIndex) { return World::Outcome{AttemptResult::kConnectFailed}; };
   w.run(Span::s(2), 200);
   from = w.sink.sent.size();
   w.run(Span::s(1), 200);
@@ -410,10 +424,12 @@
 // Also where no copies are allowed and each hit there is called off long before its host counts as silent.
 TEST(Hits, ASilentHostIsDroppedAndItsHitsGoElsewhere) {
   for (const bool copies : {true, false}) {
-    Terms terms = usual_terms();
+    RouterSettings terms = default_settings();
     terms.may_copy = copies;
     World w(terms);
-    w.serve = [](BuildId, HostIndex h) { return Outcome{Result::kOk, Span::ms(50), h == 3}; };
+    w.serve = [](ReleaseVersion, EndpointIndex h) {
+      return Outcome{AttemptResult::kOk, Span::ms(50), h == 3};
+    };
     w.run(Span::s(6), 100);
     EXPECT_TRUE(w.sink.logged("host 3 out"));
     std::size_t late = 0;
@@ -429,29 +445,29 @@
 }
 
 TEST(Hits, EveryHitEndsOnceBeforeItsTimeout) {
-  World w(usual_terms());
-  w.serve = [](BuildId, HostIndex) { return Outcome{Result::kOk, Span(), true}; };
+  World w(default_settings());
+  w.serve = [](ReleaseVersion, EndpointIndex) { return Outcome{AttemptResult::kOk, Span(), true}; };
   for (int i = 0; i < 30; ++i) w.take(static_cast<unsigned>(i) % 3, 0, Span::ms(500));
   w.run(Span::ms(495), 0);
   EXPECT_EQ(w.sink.bounced.size() + w.sink.errored.size(), 30u);
 }
 
 TEST(Hits, OverloadBouncesAtOnceWhatIsWorthLeast) {
-  Terms terms = usual_terms();
+  RouterSettings terms = default_settings();
   terms.path_groups[1].benefit = 5;
   World w(terms, 2);
-  w.serve = [](BuildId, HostIndex) { return Outcome{Result::kOk, Span::ms(250)}; };
+  w.serve = [](ReleaseVersion, EndpointIndex) { return Outcome{AttemptResult::kOk, Span::ms(250)}; };
   w.run(Span::s(6), 200, {0, 1});
   const auto cheap =
-      std::count_if(w.sink.bounced.begin(), w.sink.bounced.end(), [](HitId h) { return h % 2 == 0; });
+      std::count_if(w.sink.bounced.begin(), w.sink.bounced.end(), [](RequestId h) { return h % 2 == 0; });
   EXPECT_GT(static_cast<std::size_t>(cheap), w.sink.bounced.size() / 2);
 }
 
 TEST(Hits, RefusalDoesNotOutliveTheJam) {
-  World w(usual_terms(), 4);
-  w.serve = [](BuildId, HostIndex) { return Outcome{Result::kOk, Span::ms(900)}; };
+  World w(default_settings(), 4);
+  w.serve = [](ReleaseVersion, EndpointIndex) { return Outcome{AttemptResult::kOk, Span::ms(900)}; };
   w.run(Span::s(6), 100);
-  w.serve = [](BuildId, HostIndex) { return Outcome{}; };
+  w.serve = [](ReleaseVersion, EndpointIndex) { return Outcome{}; };
   w.run(Span::s(6), 40);
   const std::size_t bounced = w.sink.bounced.size();
   w.run(Span::s(2), 40);
@@ -459,34 +475,37 @@
 }
 
 TEST(Hosts, DrainingAndGoneGetNothing) {
-  World w(usual_terms(), 4);
+  World w(default_settings(), 4);
   w.router->list_begin(false);
-  w.router->list_host(0, HostState::kDraining, 1, 0, 0, 0, Instant());
-  w.router->list_host(1, HostState::kGone, 1, 1, 1, 0, Instant());
+  w.router->list_host(0, EndpointState::kDraining, 1, 0, 0, 0, Instant());
+  w.router->list_host(1, EndpointState::kRemoved, 1, 1, 1, 0, Instant());
   w.router->list_end();
   w.run(Span::s(1), 100);
   for (const auto& s : w.sink.sent) EXPECT_GE(s.host, 2u);
 }
 
 TEST(Hosts, OutcomesOfAFormerProcessSayNothingOfTheNextOne) {
-  World w(usual_terms(), 4);
+  World w(default_settings(), 4);
   for (int i = 0; i < 40; ++i) w.take();
   w.router->list_begin(false);
-  for (HostIndex h = 0; h < 4; ++h) w.router->list_host(h, HostState::kReady, 2, h % 2, h, 0, Instant());
+  for (EndpointIndex h = 0; h < 4; ++h)
+    w.router->list_host(h, EndpointState::kReady, 2, h % 2, h, 0, Instant());
   w.router->list_end();
   const auto sent = w.sink.sent;  // more follows as these end
   ASSERT_GE(sent.size(), 12u);
-  for (const auto& s : sent) w.end(s, Result::kReset);
+  for (const auto& s : sent) w.end(s, AttemptResult::kReset);
   EXPECT_FALSE(w.sink.logged("out for"));
 }
 
 TEST(Hosts, OneThatWasGoneComesBackAsNew) {
-  World w(usual_terms(), 4);
-  w.serve = [](BuildId, HostIndex h) { return World::Outcome{h == 0 ? Result::kReset : Result::kOk}; };
+  World w(default_settings(), 4);
+  w.serve = [](ReleaseVersion, EndpointIndex h) {
+    return World::Outcome{h == 0 ? AttemptResult::kReset : AttemptResult::kOk};
+  };
   w.run(Span::s(2), 200);
   ASSERT_TRUE(w.sink.logged("host 0 out for"));
-  w.serve = [](BuildId, HostIndex) { return World::Outcome{}; };
-  for (const HostState state : {HostState::kGone, HostState::kReady}) {
+  w.serve = [](ReleaseVersion, EndpointIndex) { return World::Outcome{}; };
+  for (const EndpointState state : {EndpointState::kRemoved, EndpointState::kReady}) {
     w.router->list_begin(false);
     w.router->list_host(0, state, 1, 0, 0, 0, Instant());
     w.router->list_end();
@@ -499,10 +518,10 @@
 }
 
 TEST(Hosts, AColdHostGetsLessThanAWarmOne) {
-  World w(usual_terms(), 8);
+  World w(default_settings(), 8);
   w.run(Span::s(2), 400);
   w.router->list_begin(false);
-  w.router->list_host(0, HostState::kReady, 1, 0, 0, 0, w.now);
+  w.router->list_host(0, EndpointState::kReady, 1, 0, 0, 0, w.now);
   w.router->list_end();
   const std::size_t from = w.sink.sent.size();
   w.run(Span::s(1), 400);
@@ -514,7 +533,7 @@
 // What `routers` routers together send within a second to hosts that have all just come back, `per_s` hits
 // coming to each, after `before` has happened to each.
 template <class Before>
-std::size_t sent_cold(const Terms& terms, int per_s, Before&& before) {
+std::size_t sent_cold(const RouterSettings& terms, int per_s, Before&& before) {
   std::size_t cold = 0;
   for (unsigned router = 0; router < terms.routers; ++router) {
     World w(terms, 8, 0, 100 + router);
@@ -531,13 +550,14 @@
   return [per_s](World& w) {
     w.run(Span::s(3), per_s);
     w.router->list_begin(false);
-    for (HostIndex h = 0; h < 8; ++h) w.router->list_host(h, HostState::kReady, 1, h % 2, h, 0, w.now);
+    for (EndpointIndex h = 0; h < 8; ++h)
+      w.router->list_host(h, EndpointState::kReady, 1, h % 2, h, 0, w.now);
     w.router->list_end();
   };
 }
 
 TEST(Hosts, ManyRoutersTogetherSendAColdHostNoMoreThanItsPart) {
-  Terms terms = usual_terms();
+  RouterSettings terms = default_settings();
   terms.routers = 200;
   const std::size_t cold = sent_cold(terms, 3, listed_cold(3));
   EXPECT_GT(cold, 0u);
@@ -546,7 +566,7 @@
 
 // Demand far over what the fleet can do, by clients that come again: the customers' shares say what that is.
 TEST(Hosts, ManyRoutersUnderAnyDemandSendColdHostsWhatTheyCanDo) {
-  Terms terms = usual_terms();
+  RouterSettings terms = default_settings();
   terms.routers = 200;
   terms.customer_per_s = {400};                                  // 50 a second for each of 8 hosts
   const std::size_t cold = sent_cold(terms, 9, listed_cold(9));  // of 1,800 hits
@@ -556,14 +576,16 @@
 
 // The list tells of a start late. A host seen dead, and a zone all of whose hosts are, may have started anew.
 TEST(Hosts, AZoneThatWasSeenDeadIsColdWhenItComesBack) {
-  Terms terms = usual_terms();
+  RouterSettings terms = default_settings();
   terms.routers = 200;
   terms.customer_per_s = {400};
   const auto lost_and_back = [](World& w) {
     w.run(Span::s(6), 9);
-    w.serve = [](BuildId, HostIndex) { return World::Outcome{Result::kNoConnect, Span::ms(5)}; };
+    w.serve = [](ReleaseVersion, EndpointIndex) {
+      return World::Outcome{AttemptResult::kConnectFailed, Span::ms(5)};
+    };
     w.run(Span::s(1), 9);
-    w.serve = [](BuildId, HostIndex) { return World::Outcome{}; };
+    w.serve = [](ReleaseVersion, EndpointIndex) { return World::Outcome{}; };
   };
   const std::size_t cold = sent_cold(terms, 9, lost_and_back);
   EXPECT_GT(cold, 50u);
@@ -572,22 +594,22 @@
 
 // A stage brings 16 cold hosts beside 4 warm ones of its build and 20 of the earlier one.
 TEST(Hosts, ColdTrialHostsGetTheirLotsAndWarmOnesDoNotCarryThem) {
-  Terms terms = usual_terms();
+  RouterSettings terms = default_settings();
   terms.routers = 200;
   terms.zones = 1;
   std::array<double, 3> sent{};  // 0: earlier, 1: warm, 2: cold
   for (unsigned router = 0; router < terms.routers; ++router) {
     World w(terms, 20, 4, 100 + router);
-    w.stage(2, 0, Phase::kTrial, 1);
+    w.stage(2, 0, ReleasePhase::kCanary, 1);
     w.run(Span::s(6), 6);
     w.router->list_begin(false);
-    for (HostIndex h = 24; h < 40; ++h)
-      w.router->list_host(h, HostState::kReady, w.builds[h] = 2, 0, h, 0, w.now);
+    for (EndpointIndex h = 24; h < 40; ++h)
+      w.router->list_host(h, EndpointState::kReady, w.builds[h] = 2, 0, h, 0, w.now);
     w.router->list_end();
     const std::size_t from = w.sink.sent.size();
     w.run(Span::s(1), 6);
     for (std::size_t i = from; i < w.sink.sent.size(); ++i) {
-      const HostIndex h = w.sink.sent[i].host;
+      const EndpointIndex h = w.sink.sent[i].host;
       ++sent[h < 20 ? 0 : h < 24 ? 1 : 2];
     }
   }
@@ -599,7 +621,7 @@
 
 // A router that has just started knows of no start that the list does not tell yet.
 TEST(Hosts, ManyRoutersJustStartedSendNoMoreThanColdHostsBear) {
-  Terms terms = usual_terms();
+  RouterSettings terms = default_settings();
   terms.routers = 200;
   terms.customer_per_s = {400};
   const std::size_t cold = sent_cold(terms, 9, [](World&) {});
@@ -608,36 +630,40 @@
 }
 
 TEST(Judging, HitsThatFailAnywhereConvictNeitherHostNorBuild) {
-  World w = on_trial(usual_terms(), 0.4, 6, 5);
+  World w = on_trial(default_settings(), 0.4, 6, 5);
   for (int i = 0; i < 3000; ++i) {
     const bool bad = i % 3 == 0;
     const std::size_t from = w.sink.sent.size();
-    const HitId id = w.take();
+    const RequestId id = w.take();
     for (std::size_t s = from; s < w.sink.sent.size(); ++s) {
-      if (w.sink.sent[s].hit == id) w.end(w.sink.sent[s], bad ? Result::kError : Result::kOk);
+      if (w.sink.sent[s].hit == id) w.end(w.sink.sent[s], bad ? AttemptResult::kError : AttemptResult::kOk);
     }
     EXPECT_LE(w.sink.legs[id], 2u);  // two hosts have told
     w.now = w.now + Span::ms(5);
     w.beat();
   }
-  EXPECT_FALSE(w.sink.voted(Vote::kBack));
+  EXPECT_FALSE(w.sink.voted(Vote::kAbort));
   EXPECT_FALSE(w.sink.logged("severe"));
 }
 
 TEST(Judging, ASlowBuildIsMetByOneOfManyRouters) {
-  Terms terms = usual_terms();
+  RouterSettings terms = default_settings();
   terms.routers = 60;
   World w = on_trial(terms, 0.4, 12, 10);
-  w.serve = [](BuildId b, HostIndex) { return Outcome{Result::kOk, Span::ms(b == 2 ? 130 : 50)}; };
+  w.serve = [](ReleaseVersion b, EndpointIndex) {
+    return Outcome{AttemptResult::kOk, Span::ms(b == 2 ? 130 : 50)};
+  };
   w.run(Span::s(20), 20);
-  EXPECT_TRUE(w.sink.voted(Vote::kBack));
+  EXPECT_TRUE(w.sink.voted(Vote::kAbort));
 }
 
 TEST(Hosts, AnUnheardZoneIsHeldNoBetterThanTheBest) {
-  Terms terms = usual_terms();
+  RouterSettings terms = default_settings();
   terms.routers = 200;
   World w(terms, 8);  // odd hosts are of the other zone: they take hits and answer none
-  w.serve = [](BuildId, HostIndex h) { return Outcome{Result::kOk, Span::ms(50), h % 2 == 1}; };
+  w.serve = [](ReleaseVersion, EndpointIndex h) {
+    return Outcome{AttemptResult::kOk, Span::ms(50), h % 2 == 1};
+  };
   w.run(Span::s(20), 4);
   std::size_t lost = 0;
   for (const auto& s : w.sink.sent) lost += s.host % 2;
@@ -646,20 +672,20 @@
 
 TEST(Judging, ManyJudgesAskForMoreEvidenceEach) {
   for (const unsigned routers : {2U, 200U}) {
-    Terms terms = usual_terms();
+    RouterSettings terms = default_settings();
     terms.routers = routers;
     World w = on_trial(terms);
     w.router->tally_told(1, 0, 100, 8, Span::ms(50), Span());
     w.router->tally_told(2, 0, 100, 23, Span::ms(50), Span());
     w.run(Span::s(1), 5);
-    EXPECT_EQ(w.sink.voted(Vote::kBack), routers == 2);
+    EXPECT_EQ(w.sink.voted(Vote::kAbort), routers == 2);
   }
 }
 
 // Soon once, then spread over some seconds, and over more where it stays so: discovery works off calls that
 // timed out as well. The list is not sent to past its validity meanwhile.
 TEST(List, CallsThatFailSpreadOverMoreSecondsTheLongerTheyFailUntilAListComes) {
-  Terms terms = usual_terms();
+  RouterSettings terms = default_settings();
   terms.ask_within = Span::s(20);
   terms.must_ask = true;
   World w(terms);
@@ -670,7 +696,7 @@
     const Span mean = i < 1 ? Span::ms(300) : i < 3 ? Span::s(3) : Span::s(6);
     EXPECT_GE(w.sink.wakes[2], mean * 0.5);
     EXPECT_LE(w.sink.wakes[2], mean * 1.5);
-    w.stage(1, 2, Phase::kReleased, 1);  // news comes all the while, and is no list
+    w.stage(1, 2, ReleasePhase::kReleased, 1);  // news comes all the while, and is no list
   }
   w.list(8, 0);
   w.router->list_failed();
@@ -678,9 +704,9 @@
 }
 
 TEST(List, PastItsValidityNothingIsSentButToHostsWhoseOwnAnswersVouchForThem) {
-  World w(usual_terms());
+  World w(default_settings());
   w.list(3, 0);
-  w.stage(1, 2, Phase::kReleased, 1);
+  w.stage(1, 2, ReleasePhase::kReleased, 1);
   const Instant now = w.now;
   w.router->list_valid({now + Span::s(1), Instant::never()});
   w.take();
@@ -700,13 +726,15 @@
 
 // Half of the hosts, but small ones: on trial or not, they get what they do, not half, which would jam them.
 TEST(Hosts, OneOfManyRoutersSendsSmallMachinesWhatTheyDo) {
-  for (const Phase phase : {Phase::kTrial, Phase::kReleased}) {
-    Terms terms = usual_terms();
+  for (const ReleasePhase phase : {ReleasePhase::kCanary, ReleasePhase::kReleased}) {
+    RouterSettings terms = default_settings();
     terms.routers = 100, terms.kinds = 2;
     World w(terms, 20);
     w.list(20, 20, Instant(), 1);
     w.stage(2, 1, phase, 1);
-    w.serve = [](BuildId b, HostIndex) { return Outcome{Result::kOk, Span::ms(b == 1 ? 60 : 300)}; };
+    w.serve = [](ReleaseVersion b, EndpointIndex) {
+      return Outcome{AttemptResult::kOk, Span::ms(b == 1 ? 60 : 300)};
+    };
     w.run(Span::s(40), 12);
     EXPECT_LT(4 * w.sent_to(2), w.sink.sent.size());
   }
@@ -714,16 +742,16 @@
 
 // One of six trial hosts is near by, among ten of the earlier build: it gets what one of them gets.
 TEST(Hosts, AFewTrialHostsNearByDoNotCarryThePartOfThoseFurtherOff) {
-  Terms terms = usual_terms();
+  RouterSettings terms = default_settings();
   terms.routers = 100;
   terms.cross_price = 0.08;
   World w(terms, 20);
   w.run(Span::s(5), 12);
   w.router->list_begin(false);
-  for (HostIndex h = 20; h < 26; ++h)
-    w.router->list_host(h, HostState::kReady, w.builds[h] = 2, h == 20 ? 0 : 1, h, 0, Instant());
+  for (EndpointIndex h = 20; h < 26; ++h)
+    w.router->list_host(h, EndpointState::kReady, w.builds[h] = 2, h == 20 ? 0 : 1, h, 0, Instant());
   w.router->list_end();
-  w.stage(2, 1, Phase::kTrial, 1);
+  w.stage(2, 1, ReleasePhase::kCanary, 1);
   w.run(Span::s(10), 12);
   const std::size_t from = w.sink.sent.size();
   w.run(Span::s(40), 12);
@@ -732,10 +760,10 @@
 
 // At the guess of the start, 100 ms, these hosts look three times too slow.
 TEST(Judging, TheYardstickOfAllHostsIsWhatWasMetNotTheGuess) {
-  World w(usual_terms(), 20, 5);
-  w.serve = [](BuildId, HostIndex) { return Outcome{Result::kOk, Span::ms(300)}; };
+  World w(default_settings(), 20, 5);
+  w.serve = [](ReleaseVersion, EndpointIndex) { return Outcome{AttemptResult::kOk, Span::ms(300)}; };
   w.run(Span::s(5), 8);
-  w.stage(2, 0, Phase::kTrial, 0.1);
+  w.stage(2, 0, ReleasePhase::kCanary, 0.1);
   w.run(Span::s(10), 8);
   EXPECT_FALSE(w.sink.logged("step back"));
 }
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -296,7 +296,7 @@
 
 // A repeat must stay in the first forward's zone: a zone that the settings do not name is none of theirs.
 TEST_F(CrossingTest, AZoneThatTheSettingsDoNotNameIsNeverTakenForAnother) {
-  terms_.path_groups[1].group = DropGroup::kZone;
+  terms_.path_groups[1].group = IdempotencyScope::kZone;
   terms_.path_groups[1].memory = Span::s(5);
   begin(list(placed(entry(0), "a", "m") + "," + placed(entry(1), "x", "n") + "," + placed(entry(2), "y", "n"),
              41, true));
@@ -321,7 +321,7 @@
 
 // What hosts remember for less long than a forward may wait for its connection is never sent there again.
 TEST_F(CrossingTest, ARepeatReachesItsHostWhileThatRemembersOrIsNotSent) {
-  for (PathGroup& g : terms_.path_groups) g.group = DropGroup::kAll, g.memory = Span::ms(240);
+  for (RequestClass& g : terms_.path_groups) g.group = IdempotencyScope::kAll, g.memory = Span::ms(240);
   begin(all_hosts());
   Stream c = client();
   c.say(post("book", 1500));
--- a/tests/endpoint_lease_test.cpp
+++ b/tests/endpoint_lease_test.cpp
@@ -15,18 +15,18 @@
 // Of the lease's delay, 50 ms are for a first byte on its way from discovery.
 constexpr Span kGrace = Span::s(1), kSendDelay = Span::ms(450), kNotifiedWithin = Span::s(6);
 constexpr Span kLongestOnItsWay = Span::ms(50);
-EndpointLeaseTerms usual_terms() { return {kNotifiedWithin, kGrace, kSendDelay}; }
+EndpointLeaseTerms default_settings() { return {kNotifiedWithin, kGrace, kSendDelay}; }
 Instant at(double seconds) { return Instant::at_us(0) + Span::s(seconds); }
 
 TEST(EndpointLease, AListThatNothingConfirmedIsExpiredFromTheStart) {
-  EndpointLease lease(usual_terms());
+  EndpointLease lease(default_settings());
   EXPECT_EQ(lease.state(at(0)), LeaseState::kExpired);
   lease.unreachable(at(1));
   EXPECT_EQ(lease.state(at(1)), LeaseState::kExpired);
 }
 
 TEST(EndpointLease, EachWholeLineRenewsItAndItsStatesFollow) {
-  EndpointLease lease(usual_terms());
+  EndpointLease lease(default_settings());
   lease.confirmed(at(10));
   EXPECT_EQ(lease.state(at(12)), LeaseState::kFresh);
   lease.watch_lost();
@@ -38,7 +38,7 @@
 }
 
 TEST(EndpointLease, WhatHasBegunToComeCountsFromItsFirstByteUntilALineIsWhole) {
-  EndpointLease lease(usual_terms());
+  EndpointLease lease(default_settings());
   lease.confirmed(at(10));
   lease.line_begun(at(11));
   lease.line_begun(at(11.3));
@@ -52,7 +52,7 @@
 }
 
 TEST(EndpointLease, WhileDiscoveryRefusesConnectionsARunningLeaseGoesOnAndAnExpiredOneDoesNot) {
-  EndpointLease lease(usual_terms());
+  EndpointLease lease(default_settings());
   lease.confirmed(at(10));
   lease.unreachable(at(14));
   EXPECT_EQ(lease.valid_until(), at(14) + kNotifiedWithin + kGrace - kSendDelay);
@@ -132,7 +132,7 @@
 
 // The lease as it stands at a time, from the lines up to then.
 EndpointLease lease_at(const History& history, Instant now) {
-  EndpointLease lease(usual_terms());
+  EndpointLease lease(default_settings());
   for (const Line& line : history.lines()) {
     if (line.first_byte <= now) lease.line_begun(line.first_byte);
     if (line.whole <= now) lease.confirmed(line.whole);
--- a/tests/helpers.hpp
+++ b/tests/helpers.hpp
@@ -11,28 +11,28 @@
 
 namespace ashbeam {
 
-struct Noted : Sink {
+struct Noted : RouterActions {
   struct Sent {
-    HitId hit;
-    HostIndex host;
+    RequestId hit;
+    EndpointIndex host;
     unsigned leg;
   };
   std::vector<Sent> sent;
-  std::map<HitId, unsigned> legs;
-  std::vector<HitId> bounced, errored;
-  std::vector<std::pair<HitId, unsigned>> cancelled;
+  std::map<RequestId, unsigned> legs;
+  std::vector<RequestId> bounced, errored;
+  std::vector<std::pair<RequestId, unsigned>> cancelled;
   std::vector<std::pair<unsigned, Vote>> votes;  // stage and vote
   std::vector<std::string> lines;
   unsigned follows = 0;
   std::map<std::uint64_t, Span> wakes;  // the last asked for, by token
-  void forward(HitId hit, HostIndex host, Span) override { sent.push_back({hit, host, legs[hit]++}); }
-  void bounce(HitId hit, Span) override { bounced.push_back(hit); }
-  void error(HitId hit) override { errored.push_back(hit); }
-  void cancel(HitId hit, unsigned leg) override { cancelled.emplace_back(hit, leg); }
+  void forward(RequestId hit, EndpointIndex host, Span) override { sent.push_back({hit, host, legs[hit]++}); }
+  void bounce(RequestId hit, Span) override { bounced.push_back(hit); }
+  void error(RequestId hit) override { errored.push_back(hit); }
+  void cancel(RequestId hit, unsigned leg) override { cancelled.emplace_back(hit, leg); }
   void wake(Span from_now, std::uint64_t token) override { wakes[token] = from_now; }
-  void ask_load(HostIndex) override {}
+  void ask_load(EndpointIndex) override {}
   void follow_list() override { ++follows; }
-  void vote(BuildId, unsigned stage, Vote vote) override { votes.emplace_back(stage, vote); }
+  void vote(ReleaseVersion, unsigned stage, Vote vote) override { votes.emplace_back(stage, vote); }
   void tell_peers(std::span<const std::uint8_t>) override {}
   void log(std::string_view line) override { lines.emplace_back(line); }
   bool voted(Vote v) const {
@@ -45,10 +45,10 @@
 };
 
 // Three path groups, one of each kind: 0 repeatable, 1 tagged by zone, 2 mutating.
-inline Terms usual_terms() {
-  Terms t;
-  for (const Repeats r : {Repeats::kRepeatable, Repeats::kTagged, Repeats::kMutating}) {
-    t.path_groups.push_back({r, DropGroup::kZone, Span::ms(600), Span::s(2), Span::s(1), 1, 0});
+inline RouterSettings default_settings() {
+  RouterSettings t;
+  for (const Idempotency r : {Idempotency::kIdempotent, Idempotency::kKeyed, Idempotency::kUnsafe}) {
+    t.path_groups.push_back({r, IdempotencyScope::kZone, Span::ms(600), Span::s(2), Span::s(1), 1, 0});
   }
   t.zones = 2;
   t.routers = 2;
@@ -73,50 +73,53 @@
 // `earlier` hosts of build 1 and `trial` of build 2, all warm; each forward ends after what `serve` says.
 struct World {
   struct Outcome {
-    Result result = Result::kOk;
+    AttemptResult result = AttemptResult::kOk;
     Span took = Span::ms(50);
     bool never = false;
   };
   Noted sink;
-  std::unique_ptr<Router> router;
+  std::unique_ptr<RouterPolicy> router;
   Instant now = Instant::at_us(0) + Span::s(100);
-  std::map<HostIndex, BuildId> builds;
+  std::map<EndpointIndex, ReleaseVersion> builds;
   std::vector<std::pair<Instant, std::pair<Noted::Sent, Outcome>>> pending;
   std::size_t handled = 0, called_off = 0;
-  HitId next_hit = 1;
+  RequestId next_hit = 1;
   unsigned customers = 1;  // hits are theirs in turn
-  Outcome (*serve)(BuildId build, HostIndex host) = [](BuildId, HostIndex) { return Outcome{}; };
+  Outcome (*serve)(ReleaseVersion build, EndpointIndex host) = [](ReleaseVersion, EndpointIndex) {
+    return Outcome{};
+  };
 
-  explicit World(const Terms& terms, unsigned earlier = 8, unsigned trial = 0, std::uint64_t seed = 7) {
-    router = make_router(terms, seed, sink);
+  explicit World(const RouterSettings& terms, unsigned earlier = 8, unsigned trial = 0,
+                 std::uint64_t seed = 7) {
+    router = make_router_policy(terms, seed, sink);
     router->clock(now);
     router->started();
     list(earlier, trial);
-    stage(1, 2, Phase::kReleased, 1);
+    stage(1, 2, ReleasePhase::kReleased, 1);
   }
   void list(unsigned earlier, unsigned trial, Instant start = Instant(), unsigned trial_kind = 0) {
     builds.clear();
     router->clock(now);
     router->list_begin(true);
-    for (HostIndex h = 0; h < earlier + trial; ++h) {
+    for (EndpointIndex h = 0; h < earlier + trial; ++h) {
       builds[h] = h < earlier ? 1 : 2;
-      router->list_host(h, HostState::kReady, builds[h], h % 2, h, h < earlier ? 0 : trial_kind,
+      router->list_host(h, EndpointState::kReady, builds[h], h % 2, h, h < earlier ? 0 : trial_kind,
                         h < earlier ? Instant() : start);
     }
     router->list_end();
   }
-  void stage(BuildId build, unsigned stage, Phase phase, double cap) {
+  void stage(ReleaseVersion build, unsigned stage, ReleasePhase phase, double cap) {
     router->clock(now);
-    router->stage_told(build, stage, phase, false, Answer::kTaken, cap, Span());
+    router->stage_told(build, stage, phase, false, VoteOutcome::kAccepted, cap, Span());
   }
-  HitId take(unsigned group = 0, std::uint64_t key = 0, Span patience = Span::s(2)) {
+  RequestId take(unsigned group = 0, std::uint64_t key = 0, Span patience = Span::s(2)) {
     router->clock(now);
     router->taken(next_hit, group, next_hit % customers, key, now + patience, 0);
     return next_hit++;
   }
-  void end(const Noted::Sent& s, Result result, Span took = Span::ms(50), bool terminal = false) {
+  void end(const Noted::Sent& s, AttemptResult result, Span took = Span::ms(50), bool terminal = false) {
     router->clock(now);
-    router->ended(s.hit, s.leg, s.host, result, took, terminal || result == Result::kOk, {});
+    router->ended(s.hit, s.leg, s.host, result, took, terminal || result == AttemptResult::kOk, {});
   }
   // Runs for a while at so many hits a second over the groups given, in steps of 5 ms.
   void run(Span length, int per_s, std::vector<unsigned> groups = {0}) {
@@ -131,7 +134,7 @@
         const auto [hit, leg] = sink.cancelled[called_off];
         const auto sent = std::find_if(sink.sent.begin(), sink.sent.end(),
                                        [&](const Noted::Sent& s) { return s.hit == hit && s.leg == leg; });
-        end(Noted::Sent(*sent), Result::kCancelled, Span::ms(250));
+        end(Noted::Sent(*sent), AttemptResult::kCancelled, Span::ms(250));
       }
       for (std::size_t i = 0; i < pending.size();) {
         if (pending[i].first > now) {
@@ -149,7 +152,7 @@
     router->clock(now);
     router->woken(1);
   }
-  std::size_t sent_to(BuildId build, std::size_t from = 0) const {
+  std::size_t sent_to(ReleaseVersion build, std::size_t from = 0) const {
     std::size_t n = 0;
     for (std::size_t i = from; i < sink.sent.size(); ++i) n += builds.at(sink.sent[i].host) == build;
     return n;
--- a/tests/local_failures_test.cpp
+++ b/tests/local_failures_test.cpp
@@ -21,19 +21,19 @@
 // An unsafe request as well: it provably never ran.
 TEST(Failures, AnAttemptThatNeverLeftThisMachineIsMadeAgainAndCountsAgainstNobody) {
   for (const unsigned group : {0U, 2U}) {
-    World w(usual_terms());
+    World w(default_settings());
     for (int request = 0; request < 60; ++request) {
       const std::size_t before = w.sink.sent.size();
       w.take(group);
       ASSERT_EQ(w.sink.sent.size(), before + 1);
-      w.end(w.sink.sent.back(), Result::kLocal, Span());
+      w.end(w.sink.sent.back(), AttemptResult::kLocalFailure, Span());
       for (int tick = 0; tick < 5; ++tick) {
         w.now = w.now + Span::ms(20);
         w.router->clock(w.now);
         w.router->woken(1);
       }
       ASSERT_EQ(w.sink.sent.size(), before + 2) << "request " << request;
-      w.end(w.sink.sent.back(), Result::kOk);
+      w.end(w.sink.sent.back(), AttemptResult::kOk);
     }
     EXPECT_TRUE(w.sink.bounced.empty() && w.sink.errored.empty());
     EXPECT_FALSE(w.sink.logged(" out for "));
@@ -41,14 +41,16 @@
 }
 
 TEST(Failures, OneThatLastsIsAnsweredInTimeAfterAFewAttempts) {
-  World w(usual_terms());
-  w.serve = [](BuildId, HostIndex) { return World::Outcome{Result::kLocal, Span()}; };
+  World w(default_settings());
+  w.serve = [](ReleaseVersion, EndpointIndex) {
+    return World::Outcome{AttemptResult::kLocalFailure, Span()};
+  };
   w.run(Span::s(10), 20);
-  w.serve = [](BuildId, HostIndex) { return World::Outcome{}; };
+  w.serve = [](ReleaseVersion, EndpointIndex) { return World::Outcome{}; };
   w.run(Span::s(2), 20);
   EXPECT_GE(w.sink.bounced.size(), 190U);
   EXPECT_TRUE(w.sink.errored.empty());
-  EXPECT_LE(w.sink.sent.size(), 200U * usual_terms().max_forwards + 50U);
+  EXPECT_LE(w.sink.sent.size(), 200U * default_settings().max_forwards + 50U);
   EXPECT_FALSE(w.sink.logged(" out for "));
 }
 
--- a/tests/records_test.cpp
+++ b/tests/records_test.cpp
@@ -134,7 +134,7 @@
 // ---- The operator's file ----
 
 std::string operators_faults(const std::string& text) {
-  DoorTerms door;
+  WireSettings door;
   door.path_groups = {"look"}, door.customers = {"shop"};
   try {
     operators_from(text, "o.cue", &door, nullptr);
--- a/tests/router_test.cpp
+++ b/tests/router_test.cpp
@@ -589,7 +589,7 @@
   Door door_;
   Limits limits_;
   Loop loop_;
-  std::vector<Answer> answers_;
+  std::vector<VoteOutcome> answers_;
   std::vector<std::string> news_;
   void run(const std::function<void(Desk&)>& first, const std::function<bool()>& until) {
     Desk desk(
@@ -598,7 +598,7 @@
           news_.push_back(method + std::string(params.raw()));
           return true;
         },
-        [this](Answer a, const Json* state) {
+        [this](VoteOutcome a, const Json* state) {
           answers_.push_back(a);
           return !state || state->is_object();
         },
@@ -639,12 +639,13 @@
   });
   run(
       [](Desk& d) {
-        for (int i = 0; i < 6; ++i) d.vote(42, 1, Vote::kOn);
+        for (int i = 0; i < 6; ++i) d.vote(42, 1, Vote::kPromote);
       },
       [this] { return answers_.size() >= 6; });
   desk.join();
-  EXPECT_EQ(answers_, (std::vector<Answer>{Answer::kTaken, Answer::kFull, Answer::kVoid, Answer::kFailed,
-                                           Answer::kFailed, Answer::kUnknown}));
+  EXPECT_EQ(answers_, (std::vector<Answer>{VoteOutcome::kAccepted, VoteOutcome::kThrottled,
+                                           VoteOutcome::kConditionFailed, VoteOutcome::kFailed,
+                                           VoteOutcome::kFailed, VoteOutcome::kUnknown}));
   EXPECT_EQ(news_, std::vector<std::string>{"ROLLOUT{\"image\":42}"});
 }
 
@@ -662,9 +663,9 @@
       else s.say("{\"method\":\"NEWS\",\"params\":{}}\n"), usleep(20000);
     }
   });
-  run([](Desk& d) { d.vote(42, 1, Vote::kBack); }, [this] { return !news_.empty(); });
+  run([](Desk& d) { d.vote(42, 1, Vote::kAbort); }, [this] { return !news_.empty(); });
   desk.join();
-  EXPECT_EQ(answers_, std::vector<Answer>{Answer::kUnknown});  // written, then broken: it may count
+  EXPECT_EQ(answers_, std::vector<Answer>{VoteOutcome::kUnknown});  // written, then broken: it may count
   EXPECT_EQ(news_.size(), 1U);
 }
 
@@ -679,16 +680,16 @@
     EXPECT_TRUE(s.ended());
     EXPECT_FALSE(door_.asked(200));
   });
-  run([&](Desk& d) { d.vote(42, 1, Vote::kBack), d.retire([&] { over = true; }); }, [&] { return over; });
+  run([&](Desk& d) { d.vote(42, 1, Vote::kAbort), d.retire([&] { over = true; }); }, [&] { return over; });
   desk.join();
-  EXPECT_EQ(answers_, std::vector<Answer>{Answer::kTaken});
+  EXPECT_EQ(answers_, std::vector<Answer>{VoteOutcome::kAccepted});
   EXPECT_TRUE(news_.empty());
 }
 
 TEST_F(DeskTest, AVoteThatIsNeverWrittenHasFailed) {
   ::close(std::exchange(door_.fd, ::socket(AF_INET, SOCK_STREAM, 0)));  // nobody listens
-  run([](Desk& d) { d.vote(42, 1, Vote::kOn); }, [this] { return !answers_.empty(); });
-  EXPECT_EQ(answers_, std::vector<Answer>{Answer::kFailed});
+  run([](Desk& d) { d.vote(42, 1, Vote::kPromote); }, [this] { return !answers_.empty(); });
+  EXPECT_EQ(answers_, std::vector<Answer>{VoteOutcome::kFailed});
 }
 
 // ---- The start ----
@@ -696,7 +697,7 @@
 TEST(Start, WhatIsMissingIsNamed) {
   const auto complaint = [](const std::string& text) {
     try {
-      read_terms(start_from(text, {}).settings);
+      read_router_settings(start_from(text, {}).settings);
     } catch (const std::runtime_error& e) {
       return std::string(e.what());
     }
@@ -725,7 +726,7 @@
 }
 
 TEST(Start, NestedSettingsBecomePaths) {
-  const Pairs pairs = pairs_of(*Json::parse(
+  const SettingsMap pairs = pairs_of(*Json::parse(
       R"({"tickMs":5.0,"allowed":{"cancel":true},"zones":["a b","c"],"grades":[{"name":"x","worth":2}],"no":[]})"));
   EXPECT_EQ(pairs.number("tickMs"), 5.0);
   EXPECT_TRUE(pairs.flag("allowed.cancel"));
--- a/tests/router_world.hpp
+++ b/tests/router_world.hpp
@@ -142,9 +142,9 @@
   static constexpr int kHosts = 3;
   Door hosts_[kHosts], discovery_, desk_;
   Limits limits_;
-  Terms terms_ = usual_terms();
-  DoorTerms door_{{"look", "book", "pay"}, {"shop"},   {"a", "b"}, {"m"}, {"active"},
-                  Span::ms(250),           Span::s(20)};
+  RouterSettings terms_ = default_settings();
+  WireSettings door_{{"look", "book", "pay"}, {"shop"},   {"a", "b"}, {"m"}, {"active"},
+                     Span::ms(250),           Span::s(20)};
   Loop loop_;
   std::unique_ptr<Service> service_;
   std::thread thread_;
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -8,11 +8,11 @@
 namespace ashbeam {
 namespace {
 
-struct PlainRules : Sink {
+struct PlainRules : RouterActions {
   struct Send {
-    HitId hit;
-    HostIndex host;
-    BuildId build;
+    RequestId hit;
+    EndpointIndex host;
+    ReleaseVersion build;
     unsigned leg, group;
     Instant at;
     bool out = true, may_have_run = true;
@@ -24,64 +24,66 @@
     bool ended = false;
   };
   struct Machine {
-    HostState state;
-    BuildId build;
+    EndpointState state;
+    ReleaseVersion build;
     unsigned zone, cell, kind;
     Instant start;
   };
 
-  explicit PlainRules(const Terms& terms) : terms_(terms) {}
+  explicit PlainRules(const RouterSettings& terms) : terms_(terms) {}
 
-  const Terms terms_;
+  const RouterSettings terms_;
   Instant now;
-  std::map<HitId, Known> hits;
+  std::map<RequestId, Known> hits;
   std::vector<Send> sends;
-  std::map<HostIndex, Machine> list;
+  std::map<EndpointIndex, Machine> list;
   bool told = false;
-  BuildId build = 1;
+  ReleaseVersion build = 1;
   unsigned stage = 0;
-  Phase phase = Phase::kReleased;
+  ReleasePhase phase = ReleasePhase::kReleased;
   double cap = 0;
   Instant cap_since;
-  std::map<std::uint64_t, BuildId> bound;
+  std::map<std::uint64_t, ReleaseVersion> bound;
   std::size_t bounces = 0, errors = 0, trial_sends = 0, refused_rules = 0;
 
-  bool on_trial(BuildId b) const { return b > build || (b == build && phase != Phase::kReleased); }
-  bool may_have_run(HitId hit) const {
+  bool on_trial(ReleaseVersion b) const {
+    return b > build || (b == build && phase != ReleasePhase::kReleased);
+  }
+  bool may_have_run(RequestId hit) const {
     return std::any_of(sends.begin(), sends.end(),
                        [&](const Send& s) { return s.hit == hit && (s.out || s.may_have_run); });
   }
-  Known& open_hit(HitId id) {
+  Known& open_hit(RequestId id) {
     Known& hit = hits.at(id);
     EXPECT_FALSE(hit.ended) << "rule 1: hit " << id << " has its answer already";
     EXPECT_LE(now, hit.give_up) << "rule 1: hit " << id << " is acted on past its client's patience";
     return hit;
   }
 
-  void forward(HitId id, HostIndex h, Span) override {
+  void forward(RequestId id, EndpointIndex h, Span) override {
     Known& hit = open_hit(id);
-    const PathGroup& group = terms_.path_groups[hit.group];
+    const RequestClass& group = terms_.path_groups[hit.group];
     const Machine& host = list.at(h);
     unsigned leg = 0;
     for (const Send& s : sends) {
       if (s.hit != id) continue;
       ++leg;
       if (!s.out && !s.may_have_run) continue;
-      EXPECT_NE(group.repeats, Repeats::kMutating) << "rule 2: a mutating hit goes out again";
+      EXPECT_NE(group.repeats, Idempotency::kUnsafe) << "rule 2: a mutating hit goes out again";
       if (s.out) {
         EXPECT_TRUE(terms_.may_copy) << "two forwards out at once";
       }
-      if (group.repeats != Repeats::kTagged) continue;
+      if (group.repeats != Idempotency::kKeyed) continue;
       EXPECT_LT(now - s.at, group.memory) << "rule 2: a tagged hit goes out past its memory";
-      if (group.group == DropGroup::kZone) {
+      if (group.group == IdempotencyScope::kZone) {
         EXPECT_EQ(list.at(s.host).zone, host.zone) << "rule 2: zone left";
       }
-      if (group.group == DropGroup::kCell) {
+      if (group.group == IdempotencyScope::kCell) {
         EXPECT_EQ(list.at(s.host).cell, host.cell) << "rule 2: cell left";
       }
     }
     EXPECT_LT(leg, terms_.max_forwards);
-    EXPECT_EQ(host.state, HostState::kReady) << "rule 3: host " << h << " drains or is gone";
+    EXPECT_EQ(host.state, EndpointState::kReady) << "rule 3: host " << h << " drains or is gone";
     if (on_trial(host.build)) {
       ++trial_sends;
       const bool announced = told && host.build == build;
@@ -97,7 +99,7 @@
       EXPECT_GT(limit, 0) << "rule 5: cap 0";
       EXPECT_LE(out, terms_.spare + limit * in) << "rule 5: over the cap";
       if ((announced ? stage : 0) < terms_.closed_stages) {
-        EXPECT_EQ(group.repeats, Repeats::kRepeatable) << "rule 5: closed stage";
+        EXPECT_EQ(group.repeats, Idempotency::kIdempotent) << "rule 5: closed stage";
       }
     }
     if (terms_.one_way && bound.contains(hit.key)) {
@@ -111,39 +113,41 @@
       };
       for (const Send& s : sends) sent += s.host == h && s.at >= now - terms_.cold_window;
       for (const auto& [other, k] : hits) taken += k.taken > now - terms_.cold_window;
-      for (const auto& [other, m] : list) ability += m.state == HostState::kReady ? able(m) : 0;
+      for (const auto& [other, m] : list) ability += m.state == EndpointState::kReady ? able(m) : 0;
       EXPECT_LE(sent, 3 + 1.5 * taken * able(host) / ability) << "rule 4: a cold host gets too much";
     }
     sends.push_back({id, h, host.build, leg, hit.group, now});
   }
-  void bounce(HitId id, Span) override {
+  void bounce(RequestId id, Span) override {
     Known& hit = open_hit(id);
-    const PathGroup& group = terms_.path_groups[hit.group];
-    const bool harmless = group.repeats == Repeats::kRepeatable ||
-                          (group.repeats == Repeats::kTagged && group.group == DropGroup::kAll);
+    const RequestClass& group = terms_.path_groups[hit.group];
+    const bool harmless = group.repeats == Idempotency::kIdempotent ||
+                          (group.repeats == Idempotency::kKeyed && group.group == IdempotencyScope::kAll);
     if (!harmless) {
       EXPECT_FALSE(may_have_run(id)) << "rule 2: bounced though it may have run";
     }
     hit.ended = true;
     ++bounces;
   }
-  void error(HitId id) override {
+  void error(RequestId id) override {
     open_hit(id).ended = true;
     ++errors;
   }
-  void cancel(HitId, unsigned) override {}
+  void cancel(RequestId, unsigned) override {}
   void wake(Span, std::uint64_t) override {}
-  void ask_load(HostIndex) override {}
+  void ask_load(EndpointIndex) override {}
   void follow_list() override {}
-  void vote(BuildId, unsigned, Vote v) override { EXPECT_FALSE(terms_.clocked && v == Vote::kOn); }
+  void vote(ReleaseVersion, unsigned, Vote v) override {
+    EXPECT_FALSE(terms_.clocked && v == Vote::kPromote);
+  }
   void tell_peers(std::span<const std::uint8_t>) override {}
   void log(std::string_view) override {}
 };
 
 class Stream {
  public:
-  Stream(const Terms& terms, unsigned seed)
-      : rules_(terms), random_(seed), router_(make_router(terms, seed, rules_)) {
+  Stream(const RouterSettings& terms, unsigned seed)
+      : rules_(terms), random_(seed), router_(make_router_policy(terms, seed, rules_)) {
     router_->clock(now_);
     router_->started();
   }
@@ -173,13 +177,13 @@
     router_->list_begin(true);
     auto old = std::move(rules_.list);
     rules_.list.clear();
-    for (HostIndex h = 0; h < 12; ++h) {
-      PlainRules::Machine m{HostState::kReady, 1, h % 2, h / 3, 0, Instant()};
+    for (EndpointIndex h = 0; h < 12; ++h) {
+      PlainRules::Machine m{EndpointState::kReady, 1, h % 2, h / 3, 0, Instant()};
       if (old.contains(h)) m = old[h];
-      if (draw(0, 9) == 0) m.state = static_cast<HostState>(draw(0, 2));
+      if (draw(0, 9) == 0) m.state = static_cast<EndpointState>(draw(0, 2));
       if (draw(0, 9) == 0)
-        m = {HostState::kReady,
-             static_cast<BuildId>(draw(-1, 1) + static_cast<int>(rules_.build)),
+        m = {EndpointState::kReady,
+             static_cast<ReleaseVersion>(draw(-1, 1) + static_cast<int>(rules_.build)),
              m.zone,
              m.cell,
              0,
@@ -192,27 +196,28 @@
   }
   void change_stage() {
     const auto last = static_cast<unsigned>(rules_.terms_.caps.size()) - 1;
-    if (!rules_.told || rules_.phase == Phase::kWithdrawn || rules_.phase == Phase::kReleased) {
-      rules_.phase = rules_.told ? Phase::kTrial : Phase::kReleased;
+    if (!rules_.told || rules_.phase == ReleasePhase::kWithdrawn || rules_.phase == ReleasePhase::kReleased) {
+      rules_.phase = rules_.told ? ReleasePhase::kCanary : ReleasePhase::kReleased;
       rules_.stage = rules_.told ? 0 : last;
       rules_.build += rules_.told;
-    } else if (rules_.phase == Phase::kReverting) {
-      rules_.phase = Phase::kWithdrawn;
+    } else if (rules_.phase == ReleasePhase::kRollingBack) {
+      rules_.phase = ReleasePhase::kWithdrawn;
     } else if (draw(0, 3) == 0) {
-      rules_.phase = Phase::kReverting;
+      rules_.phase = ReleasePhase::kRollingBack;
     } else if (rules_.stage == last) {
-      rules_.phase = Phase::kReleased;
+      rules_.phase = ReleasePhase::kReleased;
     } else {
       ++rules_.stage;
     }
-    const bool back = rules_.phase == Phase::kReverting || rules_.phase == Phase::kWithdrawn;
+    const bool back = rules_.phase == ReleasePhase::kRollingBack || rules_.phase == ReleasePhase::kWithdrawn;
     rules_.cap = back ? 0 : rules_.terms_.caps[rules_.stage];
     if (back) rules_.bound.clear();
     rules_.told = true;
-    router_->stage_told(rules_.build, rules_.stage, rules_.phase, false, Answer::kTaken, rules_.cap, Span());
+    router_->stage_told(rules_.build, rules_.stage, rules_.phase, false, VoteOutcome::kAccepted, rules_.cap,
+                        Span());
   }
   void take() {
-    const HitId id = next_++;
+    const RequestId id = next_++;
     const auto group = static_cast<unsigned>(draw(0, 2));
     const auto key = static_cast<std::uint64_t>(draw(0, 40));
     const Instant give_up = now_ + Span::ms(draw(100, 2000));
@@ -226,15 +231,16 @@
       const Instant give_up = rules_.hits.at(s.hit).give_up;
       if (now_ < give_up && draw(0, 15) != 0) continue;
       const int fate = draw(0, 11);
-      Result result = fate < 6 ? Result::kOk : static_cast<Result>(draw(1, 7));
-      if (now_ >= give_up) result = Result::kTimeout;
+      AttemptResult result = fate < 6 ? AttemptResult::kOk : static_cast<AttemptResult>(draw(1, 7));
+      if (now_ >= give_up) result = AttemptResult::kTimeout;
       s.out = false;
-      s.may_have_run = result != Result::kFull && result != Result::kNoConnect && result != Result::kMoot;
+      s.may_have_run = result != AttemptResult::kRejected && result != AttemptResult::kConnectFailed &&
+                       result != AttemptResult::kCancelledBeforeSent;
       const PlainRules::Send sent = s;
       auto& hit = rules_.hits.at(s.hit);
-      if (result == Result::kOk) hit.ended = true;
-      if (result == Result::kOk && hit.key != 0 && sent.build >= rules_.build &&
-          rules_.phase != Phase::kReverting && rules_.phase != Phase::kWithdrawn) {
+      if (result == AttemptResult::kOk) hit.ended = true;
+      if (result == AttemptResult::kOk && hit.key != 0 && sent.build >= rules_.build &&
+          rules_.phase != ReleasePhase::kRollingBack && rules_.phase != ReleasePhase::kWithdrawn) {
         auto& b = rules_.bound[hit.key];
         b = std::max(b, sent.build);
       }
@@ -243,16 +249,16 @@
   }
 
   std::mt19937 random_;
-  std::unique_ptr<Router> router_;
+  std::unique_ptr<RouterPolicy> router_;
   Instant now_ = Instant::at_us(0) + Span::s(50);
-  HitId next_ = 1;
+  RequestId next_ = 1;
   int step_ = 0;
 };
 
 TEST(Rules, PlainModelAgreesOnGeneratedStreams) {
   std::size_t trial = 0, bounces = 0, errors = 0;
   for (unsigned seed = 1; seed <= 24; ++seed) {
-    Terms terms = usual_terms();
+    RouterSettings terms = default_settings();
     terms.path_groups[1].memory = Span::ms(250);
     terms.one_way = seed % 2 == 0;
     terms.by_path_group = seed % 3 == 0;
@@ -260,8 +266,8 @@
     terms.may_copy = seed % 5 != 0;
     terms.clocked = seed % 7 == 0;
     terms.rolling = seed % 2 == 1;
-    if (seed % 6 == 0) terms.path_groups[1].group = DropGroup::kAll;
-    if (seed % 6 == 1) terms.path_groups[1].group = DropGroup::kCell;
+    if (seed % 6 == 0) terms.path_groups[1].group = IdempotencyScope::kAll;
+    if (seed % 6 == 1) terms.path_groups[1].group = IdempotencyScope::kCell;
     SCOPED_TRACE("seed " + std::to_string(seed));
     Stream stream(terms, seed);
     stream.run(Span::s(20));
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -7,13 +7,13 @@
 namespace ashbeam {
 namespace {
 
-using Sent = std::vector<std::pair<HitId, HostIndex>>;
+using Sent = std::vector<std::pair<RequestId, EndpointIndex>>;
 
-Sent played(const Terms& terms, const std::vector<unsigned>& groups) {
+Sent played(const RouterSettings& terms, const std::vector<unsigned>& groups) {
   World w(terms, 6, 2);
-  w.stage(2, 0, Phase::kTrial, terms.caps[0]);
-  w.serve = [](BuildId, HostIndex h) {
-    return World::Outcome{h % 5 == 4 ? Result::kError : Result::kOk, Span::ms(60)};
+  w.stage(2, 0, ReleasePhase::kCanary, terms.caps[0]);
+  w.serve = [](ReleaseVersion, EndpointIndex h) {
+    return World::Outcome{h % 5 == 4 ? AttemptResult::kError : AttemptResult::kOk, Span::ms(60)};
   };
   w.run(Span::s(8), 60, groups);
   Sent all;
@@ -22,9 +22,10 @@
 }
 
 TEST(Settings, TwoDeploymentsInTurnAreDecidedAsEachAlone) {
-  const Terms one = usual_terms();
-  Terms other;  // fewer path groups in another order, one zone, other limits, more kinds, more stages
-  other = usual_terms();
+  const RouterSettings one = default_settings();
+  RouterSettings
+      other;  // fewer path groups in another order, one zone, other limits, more kinds, more stages
+  other = default_settings();
   other.path_groups = {other.path_groups[2], other.path_groups[0]};
   other.path_groups[0].client_timeout = Span::s(6), other.path_groups[1].client_timeout = Span::ms(900);
   other.zones = 1, other.kinds = 3, other.max_forwards = 2, other.may_copy = false, other.one_way = true;
@@ -38,15 +39,15 @@
 // Of hits that may be late those over their customer's share are given up first, whoever that is.
 TEST(Settings, CustomersSideBySideAreHeldToTheirOwnShares) {
   const auto bounced = [](const std::vector<double>& shares) {
-    Terms terms = usual_terms();
+    RouterSettings terms = default_settings();
     terms.customer_per_s = shares;
     terms.over_share_worth = 0.05;
     World w(terms, 4);
     w.customers = static_cast<unsigned>(shares.size());
-    w.serve = [](BuildId, HostIndex) { return World::Outcome{Result::kOk, Span::ms(200)}; };
+    w.serve = [](ReleaseVersion, EndpointIndex) { return World::Outcome{AttemptResult::kOk, Span::ms(200)}; };
     w.run(Span::s(20), 60);
     std::vector<std::size_t> by(shares.size());
-    for (const HitId hit : w.sink.bounced) ++by[hit % by.size()];
+    for (const RequestId hit : w.sink.bounced) ++by[hit % by.size()];
     return by;
   };
   const auto by = bounced({400, 2}), swapped = bounced({2, 400}), stranger = bounced({400, 400, 0});
--- a/tests/simhost_test.cpp
+++ b/tests/simhost_test.cpp
@@ -168,7 +168,7 @@
 TEST(Settings, CountsThatMakeNoSenseAreReadSafelyAndSaidOnce) {
   const auto read = [](const std::string& more, std::size_t said) {
     std::vector<std::string> doubts;
-    const Terms t = read_terms(Pairs(kInfo + more), &doubts);
+    const RouterSettings t = read_router_settings(SettingsMap(kInfo + more), &doubts);
     EXPECT_EQ(doubts.size(), said) << more;
     return t;
   };
@@ -184,8 +184,9 @@
 // Whoever is no customer of the settings has no share, and no other customer's.
 TEST(Settings, ThereIsAPlaceWithoutAShareForWhoeverIsNoCustomer) {
   const std::string two = "parties.count=2\nparties.0.name=x\nparties.0.allowancePerS=9\nparties.1.name=y\n";
-  EXPECT_EQ(read_terms(Pairs(kInfo + two)).customer_per_s, (std::vector<double>{9, 0, 0}));
-  EXPECT_TRUE(read_terms(Pairs(kInfo + std::string("parties.count=0\n"))).customer_per_s.empty());
+  EXPECT_EQ(read_router_settings(SettingsMap(kInfo + two)).customer_per_s, (std::vector<double>{9, 0, 0}));
+  EXPECT_TRUE(
+      read_router_settings(SettingsMap(kInfo + std::string("parties.count=0\n"))).customer_per_s.empty());
 }
 
 }  // namespace
--- a/tests/tls_test.cpp
+++ b/tests/tls_test.cpp
@@ -63,9 +63,9 @@
     desk_ = std::make_unique<standins::Desk>(theirs_, limits_, std::vector<double>{1},
                                              [](const standins::Desk::State&) {});
     discovery_->put({"h", host_->address(), "up", 1, Instant()});
-    const DoorTerms door{{"look", "book", "pay"}, {"shop"},   {"one"}, {"usual"}, {},
-                         Span::ms(250),           Span::s(20)};
-    Terms terms = usual_terms();
+    const WireSettings door{{"look", "book", "pay"}, {"shop"},   {"one"}, {"usual"}, {},
+                            Span::ms(250),           Span::s(20)};
+    RouterSettings terms = default_settings();
     terms.routers = 1, terms.zones = 1;
     service_ = std::make_unique<Service>(loop_, limits_, terms, door,
                                          Site{"n", "127.0.0.1:0", discovery_->address(), desk_->address(), 7,
