--- a/proofs/discovery_queue.cpp
+++ b/proofs/discovery_queue.cpp
@@ -67,8 +67,8 @@
 
 Span first_ask(unsigned routers) {
   RouterSettings terms;
-  terms.routers = routers;
-  terms.ask_within = Span::s(10);
+  terms.router_count = routers;
+  terms.endpoint_poll_interval = Span::s(10);
   return limits_for(1024, WireSettings{}, terms).first_ask;
 }
 
--- a/proofs/fleet.cpp
+++ b/proofs/fleet.cpp
@@ -15,9 +15,9 @@
 #include <vector>
 
 #include "base/pcg.hpp"
-#include "choice.hpp"
 #include "figures.hpp"
 #include "fleet_settings.hpp"
+#include "policy/router_policy.hpp"
 
 namespace ashbeam {
 namespace {
@@ -64,7 +64,8 @@
     }
     per_s_ = cores * 1000 / kWorkMs;
     terms_ = fleet_settings(routers, kShares * per_s_);
-    if (release != Release::kNone) terms_.bake = Span::ms(1200), terms_.votes_per_s = routers / 4.0;
+    if (release != Release::kNone)
+      terms_.bake_time = Span::ms(1200), terms_.platform_calls_per_s = routers / 4.0;
     double weights = 0;
     for (unsigned r = 0; r < routers; ++r) {
       routers_[r].fleet = this;
@@ -123,20 +124,18 @@
     std::vector<Hit> hits;
     std::vector<Instant> drain_told;
     std::deque<Instant> taken[3], trial[3];
-    void forward(RequestId hit, EndpointIndex host, Span) override { fleet->forward(*this, hit, host); }
-    void bounce(RequestId hit, Span after) override { fleet->finish(*this, hit, after); }
-    void error(RequestId hit) override { fleet->finish(*this, hit, Span()); }
-    void cancel(RequestId hit, unsigned leg) override {
+    void send_attempt(RequestId hit, EndpointIndex host) override { fleet->forward(*this, hit, host); }
+    void reject(RequestId hit, Span after) override { fleet->finish(*this, hit, after); }
+    void fail(RequestId hit) override { fleet->finish(*this, hit, Span()); }
+    void cancel_attempt(RequestId hit, unsigned leg) override {
       fleet->due_.push(
           {fleet->now_ + kStep, ++fleet->order_, me, life, 1, hit, leg, AttemptResult::kCancelled});
     }
-    void wake(Span in, std::uint64_t token) override {
+    void schedule_wakeup(Span in, std::uint64_t token) override {
       fleet->due_.push({fleet->now_ + in, ++fleet->order_, me, life, 2, 0, static_cast<unsigned>(token), {}});
     }
-    void ask_load(EndpointIndex) override {}
-    void follow_list() override {}
-    void vote(ReleaseVersion, unsigned stage, Vote vote) override { fleet->vote(*this, stage, vote); }
-    void tell_peers(std::span<const std::uint8_t>) override {}
+    void watch_endpoints() override {}
+    void cast_vote(ReleaseVersion, unsigned stage, Vote vote) override { fleet->vote(*this, stage, vote); }
     void log(std::string_view) override {}
   };
   struct Due {
@@ -162,25 +161,25 @@
     RouterSettings terms = terms_;
     terms.zone = r.me % 2;
     r.router = make_router_policy(terms, chance_.next() | 1ULL, r);
-    r.router->clock(now_);
-    r.router->started();
-    r.router->list_begin(true);
+    r.router->set_time(now_);
+    r.router->start();
+    r.router->begin_endpoint_update(true);
     for (unsigned h = 0; h < hosts_.size(); ++h) {
       if (!hosts_[h].there) continue;
-      r.router->list_host(h, EndpointState::kReady, hosts_[h].build, hosts_[h].zone, h, hosts_[h].kind, {});
+      r.router->update_endpoint(
+          {h, EndpointState::kReady, hosts_[h].build, hosts_[h].zone, h, hosts_[h].kind, {}});
     }
-    r.router->list_end();
+    r.router->end_endpoint_update();
     if (release_ == Release::kNone)
-      r.router->stage_told(2, 0, ReleasePhase::kCanary, false, VoteOutcome::kAccepted, terms_.caps[0],
-                           Span::s(4));
-    else r.router->stage_told(1, 2, ReleasePhase::kReleased, false, VoteOutcome::kAccepted, 1, Span::s(60));
+      r.router->on_release_state({2, 0, ReleasePhase::kCanary, terms_.exposure_caps[0], Span::s(4)});
+    else r.router->on_release_state({1, 2, ReleasePhase::kReleased, 1, Span::s(60)});
   }
 
   // ---- The desk ----
 
   void run_desk() {
     if (offered_ == Instant()) offered_ = now_, move_to(0);
-    tokens_ = std::min(tokens_ + terms_.votes_per_s * kStep.s(), terms_.votes_per_s);
+    tokens_ = std::min(tokens_ + terms_.platform_calls_per_s * kStep.s(), terms_.platform_calls_per_s);
     if (phase_ != ReleasePhase::kCanary) return;
     if (now_ - tallied_ >= kTally) {
       tallied_ = now_;
@@ -189,18 +188,18 @@
     }
     unsigned on = 0, off = 0;
     for (const Stands& s : stands_) {
-      if (now_ - s.since > terms_.vote_life) continue;
+      if (now_ - s.since > terms_.vote_ttl) continue;
       on += s.vote == Vote::kPromote && s.stage == stage_, off += s.vote == Vote::kAbort;
     }
     const Span at = now_ - offered_;
-    if (off >= terms_.back_needed) {
+    if (off >= terms_.abort_votes_needed) {
       phase_ = ReleasePhase::kRollingBack, tally_.back_s = at.s();
       for (unsigned h = 0; h < hosts_.size(); ++h) {
         if (hosts_[h].build == 2 && hosts_[h].there) hosts_[h].drains = true, tell(h);
       }
       tell_stage();
-    } else if (on >= routers_.size() * 2 / 5 && now_ - clock_from_ >= terms_.bake) {
-      if (stage_ + 1 < terms_.rings.size()) return move_to(stage_ + 1);
+    } else if (on >= routers_.size() * 2 / 5 && now_ - clock_from_ >= terms_.bake_time) {
+      if (stage_ + 1 < terms_.stage_fractions.size()) return move_to(stage_ + 1);
       phase_ = ReleasePhase::kReleased, tally_.released_s = at.s();
       tell_stage();
     }
@@ -210,7 +209,7 @@
     stage_ = stage, moved_ = now_;
     tell_stage();
     const auto half = static_cast<unsigned>(hosts_.size() / 2);
-    const auto places = static_cast<unsigned>(std::lround(terms_.rings[stage] * half));
+    const auto places = static_cast<unsigned>(std::lround(terms_.stage_fractions[stage] * half));
     Span last;
     for (unsigned h = half; h < half + places; ++h) {
       if (hosts_[h].there) continue;
@@ -237,8 +236,9 @@
   }
 
   void tell_router(Instance& r, bool answers, VoteOutcome answer) {
-    const double cap = phase_ == ReleasePhase::kRollingBack ? 0 : terms_.caps[stage_];
-    r.router->stage_told(2, stage_, phase_, answers, answer, cap, now_ - moved_);
+    const double cap = phase_ == ReleasePhase::kRollingBack ? 0 : terms_.exposure_caps[stage_];
+    if (answers && answer != VoteOutcome::kAccepted) r.router->on_vote_refused(answer);
+    else r.router->on_release_state({2, stage_, phase_, cap, now_ - moved_});
   }
 
   // Each router is told on its own, most soon, some late.
@@ -279,16 +279,16 @@
 
   void ask(Instance& r, unsigned tries) {
     const auto id = static_cast<RequestId>(r.hits.size());
-    r.hits.push_back({chance_.below(3), tries, false, now_ + terms_.path_groups[0].client_timeout, {}});
+    r.hits.push_back({chance_.below(3), tries, false, now_ + terms_.request_classes[0].client_timeout, {}});
     r.taken[r.hits.back().group].push_back(now_);
     ++tally_.asked;
-    r.router->clock(now_);
-    r.router->taken(id, r.hits[id].group, 0, 0, r.hits[id].give_up, 0);
+    r.router->set_time(now_);
+    r.router->on_request({id, r.hits[id].group, 0, 0, r.hits[id].give_up});
   }
 
   double able(const Host& h) const {
-    const double grown = std::clamp((now_ - h.start) / terms_.warm_after, 0.0, 1.0);
-    return terms_.start_capacity + (1 - terms_.start_capacity) * grown;
+    const double grown = std::clamp((now_ - h.start) / terms_.slow_start_duration, 0.0, 1.0);
+    return terms_.initial_capacity + (1 - terms_.initial_capacity) * grown;
   }
 
   void forward(Instance& r, RequestId id, EndpointIndex at) {
@@ -312,11 +312,11 @@
     const double work = -std::log(1 - chance_.unit()) * kWorkMs;
     h.sent.emplace_back(now_, work);
     h.sum += work;
-    while (h.sent.front().first < now_ - terms_.cold_window)
+    while (h.sent.front().first < now_ - terms_.slow_start_window)
       h.sum -= h.sent.front().second, h.sent.pop_front();
-    const bool cold = now_ - h.start < terms_.warm_after;
+    const bool cold = now_ - h.start < terms_.slow_start_duration;
     if (cold) {
-      const double budget = terms_.cold_multiple * able(h) * h.cores * terms_.cold_window.ms();
+      const double budget = terms_.overload_multiple * able(h) * h.cores * terms_.slow_start_window.ms();
       const double falls =
           budget + kChance * std::sqrt(2 * budget * kWorkMs);  // work is spread exponentially
       tally_.cold_peak = std::max(tally_.cold_peak, h.sum / falls);
@@ -341,12 +341,12 @@
   void count_trial(Instance& r, unsigned group) {
     auto &out = r.trial[group], &in = r.taken[group];
     out.push_back(now_);
-    while (out.front() < now_ - terms_.window) out.pop_front();
-    while (!in.empty() && in.front() < now_ - terms_.window) in.pop_front();
+    while (out.front() < now_ - terms_.exposure_window) out.pop_front();
+    while (!in.empty() && in.front() < now_ - terms_.exposure_window) in.pop_front();
     ++tally_.trial_sent;
     if (release_ == Release::kNone)
-      tally_.over_cap +=
-          static_cast<double>(out.size()) > terms_.spare + terms_.caps[0] * static_cast<double>(in.size());
+      tally_.over_cap += static_cast<double>(out.size()) >
+                         terms_.exposure_allowance + terms_.exposure_caps[0] * static_cast<double>(in.size());
   }
 
   void finish(Instance& r, RequestId id, Span after) {
@@ -367,8 +367,8 @@
       return start(d.hit);
     }
     if (!r.router || (d.what != 3 && d.life != r.life)) return;
-    r.router->clock(now_);
-    if (d.what == 2) return r.router->woken(d.other);
+    r.router->set_time(now_);
+    if (d.what == 2) return r.router->on_wakeup(d.other);
     if (d.what == 4) return ask(r, d.other);
     if (d.what == 5) return tell_router(r, true, static_cast<VoteOutcome>(d.hit));
     if (d.what == 6) return tell_router(r, false, VoteOutcome::kAccepted);
@@ -376,7 +376,7 @@
       for (unsigned build = 1; build <= 2; ++build) {
         for (unsigned g = 0; g < 3; ++g) {
           const auto [all, lost] = told_[build - 1][g];
-          if (all > 0) r.router->tally_told(build, g, all, lost, Span::ms(100), Span());
+          if (all > 0) r.router->on_outcome_sample({build, g, all, lost});
         }
       }
       return;
@@ -385,10 +385,10 @@
       const Host& h = hosts_[d.hit];
       if (h.drains && r.drain_told[d.hit] == Instant::never())
         r.drain_told[d.hit] = now_, ++tally_.drains_told;
-      r.router->list_begin(false);
-      r.router->list_host(d.hit, h.drains ? EndpointState::kDraining : EndpointState::kReady, h.build, h.zone,
-                          d.hit, h.kind, h.start);
-      return r.router->list_end();
+      r.router->begin_endpoint_update(false);
+      r.router->update_endpoint({d.hit, h.drains ? EndpointState::kDraining : EndpointState::kReady, h.build,
+                                 h.zone, d.hit, h.kind, h.start});
+      return r.router->end_endpoint_update();
     }
     Hit& hit = r.hits[d.hit];
     Leg& leg = hit.legs[d.other];
@@ -397,7 +397,7 @@
     leg.may_have_run = d.result != AttemptResult::kRejected && d.result != AttemptResult::kConnectFailed;
     const bool ok = d.result == AttemptResult::kOk && !hit.done;
     if (ok) hit.done = true, ++tally_.served;
-    r.router->ended(d.hit, d.other, leg.host, d.result, now_ - leg.sent, ok, {});
+    r.router->on_attempt_end({d.hit, d.other, leg.host, d.result, now_ - leg.sent, ok});
   }
 
   struct Stands {
--- a/src/choice.cpp
+++ b/src/policy/router_policy.cpp
@@ -3,7 +3,7 @@
 // goes to the build on trial and climbs while all is quiet, steps back on moderate harm, and drops to zero
 // with a 'back' vote on severe harm. In order: news, judging, share and votes, picking a host, a hit's steps,
 // guards. Whatever is sent, bounced or errored passes the guards at the end.
-#include "choice.hpp"
+#include "policy/router_policy.hpp"
 
 #include <algorithm>
 #include <array>
@@ -80,7 +80,7 @@
   unsigned zone = 0, cell = 0, kind = 0;
   Instant last_start, last_heard, last_ok, unheard_since, rest_until;
   Instant dead_at;      // when it last refused a connection, or none came up
-  Instant valid_until;  // by its own answers, see host_valid
+  Instant valid_until;  // by its own answers, see extend_endpoint_validity
   Span rest = kFirstRest;
   unsigned open = 0;
   Speed speed;           // see unit_ms()
@@ -155,54 +155,70 @@
   using Wish = std::tuple<Vote, ReleaseVersion, unsigned>;  // and its stage
 
  public:
-  void clock(Instant now) override { now_ = now; }
+  void set_time(Instant now) override { now_ = now; }
 
   Choice(const RouterSettings& t, std::uint64_t seed, RouterActions& sink)
-      : sink_(sink), chance_(seed), zone_(t.zone), kinds_(t.kinds),
-        max_forwards_(std::min(t.max_forwards, kMostLegs)), must_ask_(t.must_ask), may_cancel_(t.may_cancel),
-        may_copy_(t.may_copy), by_group_(t.by_path_group), one_way_(t.one_way), clocked_(t.clocked),
-        rolling_(t.rolling), longest_retry_after_(t.longest_retry_after),
-        calls_for_list_(std::min(t.ask_within, kLongestAsk)), cold_window_(t.cold_window),
-        warm_after_(t.warm_after), tick_(t.tick), window_(t.window), vote_life_(t.vote_life),
-        vote_round_(Span::s(t.routers / std::max(t.votes_per_s, 1.0))),
-        back_round_(Span::s(t.back_needed / std::max(t.votes_per_s, 1.0))), start_capacity_(t.start_capacity),
-        further_most_(std::max(kFurtherMost / t.routers, 2 * kCopyCost)), anew_part_(kAnew / t.routers),
-        crowd_(std::log(std::max(1.0, t.routers / (kFewJudges * std::max(t.back_needed, 1U))))),
-        sure_(kSure + 2 * crowd_), pace_(std::clamp(t.bake / kUsualBake, 0.3, 1.0)),
-        cross_price_(t.cross_price), over_share_worth_(t.over_share_worth), first_cap_(t.caps.front()),
-        spare_(t.spare), reported_share_(t.reported_share), rings_(t.rings), closed_stages_(t.closed_stages) {
-    for (const RequestClass& g : t.path_groups) {
-      groups_.push_back({g.repeats, g.group, g.target, g.memory, g.benefit, g.target.ms() / 6, {}, {}});
+      : sink_(sink), chance_(seed), zone_(t.zone), kinds_(t.machine_type_count),
+        max_forwards_(std::min(t.max_attempts, kMostLegs)), must_ask_(t.must_watch_endpoints),
+        may_cancel_(t.may_cancel), may_copy_(t.may_hedge), by_group_(t.exposure_per_class),
+        one_way_(t.sticky_keys), clocked_(t.promoted_by_clock), rolling_(t.rolling_update),
+        longest_retry_after_(t.max_retry_after),
+        calls_for_list_(std::min(t.endpoint_poll_interval, kLongestAsk)), cold_window_(t.slow_start_window),
+        warm_after_(t.slow_start_duration), tick_(t.clock_tick), window_(t.exposure_window),
+        vote_life_(t.vote_ttl), vote_round_(Span::s(t.router_count / std::max(t.platform_calls_per_s, 1.0))),
+        back_round_(Span::s(t.abort_votes_needed / std::max(t.platform_calls_per_s, 1.0))),
+        start_capacity_(t.initial_capacity),
+        further_most_(std::max(kFurtherMost / t.router_count, 2 * kCopyCost)),
+        anew_part_(kAnew / t.router_count),
+        crowd_(std::log(std::max(1.0, t.router_count / (kFewJudges * std::max(t.abort_votes_needed, 1U))))),
+        sure_(kSure + 2 * crowd_), pace_(std::clamp(t.bake_time / kUsualBake, 0.3, 1.0)),
+        cross_price_(t.cross_zone_cost), over_share_worth_(t.over_quota_weight),
+        first_cap_(t.exposure_caps.front()), spare_(t.exposure_allowance),
+        reported_share_(t.dispute_report_fraction), rings_(t.stage_fractions),
+        closed_stages_(t.idempotent_only_stages) {
+    for (const RequestClass& g : t.request_classes) {
+      groups_.push_back({g.idempotency,
+                         g.scope,
+                         g.latency_objective,
+                         g.key_retention,
+                         g.priority_weight,
+                         g.latency_objective.ms() / 6,
+                         {},
+                         {}});
     }
-    for (const double per_s : t.customer_per_s) customers_.push_back({per_s / t.routers, per_s / t.routers});
+    for (const double per_s : t.tenant_quota_per_s)
+      customers_.push_back({per_s / t.router_count, per_s / t.router_count});
     for (const GroupFigures& g : groups_) mean_ms_ += g.mean_ms / static_cast<double>(groups_.size());
     recent_.mean = usual_.mean = mean_ms_ / kFreeLoad;
     for (const Customer& c : customers_) fair_per_s_ += c.per_s;
-    unsure_ = kUnsurePart * t.cold_multiple;
+    unsure_ = kUnsurePart * t.overload_multiple;
     further_ = further_most_;
-    if (!t.retry_after) longest_retry_after_ = Span();
+    if (!t.may_send_retry_after) longest_retry_after_ = Span();
     for (auto& by_kind : samples_) by_kind.resize(kinds_ * groups_.size());
     for (auto& by_group : tally_) by_group.resize(groups_.size());
     kind_.resize(kinds_);
-    zones_.resize(t.zones);
-    speeds_.resize(t.zones * kinds_, {usual_.mean, {}});
+    zones_.resize(t.zone_count);
+    speeds_.resize(t.zone_count * kinds_, {usual_.mean, {}});
   }
 
   // ---- News ----
 
-  void started() override {
+  void start() override {
     quiet_from_ = full_from_ = stage_since_ = born_ = now_;
-    sink_.wake(kBeat, kBeatToken);
-    if (must_ask_) sink_.follow_list();
+    sink_.schedule_wakeup(kBeat, kBeatToken);
+    if (must_ask_) sink_.watch_endpoints();
   }
 
-  void list_begin(bool whole) override {
-    calls_for_list_.succeeded();  // not at list_end: news of a stage ends there too, again and again
+  void begin_endpoint_update(bool whole) override {
+    calls_for_list_.succeeded();  // not at its end: news of a stage ends there too, again and again
     for (Host& host : hosts_) host.in_list = !whole && host.in_list;
   }
 
-  void list_host(EndpointIndex h, EndpointState state, ReleaseVersion build, unsigned zone, unsigned cell,
-                 unsigned kind, Instant last_start) override {
+  void update_endpoint(const EndpointUpdate& update) override {
+    const EndpointIndex h = update.endpoint;
+    const ReleaseVersion build = update.version;
+    const unsigned zone = update.zone;
+    const Instant last_start = update.started_at;
     if (h >= hosts_.size()) hosts_.resize(h + 1);
     Host& host = hosts_[h];
     if (host.build != build || host.last_start != last_start || host.state == EndpointState::kRemoved) {
@@ -211,13 +227,13 @@
       host.by_group.resize(groups_.size() + 1);
       host.last_heard = now_, host.phase = chance_.unit();
     }
-    host.in_list = true, host.state = state, host.build = build, host.last_start = last_start;
-    host.zone = zone, host.cell = cell, host.kind = std::min(kind, kinds_ - 1);
+    host.in_list = true, host.state = update.state, host.build = build, host.last_start = last_start;
+    host.zone = zone, host.cell = update.cell, host.kind = std::min(update.machine_type, kinds_ - 1);
     if (zone >= zones_.size())
       zones_.resize(zone + 1), speeds_.resize((zone + 1) * kinds_, {usual_.mean, {}});
   }
 
-  void list_end() override {
+  void end_endpoint_update() override {
     ready_ = trial_ready_ = earlier_ready_ = 0;
     ReleaseVersion lowest = UINT32_MAX;
     newest_start_ = Instant();
@@ -240,26 +256,34 @@
   }
 
   // The list could not be had: the old one stands for as long as it is valid.
-  void list_failed() override { sink_.wake(calls_for_list_.wait_after_failure(chance_.unit()), kAskToken); }
+  void on_endpoint_watch_failed() override {
+    sink_.schedule_wakeup(calls_for_list_.wait_after_failure(chance_.unit()), kAskToken);
+  }
 
-  void list_valid(const EndpointListValidity& validity) override { list_validity_ = validity; }
+  void set_endpoint_list_validity(const EndpointListValidity& validity) override {
+    list_validity_ = validity;
+  }
 
-  void host_valid(EndpointIndex h, Instant until) override {
+  void extend_endpoint_validity(EndpointIndex h, Instant until) override {
     if (h < hosts_.size()) hosts_[h].valid_until = std::max(hosts_[h].valid_until, until);
   }
 
-  void stage_told(ReleaseVersion build, unsigned stage, ReleasePhase phase, bool answers_vote,
-                  VoteOutcome answer, double cap, Span age) override {
-    if (answers_vote && answer != VoteOutcome::kAccepted) {
-      // No news with it. Void, full or failed: nothing stands. No answer: it may stand, so it is cast again.
-      standing_ = Vote::kAbstain;
-      next_vote_ = now_ + turn(answer == VoteOutcome::kConditionFailed ? 2 : 0.25, 0.75);
-      return;
-    }
+  // No news comes with it. Condition failed, throttled or failed: nothing stands. No answer: it may stand, so
+  // it is cast again.
+  void on_vote_refused(VoteOutcome outcome) override {
+    standing_ = Vote::kAbstain;
+    next_vote_ = now_ + turn(outcome == VoteOutcome::kConditionFailed ? 2 : 0.25, 0.75);
+  }
+
+  void on_release_state(const ReleaseState& state) override {
+    const ReleaseVersion build = state.version;
+    const unsigned stage = state.stage;
+    const ReleasePhase phase = state.phase;
+    const double cap = state.exposure_cap;
     if (told_ && build < build_) return;
     if (!told_ || build != build_) fresh_build(build);
     if (stage != stage_ || phase != phase_ || !told_) {
-      stage_since_ = now_ - age;
+      stage_since_ = now_ - state.age;
       if (standing_ == Vote::kPromote || standing_ == Vote::kPause) standing_ = Vote::kAbstain;
       held_ = false;
       if (told_ || phase == ReleasePhase::kCanary)
@@ -274,19 +298,21 @@
     stage_ = stage;
     phase_ = phase;
     cap_ = cap;
-    list_end();
+    end_endpoint_update();
   }
 
-  void tally_told(ReleaseVersion build, unsigned group, std::uint32_t count, std::uint32_t lost, Span,
-                  Span) override {
+  void on_outcome_sample(const OutcomeSample& sample) override {
+    const ReleaseVersion build = sample.version;
+    const unsigned group = sample.request_class;
     if (group >= groups_.size() || build > build_) return;
     Count& c = tally_[build == build_][group];
     if (c.all > kTallyFade) c.all /= 2, c.failed /= 2;
-    c.merge({1.0 * count, 1.0 * lost});
+    c.merge({1.0 * sample.count, 1.0 * sample.failed});
   }
 
-  void answer_disputed(EndpointIndex h, unsigned, Span since_sent) override {
-    if (h < hosts_.size() && now_ - since_sent > hosts_[h].last_start) hosts_[h].served.failed += 1;
+  void on_disputed_answer(const DisputedAnswer& disputed) override {
+    const EndpointIndex h = disputed.endpoint;
+    if (h < hosts_.size() && now_ - disputed.since_sent > hosts_[h].last_start) hosts_[h].served.failed += 1;
   }
 
   // ---- Judging ----
@@ -609,7 +635,7 @@
     }
     if (now_ < next_vote_) return;
     if (!stands) log("vote %d: build %u stage %u share %.2f", static_cast<int>(vote), build_, stage_, share_);
-    sink_.vote(build_, stage_, vote);
+    sink_.cast_vote(build_, stage_, vote);
     standing_ = vote, standing_stage_ = stage_, voted_at_ = now_;
     next_vote_ = now_ + std::min(turn(0.5, 0.5), vote_life_ * 0.7);
   }
@@ -756,15 +782,17 @@
 
   // ---- A hit's steps ----
 
-  void taken(RequestId id, unsigned group, unsigned customer, std::uint64_t key, Instant give_up_at,
-             double) override {
-    if (group >= groups_.size()) return sink_.error(id);
+  void on_request(const RequestArrival& arrival) override {
+    const RequestId id = arrival.request;
+    const unsigned group = arrival.request_class;
+    const unsigned customer = arrival.tenant;
+    if (group >= groups_.size()) return sink_.fail(id);
     const std::uint32_t place = hits_.take();
     places_.put(id, place);
     Hit& hit = hits_[place];
     hit.id = id, hit.live = true;
-    hit.group = group, hit.key = key;
-    hit.give_up_at = give_up_at - kFinish;
+    hit.group = group, hit.key = arrival.sticky_key;
+    hit.give_up_at = arrival.deadline - kFinish;
     hit.late_at = std::min(now_ + groups_[group].target, hit.give_up_at);
     double worth = groups_[group].benefit / groups_[group].mean_ms;
     best_worth_ = std::max(best_worth_ * 0.999, worth);
@@ -789,7 +817,8 @@
     if (!to) {
       // No host may have it now. It waits only while an answer could still be in time.
       const bool hope = groups_[hit.group].repeats == Idempotency::kIdempotent || !may_have_run(hit);
-      if (!hope || left <= groups_[hit.group].mean_ms * 1.5 || ready_ == 0 || now_ >= list_validity_.any_host)
+      if (!hope || left <= groups_[hit.group].mean_ms * 1.5 || ready_ == 0 ||
+          now_ >= list_validity_.any_endpoint)
         return give_up(hit);
       hit.due = now_ + kBeat;
       hit.at_due = &Choice::route;
@@ -808,7 +837,7 @@
     if (host.unheard_since <= host.last_heard) host.unheard_since = now_;
     host.forwards.add(now_);
     if (on_trial(host.build)) groups_[by_group_ ? hit.group : 0].on_trial.add(now_);
-    sink_.forward(hit.id, to.host, Span());
+    sink_.send_attempt(hit.id, to.host);
     hit.at_result = &Choice::after_forward;
     hit.due = hit.give_up_at, hit.at_due = &Choice::give_up;
     const GroupFigures& group = groups_[hit.group];
@@ -831,7 +860,7 @@
     const Pick to = choose(hit);
     if (!to || to.predicted_ms > (hit.late_at - now_).ms()) return;
     further_ -= kCopyCost;
-    if (!may_copy_) return sink_.cancel(hit.id, hit.legs - 1);
+    if (!may_copy_) return sink_.cancel_attempt(hit.id, hit.legs - 1);
     send(hit, to, true);
   }
 
@@ -852,8 +881,8 @@
 
   // The final answer of a hit that will not be delivered, at once.
   void give_up(Hit& hit) {
-    if (may_bounce(hit) && now_ < hit.give_up_at) sink_.bounce(hit.id, retry_after());
-    else sink_.error(hit.id);
+    if (may_bounce(hit) && now_ < hit.give_up_at) sink_.reject(hit.id, retry_after());
+    else sink_.fail(hit.id);
     over(hit);
   }
 
@@ -863,7 +892,7 @@
     hit.done = true;
     hit.due = Instant::never();
     for (unsigned i = 0; i < hit.legs; ++i)
-      if (hit.leg[i].out && may_cancel_) sink_.cancel(hit.id, i);
+      if (hit.leg[i].out && may_cancel_) sink_.cancel_attempt(hit.id, i);
     drop_if_over(hit);
   }
 
@@ -875,8 +904,11 @@
     hits_.give_back(place);
   }
 
-  void ended(RequestId id, unsigned leg, EndpointIndex h, AttemptResult result, Span took, bool terminal,
-             std::span<const float>) override {
+  void on_attempt_end(const AttemptEnd& end) override {
+    const RequestId id = end.request;
+    const unsigned leg = end.attempt;
+    const EndpointIndex h = end.endpoint;
+    const AttemptResult result = end.result;
     const std::uint32_t place = places_.find(id);
     if (place == IndexMap::kNone || h >= hosts_.size()) return;
     Hit& hit = hits_[place];
@@ -889,25 +921,25 @@
     host.open -= host.open > 0;
     if (result < AttemptResult::kTimeout)
       host.last_heard = now_;  // what we ended ourselves is no sign of life
-    learn(hit, f, result, took);
+    learn(hit, f, result, end.duration);
     if (result == AttemptResult::kOk && one_way_ && hit.key != 0 && f.build >= build_) {
       const std::uint32_t bound = pins_.find(hit.key);
       pins_.put(hit.key, bound == IndexMap::kNone ? f.build : std::max(f.build, bound));
     }
     if (hit.done) drop_if_over(hit);
-    else if (terminal) over(hit, result == AttemptResult::kOk);
+    else if (end.answered_client) over(hit, result == AttemptResult::kOk);
     else (this->*hit.at_result)(hit, result);
   }
 
-  void client_left(RequestId id) override {
+  void on_client_disconnect(RequestId id) override {
     const std::uint32_t place = places_.find(id);
     if (place != IndexMap::kNone && !hits_[place].done) over(hits_[place]);
   }
 
-  void woken(std::uint64_t token) override {
-    if (token == kAskToken) return sink_.follow_list();
+  void on_wakeup(std::uint64_t token) override {
+    if (token == kAskToken) return sink_.watch_endpoints();
     if (token != kBeatToken) return;
-    sink_.wake(kBeat, kBeatToken);
+    sink_.schedule_wakeup(kBeat, kBeatToken);
     for (Customer& c : customers_)
       c.tokens = std::min(c.tokens + c.per_s * kBeat.s(), std::max(c.per_s, 1.0));
     look_at_hosts();
@@ -1025,7 +1057,8 @@
 
   // Guards against hosts that drained unheard of: a change counts as notified whether or not it arrived.
   bool news_allows(const Host& host) const {
-    return now_ < list_validity_.no_host && now_ < std::max(list_validity_.any_host, host.valid_until);
+    return now_ < list_validity_.no_endpoint &&
+           now_ < std::max(list_validity_.any_endpoint, host.valid_until);
   }
 
   // The one place that says whether a forward is allowed.
--- a/src/program/demo.cpp
+++ b/src/program/demo.cpp
@@ -98,7 +98,7 @@
   void guard() {
     calling::CallingTerms terms;
     terms.audience = "ashbeam";
-    terms.path_groups = door_.path_groups, terms.customers = door_.customers;
+    terms.path_groups = door_.request_classes, terms.customers = door_.tenants;
     calling::TenantTerms shop;
     shop.name = "shop";
     shop.each = {20, 10, 0};
--- a/src/program/environment.cpp
+++ b/src/program/environment.cpp
@@ -101,11 +101,11 @@
   limits.clients = (sockets - kOwn) / 2;
   limits.idle_clients = sockets / 8;
   limits.to_hosts = (sockets - kOwn) / 2;
-  limits.connect = door.connect;
-  limits.host_idle = std::min(limits.host_idle, door.host_idle * 0.8);
-  limits.desk_answer = terms.answer_wait;
+  limits.connect = door.connect_timeout;
+  limits.host_idle = std::min(limits.host_idle, door.endpoint_idle_timeout * 0.8);
+  limits.desk_answer = terms.vote_answer_timeout;
   Span longest;
-  for (const RequestClass& g : terms.path_groups) {
+  for (const RequestClass& g : terms.request_classes) {
     limits.stop_at_latest =
         std::max(limits.stop_at_latest, g.client_timeout + limits.stop_accepting + Span::ms(250));
     longest = std::max(longest, g.client_timeout);
@@ -113,8 +113,8 @@
   // Two fifths of the time within which the settings have each router ask once, 4 s at the most: then
   // processes that start together do not fill discovery's queue. One alone takes none.
   constexpr double kManyRouters = 10;
-  limits.first_ask =
-      std::min(terms.ask_within * 0.4, Span::s(4)) * std::min(1.0, (terms.routers - 1) / kManyRouters);
+  limits.first_ask = std::min(terms.endpoint_poll_interval * 0.4, Span::s(4)) *
+                     std::min(1.0, (terms.router_count - 1) / kManyRouters);
   limits.killed_soonest = std::min(longest, Span::s(3)) + Span::ms(700);
   return limits;
 }
--- a/src/program/operators.cpp
+++ b/src/program/operators.cpp
@@ -187,12 +187,12 @@
     t.lend = v["lend"].number;
     for (const Value& tenant : v["tenants"].items) t.tenants.push_back(tenant_of(tenant));
     if (terms_) {
-      t.routers = terms_->routers;
-      for (const RequestClass& g : terms_->path_groups)
+      t.routers = terms_->router_count;
+      for (const RequestClass& g : terms_->request_classes)
         t.longest_hit = std::max(t.longest_hit, g.client_timeout);
     }
     if (door_) {
-      t.path_groups = door_->path_groups, t.customers = door_->customers;
+      t.path_groups = door_->request_classes, t.customers = door_->tenants;
       for (const std::string& p : calling::problems_of(t))
         wrong(v["tenants"], "calling.tenants", "names that fit", p);
     } else {  // whatever is named stands for itself
@@ -217,8 +217,8 @@
       const auto group = [&] { return prefix.substr(1, second - 1); };
       if (!good) {
         wrong(r["prefix"], "metadata.repositories", "a prefix like /look/updates/", records::quoted(prefix));
-      } else if (door_ && std::find(door_->path_groups.begin(), door_->path_groups.end(), group()) ==
-                              door_->path_groups.end()) {
+      } else if (door_ && std::find(door_->request_classes.begin(), door_->request_classes.end(), group()) ==
+                              door_->request_classes.end()) {
         wrong(r["prefix"], "metadata.repositories", "a path group at the prefix's head",
               records::quoted(prefix));
       }
--- a/src/program/serve.cpp
+++ b/src/program/serve.cpp
@@ -76,7 +76,7 @@
   service.detail_log().enable(log_wanted ? log_wanted : "");
   service.start();
   spdlog::info("{} serves at {}: {} path groups, router {} of {}", start.site.name, start.site.listen,
-               terms.path_groups.size(), terms.me, terms.routers);
+               terms.request_classes.size(), terms.router_index, terms.router_count);
 
   Timer signals(loop, [&] {
     signals.in(Span::ms(20));  // first: what a signal asks for may fail, and the next must still be heard
--- a/src/routing/desk.hpp
+++ b/src/routing/desk.hpp
@@ -8,7 +8,7 @@
 
 #include "base/limits.hpp"
 #include "base/pcg.hpp"
-#include "choice.hpp"
+#include "policy/router_policy.hpp"
 #include "protocol/lines.hpp"
 #include "transport/connection.hpp"
 #include "transport/loop.hpp"
--- a/src/routing/host_pools.hpp
+++ b/src/routing/host_pools.hpp
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "base/limits.hpp"
-#include "choice.hpp"
+#include "policy/router_policy.hpp"
 #include "protocol/http.hpp"
 #include "transport/loop.hpp"
 
--- a/src/routing/service.cpp
+++ b/src/routing/service.cpp
@@ -96,7 +96,7 @@
 // A forward may wait for its connection, and reaches its host that much later: a repeat must still come while
 // the host remembers.
 RouterSettings Service::on_sockets(RouterSettings terms, Span connect) {
-  for (RequestClass& g : terms.path_groups) g.memory = std::max(Span(), g.memory - connect);
+  for (RequestClass& g : terms.request_classes) g.key_retention = std::max(Span(), g.key_retention - connect);
   return terms;
 }
 
@@ -108,8 +108,8 @@
           [this](Caller& c) { left(c); }, [this](Caller& c) { overdue(c.hit); }),
       pools_(loop, limits, std::min(limits.connect, terms.drain_grace * 0.5)),
       lease_(lease_terms(limits, terms, pools_.connect())),
-      discovery_(loop, limits, site.discovery, detail_, *this), one_way_(terms.one_way), ids_(limits.ids),
-      first_ask_(loop, [this] { follow_list(); }), listed_ready_(loop, [this] { ready_without_list(); }),
+      discovery_(loop, limits, site.discovery, detail_, *this), one_way_(terms.sticky_keys), ids_(limits.ids),
+      first_ask_(loop, [this] { watch_endpoints(); }), listed_ready_(loop, [this] { ready_without_list(); }),
       lease_over_(loop, [this] { lease_changed("no news"); }),
       local_failures_over_(
           loop,
@@ -118,16 +118,16 @@
             local_failures_ = 0;
           }),
       stop_(loop, [this] { check_wound_down(); }), refused_(loop, [this] { tell_refused(); }),
-      zones_(door.zones, "zones"), kinds_(door.kinds, "kinds"),
+      zones_(door.zones, "zones"), kinds_(door.machine_types, "kinds"),
       module_(make_router_policy(on_sockets(terms, pools_.connect()), site.seed, *this)) {
-  for (const RequestClass& g : terms.path_groups) repeats_.push_back(g.repeats);
+  for (const RequestClass& g : terms.request_classes) repeats_.push_back(g.idempotency);
 }
 
 Service::~Service() = default;
 
 void Service::start() {
   listed_ready_.in(limits_.first_list);
-  tell([](RouterPolicy& r) { r.started(); });
+  tell([](RouterPolicy& r) { r.start(); });
   if (!site_.known.empty() && !discovery_.take(site_.known)) note_("known list can't be read");
   known_until_ = loop_.now() + limits_.known_list;
   lease_changed("started");
@@ -169,8 +169,8 @@
   calling::Identity& who = who_;
   if (gate_ && !known(caller, head, proof, who)) return;
   path.remove_prefix(1);
-  const unsigned group = index_of(door_.path_groups, path.substr(0, path.find('/')));
-  if (group >= door_.path_groups.size()) return caller.answer_plain(404);
+  const unsigned group = index_of(door_.request_classes, path.substr(0, path.find('/')));
+  if (group >= door_.request_classes.size()) return caller.answer_plain(404);
   const Idempotency repeats = repeats_[group];
   const std::string method = repeats == Idempotency::kIdempotent ? "GET" : "POST";
   if (head.word(0) != method) return caller.answer_plain(405, "Allow: " + method + "\r\n");
@@ -216,25 +216,23 @@
   hit.body = request.take_raw_body();
   caller.answer_by(give_up_at + limits_.overdue);
   std::uint64_t key = 0;
-  double hint = 0;
   // A key is any text; decisions need only know it again, where keys are one-way, and none is 0.
   const auto named = one_way_ ? head.find("X-Session-Key") : std::nullopt;
   if (named && !named->empty()) key = XXH3_64bits(named->data(), named->size()) | 1U;
   if (const auto facts = head.find("X-Facts")) {
     each_figure(*facts, [&](std::string_view name, double value) {
       if (name == "targetKey" && value >= 1 && value < 1.8e19) key = static_cast<std::uint64_t>(value);
-      if (name == "predictedMs") hint = value;
     });
   }
   const unsigned customer =
-      who.caller.empty() ? index_of(door_.customers, head.find("X-Account").value_or("")) : who.customer;
+      who.caller.empty() ? index_of(door_.tenants, head.find("X-Account").value_or("")) : who.customer;
   if (one_way_) hit.key = key;
   if (detail_.on(LogTopic::kRequests)) {
     const std::string_view id = head.find("X-Correlation-Id").value_or("");
     detail_.line(LogTopic::kRequests, now, "request %u taken: id %.*s class %u, time left %.0f ms", place,
                  static_cast<int>(id.size()), id.data(), group, (give_up_at - now).ms());
   }
-  tell([&](RouterPolicy& r) { r.taken(place, group, customer, key, give_up_at, hint); });
+  tell([&](RouterPolicy& r) { r.on_request({place, group, customer, key, give_up_at}); });
 }
 
 // ---- Who is calling ----
@@ -319,7 +317,7 @@
 }
 
 void Service::abandon(RequestId id) {
-  tell([&](RouterPolicy& r) { r.client_left(id); });
+  tell([&](RouterPolicy& r) { r.on_client_disconnect(id); });
   drop_if_over(id);
 }
 
@@ -339,7 +337,7 @@
   hits_.give_back(id);
 }
 
-void Service::bounce(RequestId id, Span retry_after) {
+void Service::reject(RequestId id, Span retry_after) {
   char after[48] = "";
   if (retry_after > Span()) std::snprintf(after, sizeof after, "Retry-After: %.3f\r\n", retry_after.s());
   // A file that no host had in a good form is no lack of room.
@@ -349,7 +347,7 @@
   answer_finally(id, 503, after);
 }
 
-void Service::error(RequestId id) {
+void Service::fail(RequestId id) {
   const Hit& hit = hits_[id];
   if (hit.metadata && !hit.metadata->refused.empty())
     return answer_finally(id, 502, "X-Refused: " + hit.metadata->refused + "\r\n");
@@ -397,11 +395,11 @@
 
 // ---- Forwards ----
 
-void Service::forward(RequestId id, EndpointIndex host, Span try_for) {
+void Service::send_attempt(RequestId id, EndpointIndex host) {
   Hit& hit = hits_[id];
   const Instant now = loop_.now();
   const auto leg = static_cast<unsigned>(hit.legs.size());
-  const Instant until = try_for > Span() ? std::min(now + try_for, hit.give_up_at) : hit.give_up_at;
+  const Instant until = hit.give_up_at;
   // The time left is told as it is when the connection is there: that may be long after now.
   const auto bytes = [this, id](Instant end) {
     const Hit& h = hits_[id];
@@ -420,7 +418,7 @@
       });
 }
 
-void Service::cancel(RequestId id, unsigned leg) {
+void Service::cancel_attempt(RequestId id, unsigned leg) {
   Hit& hit = hits_[id];
   if (leg >= hit.legs.size() || !hit.legs[leg].link) return;
   HostPools::Link* const link = hit.legs[leg].link;
@@ -439,7 +437,7 @@
   const Span took = loop_.now() - forward.sent;
   if (result == AttemptResult::kLocalFailure) failed_locally();
   if (result == AttemptResult::kOk && lease_.vouches(opened))
-    tell([&](RouterPolicy& r) { r.host_valid(host, lease_.valid_after_answer(forward.sent)); });
+    tell([&](RouterPolicy& r) { r.extend_endpoint_validity(host, lease_.valid_after_answer(forward.sent)); });
   detail_.line(LogTopic::kRequests, loop_.now(),
                "request %u attempt %u to endpoint %u ended: %s, after %.1f ms", id, leg, host,
                name_of(result), took.ms());
@@ -462,8 +460,7 @@
     }
   }
   if (result == AttemptResult::kOk && hit.key != 0) recall_earlier(hit.key, hosts_[host].build);
-  const auto told = report(answer);
-  tell([&](RouterPolicy& r) { r.ended(id, leg, host, result, took, terminal, told); });
+  tell([&](RouterPolicy& r) { r.on_attempt_end({id, leg, host, result, took, terminal}); });
   drop_if_over(id);
 }
 
@@ -487,37 +484,15 @@
   }
 }
 
-std::span<const float> Service::report(const http::Messages* answer) {
-  const auto load = answer ? answer->head().find("X-Backend-Load") : std::nullopt;
-  if (!load) return {};
-  report_.assign(door_.report_columns.size(), 0.0F);
-  each_figure(*load, [&](std::string_view name, double value) {
-    const unsigned column = index_of(door_.report_columns, name);
-    if (column < report_.size()) report_[column] = static_cast<float>(value);
-  });
-  return report_;
-}
-
-void Service::ask_load(EndpointIndex host) {
-  const std::string path = door_.report_columns.empty() ? "/health/live" : "/stats";
-  const std::string bytes = "GET " + path + " HTTP/1.1\r\nHost: " + hosts_[host].address + "\r\n\r\n";
-  pools_.send(
-      host, [bytes](Instant) { return bytes; }, loop_.now() + limits_.connect,
-      [this, host](AttemptResult result, const http::Messages* a) {
-        const auto told = report(a);
-        tell([&](RouterPolicy& r) { r.load_told(host, result == AttemptResult::kOk, told); });
-      });
-}
-
 // ---- The list ----
 
 // After the call at hand; the first time with the start's wait over, and from the known list.
-void Service::follow_list() {
+void Service::watch_endpoints() {
   if (started_) loop_.later([this] { discovery_.follow(); });
 }
 
 void Service::listed(bool whole, const Json& entries) {
-  tell([&](RouterPolicy& r) { r.list_begin(whole); });
+  tell([&](RouterPolicy& r) { r.begin_endpoint_update(whole); });
   if (whole) {
     for (Known& known : hosts_) known.listed = false;
   }
@@ -529,7 +504,7 @@
       pools_.place(h, hosts_[h].address, false, false);
     }
   }
-  tell([](RouterPolicy& r) { r.list_end(); });
+  tell([](RouterPolicy& r) { r.end_endpoint_update(); });
   forget_hosts();
   if (watch_tries_ > 0) note_("discovery: watch stands again, tries " + std::to_string(watch_tries_));
   watch_tries_ = 0;
@@ -538,7 +513,8 @@
 policy::EndpointLeaseTerms Service::lease_terms(const Limits& limits, const RouterSettings& terms,
                                                 Span connect) {
   policy::EndpointLeaseTerms lease;
-  if (terms.must_ask) lease.notified_within = std::min(lease.notified_within, terms.ask_within);
+  if (terms.must_watch_endpoints)
+    lease.notified_within = std::min(lease.notified_within, terms.endpoint_poll_interval);
   lease.drain_grace = terms.drain_grace;
   lease.send_delay = connect + limits.held_up + limits.on_its_way;
   return lease;
@@ -569,10 +545,10 @@
 
 void Service::publish_lease() {
   EndpointListValidity validity;
-  validity.any_host = std::max(lease_.valid_until(), known_until_);
-  validity.no_host = lease_.pending_until();
-  tell([&](RouterPolicy& r) { r.list_valid(validity); });
-  if (validity.any_host > loop_.now()) lease_over_.at(validity.any_host);
+  validity.any_endpoint = std::max(lease_.valid_until(), known_until_);
+  validity.no_endpoint = lease_.pending_until();
+  tell([&](RouterPolicy& r) { r.set_endpoint_list_validity(validity); });
+  if (validity.any_endpoint > loop_.now()) lease_over_.at(validity.any_endpoint);
   else lease_over_.off();
 }
 
@@ -634,10 +610,15 @@
   const EndpointState as = state == "up"         ? EndpointState::kReady
                            : state == "draining" ? EndpointState::kDraining
                                                  : EndpointState::kRemoved;
-  tell([&](RouterPolicy& r) {
-    r.list_host(host, as, static_cast<ReleaseVersion>(std::lround(std::clamp(build, 0.0, 65535.0))), zone,
-                static_cast<unsigned>(std::max(0.0, entry.number("pod_group", 0))), kind, known.start);
-  });
+  EndpointUpdate update;
+  update.endpoint = host;
+  update.state = as;
+  update.version = static_cast<ReleaseVersion>(std::lround(std::clamp(build, 0.0, 65535.0)));
+  update.zone = zone;
+  update.cell = static_cast<unsigned>(std::max(0.0, entry.number("pod_group", 0)));
+  update.machine_type = kind;
+  update.started_at = known.start;
+  tell([&](RouterPolicy& r) { r.update_endpoint(update); });
 }
 
 void Service::list_lost(const char* why, bool again, bool refused) {
@@ -645,7 +626,7 @@
   if (refused) lease_.unreachable(loop_.now());
   lease_changed(why);
   if (watch_tries_++ == 0) note_(std::string("discovery: watch ") + why);
-  if (!again) tell([](RouterPolicy& r) { r.list_failed(); });
+  if (!again) tell([](RouterPolicy& r) { r.on_endpoint_watch_failed(); });
 }
 
 // ---- The release desk ----
@@ -659,11 +640,11 @@
   desk_->start();
 }
 
-void Service::vote(ReleaseVersion build, unsigned stage, Vote vote) { desk_->vote(build, stage, vote); }
+void Service::cast_vote(ReleaseVersion build, unsigned stage, Vote vote) { desk_->vote(build, stage, vote); }
 
 bool Service::vote_answered(VoteOutcome answer, const Json* state) {
   if (answer == VoteOutcome::kAccepted) return stage(*state, true);
-  tell([&](RouterPolicy& r) { r.stage_told(0, 0, ReleasePhase::kCanary, true, answer, 0, Span()); });
+  tell([&](RouterPolicy& r) { r.on_vote_refused(answer); });
   return true;
 }
 
@@ -677,29 +658,33 @@
     if (answers_vote) vote_answered(VoteOutcome::kUnknown, nullptr);
     return false;
   }
-  tell([&](RouterPolicy& r) {
-    r.stage_told(static_cast<ReleaseVersion>(build), static_cast<unsigned>(at),
-                 static_cast<ReleasePhase>(phase), answers_vote, VoteOutcome::kAccepted, cap,
-                 Span::ms(std::max(0.0, state.number("lag_ms", 0))));
-  });
+  ReleaseState news;
+  news.version = static_cast<ReleaseVersion>(build);
+  news.stage = static_cast<unsigned>(at);
+  news.phase = static_cast<ReleasePhase>(phase);
+  news.exposure_cap = cap;
+  news.age = Span::ms(std::max(0.0, state.number("lag_ms", 0)));
+  tell([&](RouterPolicy& r) { r.on_release_state(news); });
   return true;
 }
 
 bool Service::desk_said(const std::string& method, const Json& params) {
   const Span age = Span::ms(std::max(0.0, params.number("lag_ms", 0)));
   if (method == "ROLLOUT") return stage(params, false);
-  const unsigned group = index_of(door_.path_groups, params.text("type"));
+  const unsigned group = index_of(door_.request_classes, params.text("type"));
   const double build = params.number("image", 0), count = params.number("n", -1),
                bad = params.number("bad", -1);
   const auto host = indices_.find(params.text("host"));
-  if (method == "SAMPLE" && group < door_.path_groups.size() && build >= 0 && build < 65536 && bad >= 0 &&
+  if (method == "SAMPLE" && group < door_.request_classes.size() && build >= 0 && build < 65536 && bad >= 0 &&
       count >= bad && count < 4e9) {
-    tell([&](RouterPolicy& r) {
-      r.tally_told(static_cast<ReleaseVersion>(build), group, static_cast<std::uint32_t>(count),
-                   static_cast<std::uint32_t>(bad), Span::ms(params.number("latency_ms", 0)), age);
-    });
-  } else if (method == "DISPUTE" && group < door_.path_groups.size() && host != indices_.end()) {
-    tell([&](RouterPolicy& r) { r.answer_disputed(host->second, group, age); });
+    OutcomeSample sample;
+    sample.version = static_cast<ReleaseVersion>(build);
+    sample.request_class = group;
+    sample.count = static_cast<std::uint32_t>(count);
+    sample.failed = static_cast<std::uint32_t>(bad);
+    tell([&](RouterPolicy& r) { r.on_outcome_sample(sample); });
+  } else if (method == "DISPUTE" && group < door_.request_classes.size() && host != indices_.end()) {
+    tell([&](RouterPolicy& r) { r.on_disputed_answer({host->second, age}); });
   } else {
     note_("desk: news that can't be used is passed over: " + method + " " +
           std::string(params.raw().substr(0, 200)));
@@ -712,10 +697,11 @@
 
 // ---- The rest ----
 
-void Service::wake(Span from_now, std::uint64_t token) {
+void Service::schedule_wakeup(Span from_now, std::uint64_t token) {
   auto& timer = wakes_[token];
   if (!timer) {
-    timer = std::make_unique<Timer>(loop_, [this, token] { tell([&](RouterPolicy& r) { r.woken(token); }); });
+    timer =
+        std::make_unique<Timer>(loop_, [this, token] { tell([&](RouterPolicy& r) { r.on_wakeup(token); }); });
   }
   timer->in(from_now);
 }
--- a/src/routing/service.hpp
+++ b/src/routing/service.hpp
@@ -12,10 +12,10 @@
 #include "base/limits.hpp"
 #include "base/slab.hpp"
 #include "calling/gate.hpp"
-#include "choice.hpp"
 #include "metadata/warden.hpp"
 #include "policy/endpoint_lease.hpp"
 #include "policy/endpoint_start.hpp"
+#include "policy/router_policy.hpp"
 #include "routing/callers.hpp"
 #include "routing/desk.hpp"
 #include "routing/discovery.hpp"
@@ -111,15 +111,13 @@
   static RouterSettings on_sockets(RouterSettings terms, Span connect);
 
   // What the module does.
-  void forward(RequestId id, EndpointIndex host, Span try_for) override;
-  void bounce(RequestId id, Span retry_after) override;
-  void error(RequestId id) override;
-  void cancel(RequestId id, unsigned leg) override;
-  void wake(Span from_now, std::uint64_t token) override;
-  void ask_load(EndpointIndex host) override;
-  void follow_list() override;
-  void vote(ReleaseVersion build, unsigned stage, Vote vote) override;
-  void tell_peers(std::span<const std::uint8_t>) override {}  // the pages give routers no way to each other
+  void send_attempt(RequestId id, EndpointIndex host) override;
+  void reject(RequestId id, Span retry_after) override;
+  void fail(RequestId id) override;
+  void cancel_attempt(RequestId id, unsigned leg) override;
+  void schedule_wakeup(Span from_now, std::uint64_t token) override;
+  void watch_endpoints() override;
+  void cast_vote(ReleaseVersion build, unsigned stage, Vote vote) override;
   void log(std::string_view line) override;
 
   // Who is calling: false where the request has been answered with why not.
@@ -153,7 +151,7 @@
 
   template <class What>
   void tell(What&& what) {
-    module_->clock(loop_.now());
+    module_->set_time(loop_.now());
     what(*module_);
   }
   Caller* take_caller(RequestId id);  // for its final answer
@@ -161,7 +159,6 @@
   void abandon(RequestId id);  // the module need not answer it any more
   void drop_if_over(RequestId id);
   void failed_locally();
-  std::span<const float> report(const http::Messages* answer);
   void check_wound_down();
   void ready_without_list();
   void now_ready();
@@ -190,7 +187,6 @@
   std::map<std::string, EndpointIndex, std::less<>> indices_;
   std::vector<Known> hosts_;
   std::vector<EndpointIndex> free_hosts_;
-  std::vector<float> report_;
   std::map<std::uint64_t, std::unique_ptr<Timer>> wakes_;
   unsigned watch_tries_ = 0;  // since it was lost
   std::string doubted_;       // news of an unknown kind, met once
--- a/src/simhost/fleet.cpp
+++ b/src/simhost/fleet.cpp
@@ -111,35 +111,30 @@
   }
   bool knows(std::uint64_t address) const { return indices_.find(address) != IndexMap::kNone; }
 
-  void forward(RequestId hit, EndpointIndex host, Span try_for) override {
+  void send_attempt(RequestId hit, EndpointIndex host) override {
     say(kTransmit).u32(hit);
     reply_->address(addresses_[host]);
-    reply_->f64(try_for.ms());
+    reply_->f64(0);  // as long as the client waits
   }
-  void bounce(RequestId hit, Span retry_after) override {
+  void reject(RequestId hit, Span retry_after) override {
     say(kTurnAway).u32(hit);
     reply_->f64(retry_after.ms());
   }
-  void error(RequestId hit) override { say(kDropRequest).u32(hit); }
-  void cancel(RequestId hit, unsigned leg) override {
+  void fail(RequestId hit) override { say(kDropRequest).u32(hit); }
+  void cancel_attempt(RequestId hit, unsigned leg) override {
     say(kWithdraw).u32(hit);
     reply_->u8(static_cast<std::uint8_t>(leg));
   }
-  void wake(Span from_now, std::uint64_t token) override {
+  void schedule_wakeup(Span from_now, std::uint64_t token) override {
     say(kWakeAt).f64(from_now.ms());
     reply_->u64(token);
   }
-  void ask_load(EndpointIndex host) override { say(kAskLoad).address(addresses_[host]); }
-  void follow_list() override { say(kFollow).u8(1); }
-  void vote(ReleaseVersion build, unsigned stage, Vote vote) override {
+  void watch_endpoints() override { say(kFollow).u8(1); }
+  void cast_vote(ReleaseVersion build, unsigned stage, Vote vote) override {
     say(kBallot).u16(static_cast<std::uint16_t>(build));
     reply_->u8(static_cast<std::uint8_t>(stage));
     reply_->u8(static_cast<std::uint8_t>(vote));
   }
-  void tell_peers(std::span<const std::uint8_t> bytes) override {
-    say(kWritePeer).u16(0xffff);
-    reply_->text(bytes);
-  }
   void log(std::string_view line) override { note(kPrint, line); }
   void fault(std::string_view line) { note(kFatal, line); }
 
@@ -206,7 +201,7 @@
   const auto call = [&](auto&& deliver) {
     if (!to.running()) return;
     try {
-      to.router().clock(now);
+      to.router().set_time(now);
       deliver(to.router());
     } catch (const std::exception& e) {
       to.fault(e.what());
@@ -218,7 +213,7 @@
       const auto text = in.bytes(in.u32());
       to.start(read_router_settings(SettingsMap({reinterpret_cast<const char*>(text.data()), text.size()})),
                seed);
-      call([&](RouterPolicy& r) { r.started(); });
+      call([&](RouterPolicy& r) { r.start(); });
       break;
     }
     case kRosterChange: {
@@ -227,12 +222,12 @@
       const std::uint8_t buffer = in.u8();
       if (mode > 3) in.fail("unknown list mode " + std::to_string(mode));
       if (mode == 3) {
-        call([&](RouterPolicy& r) { r.list_failed(); });
+        call([&](RouterPolicy& r) { r.on_endpoint_watch_failed(); });
         break;
       }
       if (buffer >= sheets_.size()) in.fail("list buffer " + std::to_string(buffer) + " out of range");
       call([&](RouterPolicy& r) {
-        r.list_begin(mode != 0);
+        r.begin_endpoint_update(mode != 0);
         Reader rows(sheets_[buffer]);
         while (!rows.done()) {
           const EndpointIndex host = to.index_of(rows.address());
@@ -243,36 +238,44 @@
           const std::uint8_t state = rows.u8();
           rows.f32();
           const double start = rows.f64();
-          r.list_host(host,
-                      state == 1   ? EndpointState::kReady
-                      : state == 2 ? EndpointState::kDraining
-                                   : EndpointState::kRemoved,
-                      static_cast<ReleaseVersion>(std::lround(build)), zone, cell, kind,
-                      start > 0 ? Instant::at_ms(start) : Instant());
+          EndpointUpdate update;
+          update.endpoint = host;
+          update.state = state == 1   ? EndpointState::kReady
+                         : state == 2 ? EndpointState::kDraining
+                                      : EndpointState::kRemoved;
+          update.version = static_cast<ReleaseVersion>(std::lround(build));
+          update.zone = zone;
+          update.cell = cell;
+          update.machine_type = kind;
+          update.started_at = start > 0 ? Instant::at_ms(start) : Instant();
+          r.update_endpoint(update);
         }
-        r.list_end();
+        r.end_endpoint_update();
       });
       break;
     }
     case kAccept: {
       const RequestId hit = in.u32();
-      const std::uint8_t bits = in.u8();
+      in.u8();
       const double give_up = in.f64();
-      const double hint = in.f64();
+      in.f64();
       const std::uint16_t customer = in.u16();
       const std::uint64_t key = in.u64();
       const std::uint8_t group = in.u8();
-      call([&](RouterPolicy& r) {
-        r.taken(hit, group, customer, key, Instant::at_ms(give_up), (bits & 1U) != 0 ? hint : 0);
-      });
+      RequestArrival arrival;
+      arrival.request = hit;
+      arrival.request_class = group;
+      arrival.tenant = customer;
+      arrival.sticky_key = key;
+      arrival.deadline = Instant::at_ms(give_up);
+      call([&](RouterPolicy& r) { r.on_request(arrival); });
       break;
     }
     case kOpened: {
-      const RequestId hit = in.u32();
-      const std::uint8_t leg = in.u8();
+      in.u32();
+      in.u8();
       in.address();
       in.f64();
-      call([&](RouterPolicy& r) { r.opened(hit, leg); });
       break;
     }
     case kResponse: {
@@ -284,34 +287,36 @@
       const bool terminal = in.u8() != 0;
       read_report();
       if (!to.knows(host)) break;
-      call([&](RouterPolicy& r) {
-        r.ended(hit, leg, to.index_of(host), result, Span::ms(took), terminal, report_);
-      });
+      AttemptEnd end;
+      end.request = hit;
+      end.attempt = leg;
+      end.endpoint = to.index_of(host);
+      end.result = result;
+      end.duration = Span::ms(took);
+      end.answered_client = terminal;
+      call([&](RouterPolicy& r) { r.on_attempt_end(end); });
       break;
     }
     case kExpired: {
       const RequestId hit = in.u32();
-      call([&](RouterPolicy& r) { r.client_left(hit); });
+      call([&](RouterPolicy& r) { r.on_client_disconnect(hit); });
       break;
     }
     case kWake: {
       const std::uint64_t token = in.u64();
-      call([&](RouterPolicy& r) { r.woken(token); });
+      call([&](RouterPolicy& r) { r.on_wakeup(token); });
       break;
     }
     case kChecked: {
-      const bool answered = in.u16() == 200;
-      const std::uint64_t host = in.address();
+      in.u16();
+      in.address();
       in.f64();
       read_report();
-      if (!to.knows(host)) break;
-      call([&](RouterPolicy& r) { r.load_told(to.index_of(host), answered, report_); });
       break;
     }
     case kMessage: {
-      const std::uint32_t peer = in.u32();
-      const auto text = in.bytes(in.u16());
-      call([&](RouterPolicy& r) { r.peer_told(peer, text); });
+      in.u32();
+      in.bytes(in.u16());
       break;
     }
     case kHalt:
@@ -326,28 +331,37 @@
       const float cap = in.f32();
       const double age = in.f64();
       if (phase > 3) in.fail("unknown release phase " + std::to_string(phase));
-      call([&](RouterPolicy& r) {
-        r.stage_told(build, stage, static_cast<ReleasePhase>(phase), asked, answer, static_cast<double>(cap),
-                     Span::ms(age));
-      });
+      if (asked && answer != VoteOutcome::kAccepted) {
+        call([&](RouterPolicy& r) { r.on_vote_refused(answer); });
+        break;
+      }
+      ReleaseState state;
+      state.version = build;
+      state.stage = stage;
+      state.phase = static_cast<ReleasePhase>(phase);
+      state.exposure_cap = static_cast<double>(cap);
+      state.age = Span::ms(age);
+      call([&](RouterPolicy& r) { r.on_release_state(state); });
       break;
     }
     case kMetrics: {
-      const double mean = in.f64();
+      in.f64();
       const std::uint16_t build = in.u16();
       const std::uint32_t count = in.u32();
       const std::uint32_t lost = in.u32();
-      const double age = in.f64();
+      in.f64();
       const std::uint8_t group = in.u8();
-      call([&](RouterPolicy& r) { r.tally_told(build, group, count, lost, Span::ms(mean), Span::ms(age)); });
+      const OutcomeSample sample{build, group, count, lost};
+      call([&](RouterPolicy& r) { r.on_outcome_sample(sample); });
       break;
     }
     case kDisputed: {
       const std::uint64_t host = in.address();
-      const std::uint8_t group = in.u8();
+      in.u8();
       const double since = in.f64();
       if (!to.knows(host)) break;
-      call([&](RouterPolicy& r) { r.answer_disputed(to.index_of(host), group, Span::ms(since)); });
+      const DisputedAnswer disputed{to.index_of(host), Span::ms(since)};
+      call([&](RouterPolicy& r) { r.on_disputed_answer(disputed); });
       break;
     }
     default:
--- a/src/simhost/fleet.hpp
+++ b/src/simhost/fleet.hpp
@@ -7,7 +7,7 @@
 #include <string_view>
 
 #include "base/index_map.hpp"
-#include "choice.hpp"
+#include "policy/router_policy.hpp"
 #include "simhost/wire.hpp"
 
 namespace ashbeam::simhost {
--- a/src/terms/terms.cpp
+++ b/src/terms/terms.cpp
@@ -98,79 +98,72 @@
     const std::string at = "grades." + std::to_string(i) + ".";
     RequestClass g;
     const std::string effect = given.word(at + "effect");
-    if (effect == "idempotent") g.repeats = Idempotency::kIdempotent;
-    else if (effect == "deduplicated") g.repeats = Idempotency::kKeyed;
-    else if (effect == "at_most_once") g.repeats = Idempotency::kUnsafe;
+    if (effect == "idempotent") g.idempotency = Idempotency::kIdempotent;
+    else if (effect == "deduplicated") g.idempotency = Idempotency::kKeyed;
+    else if (effect == "at_most_once") g.idempotency = Idempotency::kUnsafe;
     else throw SettingsError("settings: '" + at + "effect' is unknown: '" + effect + "'");
     const std::string group = given.word(at + "group", "all");
-    g.group = group == "zone"   ? IdempotencyScope::kZone
+    g.scope = group == "zone"   ? IdempotencyScope::kZone
               : group == "cell" ? IdempotencyScope::kCell
                                 : IdempotencyScope::kAll;
-    g.target = given.span(at + "goalTimeMs");
+    g.latency_objective = given.span(at + "goalTimeMs");
     g.client_timeout = given.span(at + "deadlineMs");
-    g.memory = Span::ms(given.number(at + "memorySpanMs", 0));
-    g.benefit = given.number(at + "worth", 1);
-    g.late_worth = given.number(at + "lateWorth", 0);
-    t.path_groups.push_back(g);
+    g.key_retention = Span::ms(given.number(at + "memorySpanMs", 0));
+    g.priority_weight = given.number(at + "worth", 1);
+    g.late_priority_weight = given.number(at + "lateWorth", 0);
+    t.request_classes.push_back(g);
   }
   if (groups == 0) throw SettingsError("settings: 'grades.count' is 0");
   const auto parties = static_cast<std::uint32_t>(given.number("parties.count", 0));
   for (std::uint32_t i = 0; i < parties; ++i) {
-    t.customer_per_s.push_back(given.number("parties." + std::to_string(i) + ".allowancePerS", 0));
+    t.tenant_quota_per_s.push_back(given.number("parties." + std::to_string(i) + ".allowancePerS", 0));
   }
   // One more, with no share, for whoever is none of them: no name may bring more than its settings give.
-  if (parties > 0) t.customer_per_s.push_back(0);
-  t.over_share_worth = given.number("overShareWorth", 1);
-  t.zones = std::max<std::uint32_t>(1, static_cast<std::uint32_t>(given.words("zones").size()));
-  t.kinds = std::max<std::uint32_t>(1, static_cast<std::uint32_t>(given.words("kinds").size()));
+  if (parties > 0) t.tenant_quota_per_s.push_back(0);
+  t.over_quota_weight = given.number("overShareWorth", 1);
+  t.zone_count = std::max<std::uint32_t>(1, static_cast<std::uint32_t>(given.words("zones").size()));
+  t.machine_type_count = std::max<std::uint32_t>(1, static_cast<std::uint32_t>(given.words("kinds").size()));
   t.zone = static_cast<std::uint32_t>(given.number("zone", 0));
-  t.routers = read_routers(given, doubts);
-  t.me = static_cast<std::uint32_t>(given.number("myNumber", 0));
-  t.must_ask = given.word("discovery", "automatic") == "subscribe";
+  t.router_count = read_routers(given, doubts);
+  t.router_index = static_cast<std::uint32_t>(given.number("myNumber", 0));
+  t.must_watch_endpoints = given.word("discovery", "automatic") == "subscribe";
   t.may_cancel = given.flag("allowed.cancel");
-  t.may_copy = given.flag("allowed.secondCopies");
-  t.may_tell_peers = given.flag("allowed.peers");
-  t.may_ask_load = given.flag("allowed.probes");
-  t.retry_after = given.flag("allowed.retryAfter");
-  t.longest_retry_after = Span::ms(given.number("allowed.maxRetryAfterMs", 0));
-  t.max_forwards = static_cast<std::uint32_t>(given.number("allowed.maxAttempts", 1));
-  t.report_in_answers = given.word("stats.how", "off") == "inline";
-  const auto columns = given.words("stats.columns");
-  for (std::size_t i = 0; i < columns.size(); ++i) {
-    if (columns[i] == "active") t.active_column = static_cast<int>(i);
-  }
+  t.may_hedge = given.flag("allowed.secondCopies");
+  t.may_send_retry_after = given.flag("allowed.retryAfter");
+  t.max_retry_after = Span::ms(given.number("allowed.maxRetryAfterMs", 0));
+  t.max_attempts = static_cast<std::uint32_t>(given.number("allowed.maxAttempts", 1));
   t.drain_grace = given.span("rules.drainGraceMs");
-  t.ask_within = Span::ms(given.number("rules.askWithinMs", 1e9));
-  t.cold_window = given.span("rules.fallMs");
-  t.cold_multiple = given.number("rules.fallMultiple");
-  t.start_capacity = given.number("rules.startCapacity");
-  t.warm_after = given.span("rules.warmAfterMs");
-  t.tick = Span::ms(given.number("tickMs", 1));
-  t.cross_price = given.number("prices.crossZone", 0);
-  t.probe_price = given.number("prices.probe", 0);
-  t.caps = given.numbers("familyInfo.mostShares");
-  if (t.caps.empty()) throw SettingsError("settings: 'familyInfo.mostShares' is missing");
-  t.rings = given.numbers("familyInfo.rings");
-  t.by_path_group = given.word("familyInfo.counts", "all") == "per_lane";
-  t.one_way = given.flag("familyInfo.forwardOnly");
-  t.clocked = given.word("familyInfo.decidedBy", "single") == "clocked";
-  t.rolling = given.word("familyInfo.style", "side_by_side") == "rolling";
-  t.closed_stages = static_cast<std::uint32_t>(given.number("familyInfo.closedStages", 0));
-  t.spare = given.number("familyInfo.spareTries", 0);
-  t.window = given.span("familyInfo.spanMs");
-  t.vote_life = given.span("familyInfo.ballotTtlMs");
-  t.bake = Span::ms(given.number("familyInfo.bakeMs", 2000));
-  t.tally_every = Span::ms(given.number("familyInfo.tallyEveryMs", 0));
-  t.answer_wait = Span::ms(given.number("familyInfo.answerWaitMs", 2000));
-  t.back_needed = static_cast<std::uint32_t>(given.number("familyInfo.noesNeeded", 1));
-  t.votes_per_s = given.number("familyInfo.callsPerS", 10);
-  if (!(t.votes_per_s > 0)) {
+  t.endpoint_poll_interval = Span::ms(given.number("rules.askWithinMs", 1e9));
+  t.slow_start_window = given.span("rules.fallMs");
+  t.overload_multiple = given.number("rules.fallMultiple");
+  t.initial_capacity = given.number("rules.startCapacity");
+  t.slow_start_duration = given.span("rules.warmAfterMs");
+  t.clock_tick = Span::ms(given.number("tickMs", 1));
+  t.cross_zone_cost = given.number("prices.crossZone", 0);
+  t.health_check_cost = given.number("prices.probe", 0);
+  t.exposure_caps = given.numbers("familyInfo.mostShares");
+  if (t.exposure_caps.empty()) throw SettingsError("settings: 'familyInfo.mostShares' is missing");
+  t.stage_fractions = given.numbers("familyInfo.rings");
+  t.exposure_per_class = given.word("familyInfo.counts", "all") == "per_lane";
+  t.sticky_keys = given.flag("familyInfo.forwardOnly");
+  t.promoted_by_clock = given.word("familyInfo.decidedBy", "single") == "clocked";
+  t.rolling_update = given.word("familyInfo.style", "side_by_side") == "rolling";
+  t.idempotent_only_stages = static_cast<std::uint32_t>(given.number("familyInfo.closedStages", 0));
+  t.exposure_allowance = given.number("familyInfo.spareTries", 0);
+  t.exposure_window = given.span("familyInfo.spanMs");
+  t.vote_ttl = given.span("familyInfo.ballotTtlMs");
+  t.bake_time = Span::ms(given.number("familyInfo.bakeMs", 2000));
+  t.sample_interval = Span::ms(given.number("familyInfo.tallyEveryMs", 0));
+  t.vote_answer_timeout = Span::ms(given.number("familyInfo.answerWaitMs", 2000));
+  t.abort_votes_needed = static_cast<std::uint32_t>(given.number("familyInfo.noesNeeded", 1));
+  t.platform_calls_per_s = given.number("familyInfo.callsPerS", 10);
+  if (!(t.platform_calls_per_s > 0)) {
     doubts.push_back("settings: 'familyInfo.callsPerS' is " + given.word("familyInfo.callsPerS") +
                      ", read as 1");
-    t.votes_per_s = 1;
+    t.platform_calls_per_s = 1;
   }
-  t.reported_share = given.number("familyInfo.reportedShare", 0);
-  t.tally_sample = given.number("familyInfo.tallySample", 1);
+  t.dispute_report_fraction = given.number("familyInfo.reportedShare", 0);
+  t.outcome_sample_fraction = given.number("familyInfo.tallySample", 1);
   if (told) *told = std::move(doubts);
   return t;
 }
@@ -182,13 +175,13 @@
     for (std::uint32_t i = 0; i < count; ++i)
       to.push_back(given.word(list + "." + std::to_string(i) + ".name"));
   };
-  names("grades", t.path_groups);
-  names("parties", t.customers);
+  names("grades", t.request_classes);
+  names("parties", t.tenants);
   t.zones = given.words("zones");
-  t.kinds = given.words("kinds");
-  t.report_columns = given.words("stats.columns");
-  t.connect = Span::ms(given.number("allowed.connectTimeoutMs", 250));
-  t.host_idle = Span::ms(given.number("allowed.connIdleMs", 30000));
+  t.machine_types = given.words("kinds");
+  t.load_report_columns = given.words("stats.columns");
+  t.connect_timeout = Span::ms(given.number("allowed.connectTimeoutMs", 250));
+  t.endpoint_idle_timeout = Span::ms(given.number("allowed.connIdleMs", 30000));
   return t;
 }
 
--- a/src/terms/terms.hpp
+++ b/src/terms/terms.hpp
@@ -7,7 +7,7 @@
 #include <string_view>
 #include <vector>
 
-#include "choice.hpp"
+#include "policy/router_policy.hpp"
 
 namespace ashbeam {
 
@@ -44,8 +44,13 @@
 
 // What a router on sockets needs besides: names become small indices by their place here.
 struct WireSettings {
-  std::vector<std::string> path_groups, customers, zones, kinds, report_columns;
-  Span connect, host_idle;
+  std::vector<std::string> request_classes;
+  std::vector<std::string> tenants;
+  std::vector<std::string> zones;
+  std::vector<std::string> machine_types;
+  std::vector<std::string> load_report_columns;
+  Span connect_timeout;
+  Span endpoint_idle_timeout;
 };
 WireSettings read_wire_settings(const SettingsMap& given);
 
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -83,7 +83,7 @@
 }
 
 TEST_F(CrossingTest, AWatchThatBeginsOlderIsAskedOnceMoreAndThenBelieved) {
-  terms_.ask_within = Span::ms(200);
+  terms_.endpoint_poll_interval = Span::ms(200);
   begin(all_hosts());
   const std::string whole = list(entry(1), 7, true) + "\n";
   Stream first = discovery_.take();
@@ -129,7 +129,7 @@
 // Many may have been started at once: each waits by lot before its first call, and few need not.
 TEST_F(CrossingTest, AProcessAmongManyWaitsByLotBeforeItsFirstCallForTheList) {
   for (const unsigned routers : {1U, 51U, 300U}) {
-    terms_.routers = routers;
+    terms_.router_count = routers;
     const Limits limits = limits_for(1024, door_, terms_);
     EXPECT_EQ(limits.first_ask, routers == 1 ? Span() : Span::s(4));
     EXPECT_LT(limits.first_ask, limits.first_list);
@@ -296,8 +296,8 @@
 
 // A repeat must stay in the first forward's zone: a zone that the settings do not name is none of theirs.
 TEST_F(CrossingTest, AZoneThatTheSettingsDoNotNameIsNeverTakenForAnother) {
-  terms_.path_groups[1].group = IdempotencyScope::kZone;
-  terms_.path_groups[1].memory = Span::s(5);
+  terms_.request_classes[1].scope = IdempotencyScope::kZone;
+  terms_.request_classes[1].key_retention = Span::s(5);
   begin(list(placed(entry(0), "a", "m") + "," + placed(entry(1), "x", "n") + "," + placed(entry(2), "y", "n"),
              41, true));
   for (int i = 0; i < 12; ++i) {
@@ -321,7 +321,8 @@
 
 // What hosts remember for less long than a forward may wait for its connection is never sent there again.
 TEST_F(CrossingTest, ARepeatReachesItsHostWhileThatRemembersOrIsNotSent) {
-  for (RequestClass& g : terms_.path_groups) g.group = IdempotencyScope::kAll, g.memory = Span::ms(240);
+  for (RequestClass& g : terms_.request_classes)
+    g.scope = IdempotencyScope::kAll, g.key_retention = Span::ms(240);
   begin(all_hosts());
   Stream c = client();
   c.say(post("book", 1500));
--- a/tests/helpers.hpp
+++ b/tests/helpers.hpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "choice.hpp"
+#include "policy/router_policy.hpp"
 
 namespace ashbeam {
 
@@ -25,15 +25,13 @@
   std::vector<std::string> lines;
   unsigned follows = 0;
   std::map<std::uint64_t, Span> wakes;  // the last asked for, by token
-  void forward(RequestId hit, EndpointIndex host, Span) override { sent.push_back({hit, host, legs[hit]++}); }
-  void bounce(RequestId hit, Span) override { bounced.push_back(hit); }
-  void error(RequestId hit) override { errored.push_back(hit); }
-  void cancel(RequestId hit, unsigned leg) override { cancelled.emplace_back(hit, leg); }
-  void wake(Span from_now, std::uint64_t token) override { wakes[token] = from_now; }
-  void ask_load(EndpointIndex) override {}
-  void follow_list() override { ++follows; }
-  void vote(ReleaseVersion, unsigned stage, Vote vote) override { votes.emplace_back(stage, vote); }
-  void tell_peers(std::span<const std::uint8_t>) override {}
+  void send_attempt(RequestId hit, EndpointIndex host) override { sent.push_back({hit, host, legs[hit]++}); }
+  void reject(RequestId hit, Span) override { bounced.push_back(hit); }
+  void fail(RequestId hit) override { errored.push_back(hit); }
+  void cancel_attempt(RequestId hit, unsigned leg) override { cancelled.emplace_back(hit, leg); }
+  void schedule_wakeup(Span from_now, std::uint64_t token) override { wakes[token] = from_now; }
+  void watch_endpoints() override { ++follows; }
+  void cast_vote(ReleaseVersion, unsigned stage, Vote vote) override { votes.emplace_back(stage, vote); }
   void log(std::string_view line) override { lines.emplace_back(line); }
   bool voted(Vote v) const {
     return std::any_of(votes.begin(), votes.end(), [v](const auto& x) { return x.second == v; });
@@ -48,25 +46,25 @@
 inline RouterSettings default_settings() {
   RouterSettings t;
   for (const Idempotency r : {Idempotency::kIdempotent, Idempotency::kKeyed, Idempotency::kUnsafe}) {
-    t.path_groups.push_back({r, IdempotencyScope::kZone, Span::ms(600), Span::s(2), Span::s(1), 1, 0});
+    t.request_classes.push_back({r, IdempotencyScope::kZone, Span::ms(600), Span::s(2), Span::s(1), 1, 0});
   }
-  t.zones = 2;
-  t.routers = 2;
-  t.may_cancel = t.may_copy = true;
-  t.max_forwards = 4;
+  t.zone_count = 2;
+  t.router_count = 2;
+  t.may_cancel = t.may_hedge = true;
+  t.max_attempts = 4;
   t.drain_grace = Span::s(1);
-  t.ask_within = Span::s(10);
-  t.cold_window = Span::s(1);
-  t.warm_after = Span::s(4);
-  t.tick = Span::ms(5);
-  t.start_capacity = 0.33;
-  t.caps = {0.1, 0.4, 1.0};
-  t.rings = {0.1, 0.3, 1.0};
-  t.spare = 2;
-  t.window = Span::s(2);
-  t.vote_life = Span::s(10);
-  t.bake = Span::s(2);
-  t.votes_per_s = 50;
+  t.endpoint_poll_interval = Span::s(10);
+  t.slow_start_window = Span::s(1);
+  t.slow_start_duration = Span::s(4);
+  t.clock_tick = Span::ms(5);
+  t.initial_capacity = 0.33;
+  t.exposure_caps = {0.1, 0.4, 1.0};
+  t.stage_fractions = {0.1, 0.3, 1.0};
+  t.exposure_allowance = 2;
+  t.exposure_window = Span::s(2);
+  t.vote_ttl = Span::s(10);
+  t.bake_time = Span::s(2);
+  t.platform_calls_per_s = 50;
   return t;
 }
 
@@ -92,34 +90,34 @@
   explicit World(const RouterSettings& terms, unsigned earlier = 8, unsigned trial = 0,
                  std::uint64_t seed = 7) {
     router = make_router_policy(terms, seed, sink);
-    router->clock(now);
-    router->started();
+    router->set_time(now);
+    router->start();
     list(earlier, trial);
     stage(1, 2, ReleasePhase::kReleased, 1);
   }
   void list(unsigned earlier, unsigned trial, Instant start = Instant(), unsigned trial_kind = 0) {
     builds.clear();
-    router->clock(now);
-    router->list_begin(true);
+    router->set_time(now);
+    router->begin_endpoint_update(true);
     for (EndpointIndex h = 0; h < earlier + trial; ++h) {
       builds[h] = h < earlier ? 1 : 2;
-      router->list_host(h, EndpointState::kReady, builds[h], h % 2, h, h < earlier ? 0 : trial_kind,
-                        h < earlier ? Instant() : start);
+      router->update_endpoint({h, EndpointState::kReady, builds[h], h % 2, h, h < earlier ? 0 : trial_kind,
+                               h < earlier ? Instant() : start});
     }
-    router->list_end();
+    router->end_endpoint_update();
   }
   void stage(ReleaseVersion build, unsigned stage, ReleasePhase phase, double cap) {
-    router->clock(now);
-    router->stage_told(build, stage, phase, false, VoteOutcome::kAccepted, cap, Span());
+    router->set_time(now);
+    router->on_release_state({build, stage, phase, cap, Span()});
   }
   RequestId take(unsigned group = 0, std::uint64_t key = 0, Span patience = Span::s(2)) {
-    router->clock(now);
-    router->taken(next_hit, group, next_hit % customers, key, now + patience, 0);
+    router->set_time(now);
+    router->on_request({next_hit, group, next_hit % customers, key, now + patience});
     return next_hit++;
   }
   void end(const Noted::Sent& s, AttemptResult result, Span took = Span::ms(50), bool terminal = false) {
-    router->clock(now);
-    router->ended(s.hit, s.leg, s.host, result, took, terminal || result == AttemptResult::kOk, {});
+    router->set_time(now);
+    router->on_attempt_end({s.hit, s.leg, s.host, result, took, terminal || result == AttemptResult::kOk});
   }
   // Runs for a while at so many hits a second over the groups given, in steps of 5 ms.
   void run(Span length, int per_s, std::vector<unsigned> groups = {0}) {
@@ -149,8 +147,8 @@
     }
   }
   void beat() {
-    router->clock(now);
-    router->woken(1);
+    router->set_time(now);
+    router->on_wakeup(1);
   }
   std::size_t sent_to(ReleaseVersion build, std::size_t from = 0) const {
     std::size_t n = 0;
--- a/tests/local_failures_test.cpp
+++ b/tests/local_failures_test.cpp
@@ -29,8 +29,8 @@
       w.end(w.sink.sent.back(), AttemptResult::kLocalFailure, Span());
       for (int tick = 0; tick < 5; ++tick) {
         w.now = w.now + Span::ms(20);
-        w.router->clock(w.now);
-        w.router->woken(1);
+        w.router->set_time(w.now);
+        w.router->on_wakeup(1);
       }
       ASSERT_EQ(w.sink.sent.size(), before + 2) << "request " << request;
       w.end(w.sink.sent.back(), AttemptResult::kOk);
@@ -50,7 +50,7 @@
   w.run(Span::s(2), 20);
   EXPECT_GE(w.sink.bounced.size(), 190U);
   EXPECT_TRUE(w.sink.errored.empty());
-  EXPECT_LE(w.sink.sent.size(), 200U * default_settings().max_forwards + 50U);
+  EXPECT_LE(w.sink.sent.size(), 200U * default_settings().max_attempts + 50U);
   EXPECT_FALSE(w.sink.logged(" out for "));
 }
 
--- a/tests/choice_test.cpp
+++ b/tests/policy_test.cpp
@@ -177,18 +177,18 @@
 
 TEST(Judging, DisputedAnswersConvict) {
   RouterSettings terms = default_settings();
-  terms.reported_share = 0.15;
+  terms.dispute_report_fraction = 0.15;
   World w = on_trial(terms);
   w.run(Span::s(3), 100);
-  for (int i = 0; i < 4; ++i) w.router->answer_disputed(8 + i % 3, 0, Span::ms(500));
+  for (EndpointIndex i = 0; i < 4; ++i) w.router->on_disputed_answer({8 + i % 3, Span::ms(500)});
   w.run(Span::ms(300), 100);
   EXPECT_TRUE(w.sink.voted(Vote::kAbort));
 }
 
 TEST(Judging, TheTallyStandsInWhileOwnOutcomesAreFew) {
   World w = on_trial(default_settings(), 0.1);
-  w.router->tally_told(1, 0, 100, 0, Span::ms(50), Span());
-  w.router->tally_told(2, 0, 40, 10, Span::ms(50), Span());
+  w.router->on_outcome_sample({1, 0, 100, 0});
+  w.router->on_outcome_sample({2, 0, 40, 10});
   w.run(Span::s(1), 5);
   EXPECT_TRUE(w.sink.voted(Vote::kAbort));
 }
@@ -204,7 +204,7 @@
 
 TEST(Votes, PatienceIsForTheStagesOfTheTerms) {
   RouterSettings terms = default_settings();
-  terms.bake = Span::s(1);
+  terms.bake_time = Span::s(1);
   World w = on_trial(terms);
   w.list(8, 3, w.now);
   const Instant started = w.now;
@@ -239,7 +239,7 @@
   w.run(Span::s(30), 200);
   EXPECT_GE(w.sink.votes.size(), 3u);
   RouterSettings terms = default_settings();
-  terms.clocked = true;
+  terms.promoted_by_clock = true;
   World c = on_trial(terms);
   c.run(Span::s(20), 200);
   EXPECT_TRUE(c.sink.votes.empty());
@@ -247,12 +247,12 @@
 
 TEST(Votes, AFailedVoteCarriesNoNewsAndIsCastAgain) {
   RouterSettings terms = default_settings();
-  terms.votes_per_s = 4;
+  terms.platform_calls_per_s = 4;
   World w = on_trial(terms);
   w.run(Span::s(15), 200);
   ASSERT_TRUE(w.sink.voted(Vote::kPromote));
   const std::size_t before = w.sink.votes.size();
-  w.router->stage_told(0, 0, ReleasePhase::kCanary, true, VoteOutcome::kUnknown, 0, Span());
+  w.router->on_vote_refused(VoteOutcome::kUnknown);
   w.run(Span::s(1), 200);  // it may have been lost: soon
   EXPECT_GT(w.sink.votes.size(), before);
   EXPECT_EQ(w.sink.votes.back().second, Vote::kPromote);
@@ -262,26 +262,26 @@
 // rest away.
 TEST(Votes, ManyRoutersTogetherGetTheVotesThatAreNeeded) {
   RouterSettings terms = default_settings();
-  terms.routers = 300;
-  terms.votes_per_s = 16;
-  terms.back_needed = 45;
+  terms.router_count = 300;
+  terms.platform_calls_per_s = 16;
+  terms.abort_votes_needed = 45;
   for (const bool bad : {false, true}) {
     std::vector<Instant> stands;
     std::size_t most = 0, taken = 0;
     std::vector<World> fleet;
-    fleet.reserve(terms.routers);
-    for (unsigned r = 0; r < terms.routers; ++r) {
+    fleet.reserve(terms.router_count);
+    for (unsigned r = 0; r < terms.router_count; ++r) {
       fleet.emplace_back(terms, 8, 0, r + 1);
       fleet.back().list(8, 3);
       fleet.back().stage(2, 0, ReleasePhase::kCanary, 0.4);
-      if (bad) fleet.back().router->tally_told(1, 0, 900, 0, Span::ms(50), Span());
-      if (bad) fleet.back().router->tally_told(2, 0, 900, 800, Span::ms(50), Span());
+      if (bad) fleet.back().router->on_outcome_sample({1, 0, 900, 0});
+      if (bad) fleet.back().router->on_outcome_sample({2, 0, 900, 800});
       stands.emplace_back();
     }
     for (int second = 0; second < 20; ++second) {
       taken = 0;
       for (int part = 0; part < 20; ++part) {
-        for (unsigned r = 0; r < terms.routers; ++r) {
+        for (unsigned r = 0; r < terms.router_count; ++r) {
           World& w = fleet[r];
           const std::size_t before = w.sink.votes.size();
           w.run(Span::ms(50), 0);
@@ -289,12 +289,12 @@
             const bool full = taken >= 16;
             taken += !full;
             if (!full) stands[r] = w.now;
-            w.router->stage_told(2, 0, ReleasePhase::kCanary, true,
-                                 full ? VoteOutcome::kThrottled : VoteOutcome::kAccepted, 0.4, Span());
+            if (full) w.router->on_vote_refused(VoteOutcome::kThrottled);
+            else w.router->on_release_state({2, 0, ReleasePhase::kCanary, 0.4, Span()});
           }
         }
         const Instant now = fleet.front().now;
-        const auto live = [&](Instant at) { return now - at < terms.vote_life; };
+        const auto live = [&](Instant at) { return now - at < terms.vote_ttl; };
         most = std::max<std::size_t>(most, std::count_if(stands.begin(), stands.end(), live));
       }
     }
@@ -312,7 +312,7 @@
 // The news that the last stage has passed is late: further forwards and steps back must not starve the hits.
 TEST(Departure, WhereOnlyTheTrialIsLeftEachHitKeepsItsRoom) {
   RouterSettings terms = default_settings();
-  terms.may_copy = false;
+  terms.may_hedge = false;
   World w(terms, 0, 8);
   w.stage(2, 2, ReleasePhase::kCanary, 1.0);
   w.serve = [](ReleaseVersion, EndpointIndex) {
@@ -335,7 +335,7 @@
 
 TEST(Exposure, AKeyAnsweredByTheNewBuildStaysWithIt) {
   RouterSettings terms = default_settings();
-  terms.one_way = true;
+  terms.sticky_keys = true;
   World w(terms, 4, 4);
   w.stage(2, 1, ReleasePhase::kCanary, 0.9);
   std::map<std::uint64_t, bool> bound;
@@ -358,10 +358,11 @@
 // News of a build gone back may come once more while hosts of the next one answer already.
 TEST(Exposure, KeysStayWithTheNextBuildWhenTheLastOneGoesBack) {
   RouterSettings terms = default_settings();
-  terms.one_way = true;
+  terms.sticky_keys = true;
   World w(terms, 0, 4);
-  for (EndpointIndex h = 0; h < 4; ++h) w.router->list_host(h, EndpointState::kReady, 3, 0, h, 0, Instant());
-  w.router->list_end();
+  for (EndpointIndex h = 0; h < 4; ++h)
+    w.router->update_endpoint({h, EndpointState::kReady, 3, 0, h, 0, Instant()});
+  w.router->end_endpoint_update();
   w.stage(2, 0, ReleasePhase::kWithdrawn, 0);
   w.take(0, 77);
   ASSERT_EQ(w.sink.sent.size(), 1u);
@@ -425,7 +426,7 @@
 TEST(Hits, ASilentHostIsDroppedAndItsHitsGoElsewhere) {
   for (const bool copies : {true, false}) {
     RouterSettings terms = default_settings();
-    terms.may_copy = copies;
+    terms.may_hedge = copies;
     World w(terms);
     w.serve = [](ReleaseVersion, EndpointIndex h) {
       return Outcome{AttemptResult::kOk, Span::ms(50), h == 3};
@@ -454,7 +455,7 @@
 
 TEST(Hits, OverloadBouncesAtOnceWhatIsWorthLeast) {
   RouterSettings terms = default_settings();
-  terms.path_groups[1].benefit = 5;
+  terms.request_classes[1].priority_weight = 5;
   World w(terms, 2);
   w.serve = [](ReleaseVersion, EndpointIndex) { return Outcome{AttemptResult::kOk, Span::ms(250)}; };
   w.run(Span::s(6), 200, {0, 1});
@@ -476,10 +477,10 @@
 
 TEST(Hosts, DrainingAndGoneGetNothing) {
   World w(default_settings(), 4);
-  w.router->list_begin(false);
-  w.router->list_host(0, EndpointState::kDraining, 1, 0, 0, 0, Instant());
-  w.router->list_host(1, EndpointState::kRemoved, 1, 1, 1, 0, Instant());
-  w.router->list_end();
+  w.router->begin_endpoint_update(false);
+  w.router->update_endpoint({0, EndpointState::kDraining, 1, 0, 0, 0, Instant()});
+  w.router->update_endpoint({1, EndpointState::kRemoved, 1, 1, 1, 0, Instant()});
+  w.router->end_endpoint_update();
   w.run(Span::s(1), 100);
   for (const auto& s : w.sink.sent) EXPECT_GE(s.host, 2u);
 }
@@ -487,10 +488,10 @@
 TEST(Hosts, OutcomesOfAFormerProcessSayNothingOfTheNextOne) {
   World w(default_settings(), 4);
   for (int i = 0; i < 40; ++i) w.take();
-  w.router->list_begin(false);
+  w.router->begin_endpoint_update(false);
   for (EndpointIndex h = 0; h < 4; ++h)
-    w.router->list_host(h, EndpointState::kReady, 2, h % 2, h, 0, Instant());
-  w.router->list_end();
+    w.router->update_endpoint({h, EndpointState::kReady, 2, h % 2, h, 0, Instant()});
+  w.router->end_endpoint_update();
   const auto sent = w.sink.sent;  // more follows as these end
   ASSERT_GE(sent.size(), 12u);
   for (const auto& s : sent) w.end(s, AttemptResult::kReset);
@@ -506,9 +507,9 @@
   ASSERT_TRUE(w.sink.logged("host 0 out for"));
   w.serve = [](ReleaseVersion, EndpointIndex) { return World::Outcome{}; };
   for (const EndpointState state : {EndpointState::kRemoved, EndpointState::kReady}) {
-    w.router->list_begin(false);
-    w.router->list_host(0, state, 1, 0, 0, 0, Instant());
-    w.router->list_end();
+    w.router->begin_endpoint_update(false);
+    w.router->update_endpoint({0, state, 1, 0, 0, 0, Instant()});
+    w.router->end_endpoint_update();
   }
   const std::size_t from = w.sink.sent.size();
   w.run(Span::ms(300), 200);
@@ -520,9 +521,9 @@
 TEST(Hosts, AColdHostGetsLessThanAWarmOne) {
   World w(default_settings(), 8);
   w.run(Span::s(2), 400);
-  w.router->list_begin(false);
-  w.router->list_host(0, EndpointState::kReady, 1, 0, 0, 0, w.now);
-  w.router->list_end();
+  w.router->begin_endpoint_update(false);
+  w.router->update_endpoint({0, EndpointState::kReady, 1, 0, 0, 0, w.now});
+  w.router->end_endpoint_update();
   const std::size_t from = w.sink.sent.size();
   w.run(Span::s(1), 400);
   std::size_t cold = 0;
@@ -535,7 +536,7 @@
 template <class Before>
 std::size_t sent_cold(const RouterSettings& terms, int per_s, Before&& before) {
   std::size_t cold = 0;
-  for (unsigned router = 0; router < terms.routers; ++router) {
+  for (unsigned router = 0; router < terms.router_count; ++router) {
     World w(terms, 8, 0, 100 + router);
     before(w);
     const std::size_t from = w.sink.sent.size();
@@ -549,16 +550,16 @@
 auto listed_cold(int per_s) {
   return [per_s](World& w) {
     w.run(Span::s(3), per_s);
-    w.router->list_begin(false);
+    w.router->begin_endpoint_update(false);
     for (EndpointIndex h = 0; h < 8; ++h)
-      w.router->list_host(h, EndpointState::kReady, 1, h % 2, h, 0, w.now);
-    w.router->list_end();
+      w.router->update_endpoint({h, EndpointState::kReady, 1, h % 2, h, 0, w.now});
+    w.router->end_endpoint_update();
   };
 }
 
 TEST(Hosts, ManyRoutersTogetherSendAColdHostNoMoreThanItsPart) {
   RouterSettings terms = default_settings();
-  terms.routers = 200;
+  terms.router_count = 200;
   const std::size_t cold = sent_cold(terms, 3, listed_cold(3));
   EXPECT_GT(cold, 0u);
   EXPECT_LT(cold, 500u);  // of 600 hits; one free hit for each router would let all of them through
@@ -567,8 +568,8 @@
 // Demand far over what the fleet can do, by clients that come again: the customers' shares say what that is.
 TEST(Hosts, ManyRoutersUnderAnyDemandSendColdHostsWhatTheyCanDo) {
   RouterSettings terms = default_settings();
-  terms.routers = 200;
-  terms.customer_per_s = {400};                                  // 50 a second for each of 8 hosts
+  terms.router_count = 200;
+  terms.tenant_quota_per_s = {400};                              // 50 a second for each of 8 hosts
   const std::size_t cold = sent_cold(terms, 9, listed_cold(9));  // of 1,800 hits
   EXPECT_GT(cold, 50u);
   EXPECT_LT(cold, 400u * 6 / 10);  // they grow from 0.33 to 0.5 within the second
@@ -577,8 +578,8 @@
 // The list tells of a start late. A host seen dead, and a zone all of whose hosts are, may have started anew.
 TEST(Hosts, AZoneThatWasSeenDeadIsColdWhenItComesBack) {
   RouterSettings terms = default_settings();
-  terms.routers = 200;
-  terms.customer_per_s = {400};
+  terms.router_count = 200;
+  terms.tenant_quota_per_s = {400};
   const auto lost_and_back = [](World& w) {
     w.run(Span::s(6), 9);
     w.serve = [](ReleaseVersion, EndpointIndex) {
@@ -595,17 +596,17 @@
 // A stage brings 16 cold hosts beside 4 warm ones of its build and 20 of the earlier one.
 TEST(Hosts, ColdTrialHostsGetTheirLotsAndWarmOnesDoNotCarryThem) {
   RouterSettings terms = default_settings();
-  terms.routers = 200;
-  terms.zones = 1;
+  terms.router_count = 200;
+  terms.zone_count = 1;
   std::array<double, 3> sent{};  // 0: earlier, 1: warm, 2: cold
-  for (unsigned router = 0; router < terms.routers; ++router) {
+  for (unsigned router = 0; router < terms.router_count; ++router) {
     World w(terms, 20, 4, 100 + router);
     w.stage(2, 0, ReleasePhase::kCanary, 1);
     w.run(Span::s(6), 6);
-    w.router->list_begin(false);
+    w.router->begin_endpoint_update(false);
     for (EndpointIndex h = 24; h < 40; ++h)
-      w.router->list_host(h, EndpointState::kReady, w.builds[h] = 2, 0, h, 0, w.now);
-    w.router->list_end();
+      w.router->update_endpoint({h, EndpointState::kReady, w.builds[h] = 2, 0, h, 0, w.now});
+    w.router->end_endpoint_update();
     const std::size_t from = w.sink.sent.size();
     w.run(Span::s(1), 6);
     for (std::size_t i = from; i < w.sink.sent.size(); ++i) {
@@ -622,8 +623,8 @@
 // A router that has just started knows of no start that the list does not tell yet.
 TEST(Hosts, ManyRoutersJustStartedSendNoMoreThanColdHostsBear) {
   RouterSettings terms = default_settings();
-  terms.routers = 200;
-  terms.customer_per_s = {400};
+  terms.router_count = 200;
+  terms.tenant_quota_per_s = {400};
   const std::size_t cold = sent_cold(terms, 9, [](World&) {});
   EXPECT_GT(cold, 100u);
   EXPECT_LT(cold, 400u * 0.66);  // twice what 0.33 of them is
@@ -648,7 +649,7 @@
 
 TEST(Judging, ASlowBuildIsMetByOneOfManyRouters) {
   RouterSettings terms = default_settings();
-  terms.routers = 60;
+  terms.router_count = 60;
   World w = on_trial(terms, 0.4, 12, 10);
   w.serve = [](ReleaseVersion b, EndpointIndex) {
     return Outcome{AttemptResult::kOk, Span::ms(b == 2 ? 130 : 50)};
@@ -659,7 +660,7 @@
 
 TEST(Hosts, AnUnheardZoneIsHeldNoBetterThanTheBest) {
   RouterSettings terms = default_settings();
-  terms.routers = 200;
+  terms.router_count = 200;
   World w(terms, 8);  // odd hosts are of the other zone: they take hits and answer none
   w.serve = [](ReleaseVersion, EndpointIndex h) {
     return Outcome{AttemptResult::kOk, Span::ms(50), h % 2 == 1};
@@ -673,10 +674,10 @@
 TEST(Judging, ManyJudgesAskForMoreEvidenceEach) {
   for (const unsigned routers : {2U, 200U}) {
     RouterSettings terms = default_settings();
-    terms.routers = routers;
+    terms.router_count = routers;
     World w = on_trial(terms);
-    w.router->tally_told(1, 0, 100, 8, Span::ms(50), Span());
-    w.router->tally_told(2, 0, 100, 23, Span::ms(50), Span());
+    w.router->on_outcome_sample({1, 0, 100, 8});
+    w.router->on_outcome_sample({2, 0, 100, 23});
     w.run(Span::s(1), 5);
     EXPECT_EQ(w.sink.voted(Vote::kAbort), routers == 2);
   }
@@ -686,12 +687,12 @@
 // timed out as well. The list is not sent to past its validity meanwhile.
 TEST(List, CallsThatFailSpreadOverMoreSecondsTheLongerTheyFailUntilAListComes) {
   RouterSettings terms = default_settings();
-  terms.ask_within = Span::s(20);
-  terms.must_ask = true;
+  terms.endpoint_poll_interval = Span::s(20);
+  terms.must_watch_endpoints = true;
   World w(terms);
   for (int i = 0; i < 40; ++i) {
-    w.router->list_failed();
-    w.router->woken(2);
+    w.router->on_endpoint_watch_failed();
+    w.router->on_wakeup(2);
     EXPECT_EQ(w.sink.follows, i + 2u);
     const Span mean = i < 1 ? Span::ms(300) : i < 3 ? Span::s(3) : Span::s(6);
     EXPECT_GE(w.sink.wakes[2], mean * 0.5);
@@ -699,7 +700,7 @@
     w.stage(1, 2, ReleasePhase::kReleased, 1);  // news comes all the while, and is no list
   }
   w.list(8, 0);
-  w.router->list_failed();
+  w.router->on_endpoint_watch_failed();
   EXPECT_LT(w.sink.wakes[2], Span::s(1));
 }
 
@@ -708,18 +709,18 @@
   w.list(3, 0);
   w.stage(1, 2, ReleasePhase::kReleased, 1);
   const Instant now = w.now;
-  w.router->list_valid({now + Span::s(1), Instant::never()});
+  w.router->set_endpoint_list_validity({now + Span::s(1), Instant::never()});
   w.take();
   EXPECT_EQ(w.sink.sent.size(), 1U);
-  w.router->list_valid({now, Instant::never()});
+  w.router->set_endpoint_list_validity({now, Instant::never()});
   w.take();
   EXPECT_EQ(w.sink.sent.size(), 1U);
   EXPECT_EQ(w.sink.bounced.size(), 1U);  // at once
-  w.router->host_valid(2, now + Span::s(1));
+  w.router->extend_endpoint_validity(2, now + Span::s(1));
   w.take();
   ASSERT_EQ(w.sink.sent.size(), 2U);
   EXPECT_EQ(w.sink.sent.back().host, 2U);
-  w.router->list_valid({now, now});  // a line has begun: not even there
+  w.router->set_endpoint_list_validity({now, now});  // a line has begun: not even there
   w.take();
   EXPECT_EQ(w.sink.sent.size(), 2U);
 }
@@ -728,7 +729,7 @@
 TEST(Hosts, OneOfManyRoutersSendsSmallMachinesWhatTheyDo) {
   for (const ReleasePhase phase : {ReleasePhase::kCanary, ReleasePhase::kReleased}) {
     RouterSettings terms = default_settings();
-    terms.routers = 100, terms.kinds = 2;
+    terms.router_count = 100, terms.machine_type_count = 2;
     World w(terms, 20);
     w.list(20, 20, Instant(), 1);
     w.stage(2, 1, phase, 1);
@@ -743,14 +744,15 @@
 // One of six trial hosts is near by, among ten of the earlier build: it gets what one of them gets.
 TEST(Hosts, AFewTrialHostsNearByDoNotCarryThePartOfThoseFurtherOff) {
   RouterSettings terms = default_settings();
-  terms.routers = 100;
-  terms.cross_price = 0.08;
+  terms.router_count = 100;
+  terms.cross_zone_cost = 0.08;
   World w(terms, 20);
   w.run(Span::s(5), 12);
-  w.router->list_begin(false);
+  w.router->begin_endpoint_update(false);
   for (EndpointIndex h = 20; h < 26; ++h)
-    w.router->list_host(h, EndpointState::kReady, w.builds[h] = 2, h == 20 ? 0 : 1, h, 0, Instant());
-  w.router->list_end();
+    w.router->update_endpoint(
+        {h, EndpointState::kReady, w.builds[h] = 2, h == 20 ? 0U : 1U, h, 0, Instant()});
+  w.router->end_endpoint_update();
   w.stage(2, 1, ReleasePhase::kCanary, 1);
   w.run(Span::s(10), 12);
   const std::size_t from = w.sink.sent.size();
--- a/tests/records_test.cpp
+++ b/tests/records_test.cpp
@@ -135,7 +135,7 @@
 
 std::string operators_faults(const std::string& text) {
   WireSettings door;
-  door.path_groups = {"look"}, door.customers = {"shop"};
+  door.request_classes = {"look"}, door.tenants = {"shop"};
   try {
     operators_from(text, "o.cue", &door, nullptr);
   } catch (const OperatorsError& e) {
--- a/tests/router_test.cpp
+++ b/tests/router_test.cpp
@@ -303,7 +303,7 @@
 
 // What the new build has answered for a key goes to no earlier one; other keys do.
 TEST_F(RouterTest, AKeyThatTheNewBuildAnsweredStaysWithIt) {
-  terms_.one_way = true;
+  terms_.sticky_keys = true;
   begin(list(entry(1, "up", 2), 41, true));
   Stream d = discovery_.take(), c = client();
   c.say(get(1500, "X-Session-Key: door-7\r\n"));
@@ -323,7 +323,7 @@
 // An attempt counts when its last byte has come: one that still waits for its connection would take the key
 // back.
 TEST_F(RouterTest, AForwardNotYetWrittenIsRecalledWhenANewerBuildAnswersForItsKey) {
-  terms_.one_way = true;
+  terms_.sticky_keys = true;
   terms_.drain_grace = Span::s(6);
   limits_.connect = Span::s(3);
   FullDoor slow;
@@ -347,7 +347,7 @@
 
 // The copy answers: its fellow that still waits is recalled, and then called off by the module as well.
 TEST_F(RouterTest, AForwardRecalledAndCalledOffAtOnceEndsOnce) {
-  terms_.one_way = terms_.may_copy = true;
+  terms_.sticky_keys = terms_.may_hedge = true;
   terms_.drain_grace = Span::s(6);
   limits_.connect = Span::s(3);
   const FullDoor slow;
@@ -367,7 +367,7 @@
 
 // Where the settings say that the list comes by itself, on sockets it does not.
 TEST_F(RouterTest, TheListIsWatchedWhereTheSettingsDoNotAskForIt) {
-  terms_.must_ask = false;
+  terms_.must_watch_endpoints = false;
   begin(all_hosts());
   for (int lost = 0; lost < 2; ++lost) {
     Stream d = discovery_.take(3000);
@@ -377,7 +377,7 @@
 
 TEST_F(RouterTest, AWatchThatFailsIsAskedForAgain) {
   limits_.discovery_silence = limits_.discovery_call = Span::ms(150);
-  terms_.ask_within = Span::s(1);  // the longest wait is 2 s then
+  terms_.endpoint_poll_interval = Span::s(1);  // the longest wait is 2 s then
   begin(all_hosts());
   const std::string good = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
   for (const std::string& answer : {status_line("503"), std::string("nonsense\r\n\r\n"), good + "0\r\n\r\n",
@@ -643,9 +643,9 @@
       },
       [this] { return answers_.size() >= 6; });
   desk.join();
-  EXPECT_EQ(answers_, (std::vector<Answer>{VoteOutcome::kAccepted, VoteOutcome::kThrottled,
-                                           VoteOutcome::kConditionFailed, VoteOutcome::kFailed,
-                                           VoteOutcome::kFailed, VoteOutcome::kUnknown}));
+  EXPECT_EQ(answers_, (std::vector<VoteOutcome>{VoteOutcome::kAccepted, VoteOutcome::kThrottled,
+                                                VoteOutcome::kConditionFailed, VoteOutcome::kFailed,
+                                                VoteOutcome::kFailed, VoteOutcome::kUnknown}));
   EXPECT_EQ(news_, std::vector<std::string>{"ROLLOUT{\"image\":42}"});
 }
 
@@ -665,7 +665,7 @@
   });
   run([](Desk& d) { d.vote(42, 1, Vote::kAbort); }, [this] { return !news_.empty(); });
   desk.join();
-  EXPECT_EQ(answers_, std::vector<Answer>{VoteOutcome::kUnknown});  // written, then broken: it may count
+  EXPECT_EQ(answers_, std::vector<VoteOutcome>{VoteOutcome::kUnknown});  // written, then broken: it may count
   EXPECT_EQ(news_.size(), 1U);
 }
 
@@ -682,14 +682,14 @@
   });
   run([&](Desk& d) { d.vote(42, 1, Vote::kAbort), d.retire([&] { over = true; }); }, [&] { return over; });
   desk.join();
-  EXPECT_EQ(answers_, std::vector<Answer>{VoteOutcome::kAccepted});
+  EXPECT_EQ(answers_, std::vector<VoteOutcome>{VoteOutcome::kAccepted});
   EXPECT_TRUE(news_.empty());
 }
 
 TEST_F(DeskTest, AVoteThatIsNeverWrittenHasFailed) {
   ::close(std::exchange(door_.fd, ::socket(AF_INET, SOCK_STREAM, 0)));  // nobody listens
   run([](Desk& d) { d.vote(42, 1, Vote::kPromote); }, [this] { return !answers_.empty(); });
-  EXPECT_EQ(answers_, std::vector<Answer>{VoteOutcome::kFailed});
+  EXPECT_EQ(answers_, std::vector<VoteOutcome>{VoteOutcome::kFailed});
 }
 
 // ---- The start ----
--- a/tests/router_world.hpp
+++ b/tests/router_world.hpp
@@ -168,9 +168,9 @@
   }
   std::string all_hosts() const { return list(entry(0) + "," + entry(1) + "," + entry(2), 41, true); }
   void SetUp() override {
-    terms_.must_ask = true;
-    terms_.may_copy = false;
-    terms_.routers = 1;
+    terms_.must_watch_endpoints = true;
+    terms_.may_hedge = false;
+    terms_.router_count = 1;
     // Ready, and serving, without discovery, but for the tests of that.
     limits_.first_list = Span();
     limits_.known_list = Span::s(600);
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -60,87 +60,85 @@
     return hit;
   }
 
-  void forward(RequestId id, EndpointIndex h, Span) override {
+  void send_attempt(RequestId id, EndpointIndex h) override {
     Known& hit = open_hit(id);
-    const RequestClass& group = terms_.path_groups[hit.group];
+    const RequestClass& group = terms_.request_classes[hit.group];
     const Machine& host = list.at(h);
     unsigned leg = 0;
     for (const Send& s : sends) {
       if (s.hit != id) continue;
       ++leg;
       if (!s.out && !s.may_have_run) continue;
-      EXPECT_NE(group.repeats, Idempotency::kUnsafe) << "rule 2: a mutating hit goes out again";
+      EXPECT_NE(group.idempotency, Idempotency::kUnsafe) << "rule 2: a mutating hit goes out again";
       if (s.out) {
-        EXPECT_TRUE(terms_.may_copy) << "two forwards out at once";
+        EXPECT_TRUE(terms_.may_hedge) << "two forwards out at once";
       }
-      if (group.repeats != Idempotency::kKeyed) continue;
-      EXPECT_LT(now - s.at, group.memory) << "rule 2: a tagged hit goes out past its memory";
-      if (group.group == IdempotencyScope::kZone) {
+      if (group.idempotency != Idempotency::kKeyed) continue;
+      EXPECT_LT(now - s.at, group.key_retention) << "rule 2: a tagged hit goes out past its memory";
+      if (group.scope == IdempotencyScope::kZone) {
         EXPECT_EQ(list.at(s.host).zone, host.zone) << "rule 2: zone left";
       }
-      if (group.group == IdempotencyScope::kCell) {
+      if (group.scope == IdempotencyScope::kCell) {
         EXPECT_EQ(list.at(s.host).cell, host.cell) << "rule 2: cell left";
       }
     }
-    EXPECT_LT(leg, terms_.max_forwards);
+    EXPECT_LT(leg, terms_.max_attempts);
     EXPECT_EQ(host.state, EndpointState::kReady) << "rule 3: host " << h << " drains or is gone";
     if (on_trial(host.build)) {
       ++trial_sends;
       const bool announced = told && host.build == build;
-      const double limit = announced ? cap : terms_.caps[0];
+      const double limit = announced ? cap : terms_.exposure_caps[0];
       double out = 1, in = 0;
       for (const Send& s : sends) {
-        const bool counts = !terms_.by_path_group || s.group == hit.group;
-        out += counts && s.build == host.build && s.at > now - terms_.window;
+        const bool counts = !terms_.exposure_per_class || s.group == hit.group;
+        out += counts && s.build == host.build && s.at > now - terms_.exposure_window;
       }
       for (const auto& [other, k] : hits) {
-        in += (!terms_.by_path_group || k.group == hit.group) && k.taken > now - terms_.window;
+        in += (!terms_.exposure_per_class || k.group == hit.group) && k.taken > now - terms_.exposure_window;
       }
       EXPECT_GT(limit, 0) << "rule 5: cap 0";
-      EXPECT_LE(out, terms_.spare + limit * in) << "rule 5: over the cap";
-      if ((announced ? stage : 0) < terms_.closed_stages) {
-        EXPECT_EQ(group.repeats, Idempotency::kIdempotent) << "rule 5: closed stage";
+      EXPECT_LE(out, terms_.exposure_allowance + limit * in) << "rule 5: over the cap";
+      if ((announced ? stage : 0) < terms_.idempotent_only_stages) {
+        EXPECT_EQ(group.idempotency, Idempotency::kIdempotent) << "rule 5: closed stage";
       }
     }
-    if (terms_.one_way && bound.contains(hit.key)) {
+    if (terms_.sticky_keys && bound.contains(hit.key)) {
       EXPECT_GE(host.build, bound.at(hit.key)) << "rule 5: a bound key goes back";
     }
-    if (now - host.start < terms_.warm_after) {  // rule 4, as a router alone can keep it
+    if (now - host.start < terms_.slow_start_duration) {  // rule 4, as a router alone can keep it
       double sent = 1, taken = 0, ability = 0;
       const auto able = [&](const Machine& m) {
-        const double part = std::min((now - m.start) / terms_.warm_after, 1.0);
-        return terms_.start_capacity + (1 - terms_.start_capacity) * part;
+        const double part = std::min((now - m.start) / terms_.slow_start_duration, 1.0);
+        return terms_.initial_capacity + (1 - terms_.initial_capacity) * part;
       };
-      for (const Send& s : sends) sent += s.host == h && s.at >= now - terms_.cold_window;
-      for (const auto& [other, k] : hits) taken += k.taken > now - terms_.cold_window;
+      for (const Send& s : sends) sent += s.host == h && s.at >= now - terms_.slow_start_window;
+      for (const auto& [other, k] : hits) taken += k.taken > now - terms_.slow_start_window;
       for (const auto& [other, m] : list) ability += m.state == EndpointState::kReady ? able(m) : 0;
       EXPECT_LE(sent, 3 + 1.5 * taken * able(host) / ability) << "rule 4: a cold host gets too much";
     }
     sends.push_back({id, h, host.build, leg, hit.group, now});
   }
-  void bounce(RequestId id, Span) override {
+  void reject(RequestId id, Span) override {
     Known& hit = open_hit(id);
-    const RequestClass& group = terms_.path_groups[hit.group];
-    const bool harmless = group.repeats == Idempotency::kIdempotent ||
-                          (group.repeats == Idempotency::kKeyed && group.group == IdempotencyScope::kAll);
+    const RequestClass& group = terms_.request_classes[hit.group];
+    const bool harmless = group.idempotency == Idempotency::kIdempotent ||
+                          (group.idempotency == Idempotency::kKeyed && group.scope == IdempotencyScope::kAll);
     if (!harmless) {
       EXPECT_FALSE(may_have_run(id)) << "rule 2: bounced though it may have run";
     }
     hit.ended = true;
     ++bounces;
   }
-  void error(RequestId id) override {
+  void fail(RequestId id) override {
     open_hit(id).ended = true;
     ++errors;
   }
-  void cancel(RequestId, unsigned) override {}
-  void wake(Span, std::uint64_t) override {}
-  void ask_load(EndpointIndex) override {}
-  void follow_list() override {}
-  void vote(ReleaseVersion, unsigned, Vote v) override {
-    EXPECT_FALSE(terms_.clocked && v == Vote::kPromote);
+  void cancel_attempt(RequestId, unsigned) override {}
+  void schedule_wakeup(Span, std::uint64_t) override {}
+  void watch_endpoints() override {}
+  void cast_vote(ReleaseVersion, unsigned, Vote v) override {
+    EXPECT_FALSE(terms_.promoted_by_clock && v == Vote::kPromote);
   }
-  void tell_peers(std::span<const std::uint8_t>) override {}
   void log(std::string_view) override {}
 };
 
@@ -148,19 +146,19 @@
  public:
   Stream(const RouterSettings& terms, unsigned seed)
       : rules_(terms), random_(seed), router_(make_router_policy(terms, seed, rules_)) {
-    router_->clock(now_);
-    router_->started();
+    router_->set_time(now_);
+    router_->start();
   }
 
   void run(Span length) {
     for (const Instant until = now_ + length; now_ < until; now_ = now_ + Span::ms(5)) {
       rules_.now = now_;
-      router_->clock(now_);
+      router_->set_time(now_);
       if (step_++ % 200 == 0) change_list();
       if (step_ % 600 == 30) change_stage();
       for (int i = draw(0, 2); i > 0; --i) take();
       end_some();
-      if (step_ % 4 == 0) router_->woken(1);
+      if (step_ % 4 == 0) router_->on_wakeup(1);
       for (const auto& [id, hit] : rules_.hits) {
         if (!hit.ended) {
           EXPECT_LT(now_, hit.give_up + Span::ms(20)) << "rule 1: hit " << id << " is lost";
@@ -174,7 +172,7 @@
   int draw(int low, int high) { return std::uniform_int_distribution<int>(low, high)(random_); }
 
   void change_list() {
-    router_->list_begin(true);
+    router_->begin_endpoint_update(true);
     auto old = std::move(rules_.list);
     rules_.list.clear();
     for (EndpointIndex h = 0; h < 12; ++h) {
@@ -189,13 +187,13 @@
              0,
              now_};
       rules_.list[h] = m;
-      router_->list_host(h, m.state, m.build, m.zone, m.cell, m.kind, m.start);
+      router_->update_endpoint({h, m.state, m.build, m.zone, m.cell, m.kind, m.start});
     }
-    router_->list_end();
+    router_->end_endpoint_update();
     if (!rules_.told) change_stage();
   }
   void change_stage() {
-    const auto last = static_cast<unsigned>(rules_.terms_.caps.size()) - 1;
+    const auto last = static_cast<unsigned>(rules_.terms_.exposure_caps.size()) - 1;
     if (!rules_.told || rules_.phase == ReleasePhase::kWithdrawn || rules_.phase == ReleasePhase::kReleased) {
       rules_.phase = rules_.told ? ReleasePhase::kCanary : ReleasePhase::kReleased;
       rules_.stage = rules_.told ? 0 : last;
@@ -210,11 +208,10 @@
       ++rules_.stage;
     }
     const bool back = rules_.phase == ReleasePhase::kRollingBack || rules_.phase == ReleasePhase::kWithdrawn;
-    rules_.cap = back ? 0 : rules_.terms_.caps[rules_.stage];
+    rules_.cap = back ? 0 : rules_.terms_.exposure_caps[rules_.stage];
     if (back) rules_.bound.clear();
     rules_.told = true;
-    router_->stage_told(rules_.build, rules_.stage, rules_.phase, false, VoteOutcome::kAccepted, rules_.cap,
-                        Span());
+    router_->on_release_state({rules_.build, rules_.stage, rules_.phase, rules_.cap, Span()});
   }
   void take() {
     const RequestId id = next_++;
@@ -222,7 +219,7 @@
     const auto key = static_cast<std::uint64_t>(draw(0, 40));
     const Instant give_up = now_ + Span::ms(draw(100, 2000));
     rules_.hits[id] = {group, key, now_, give_up};
-    router_->taken(id, group, 0, key, give_up, 0);
+    router_->on_request({id, group, 0, key, give_up});
   }
   void end_some() {
     for (std::size_t i = 0; i < rules_.sends.size(); ++i) {
@@ -244,7 +241,7 @@
         auto& b = rules_.bound[hit.key];
         b = std::max(b, sent.build);
       }
-      router_->ended(sent.hit, sent.leg, sent.host, result, now_ - sent.at, hit.ended, {});
+      router_->on_attempt_end({sent.hit, sent.leg, sent.host, result, now_ - sent.at, hit.ended});
     }
   }
 
@@ -259,15 +256,15 @@
   std::size_t trial = 0, bounces = 0, errors = 0;
   for (unsigned seed = 1; seed <= 24; ++seed) {
     RouterSettings terms = default_settings();
-    terms.path_groups[1].memory = Span::ms(250);
-    terms.one_way = seed % 2 == 0;
-    terms.by_path_group = seed % 3 == 0;
-    terms.closed_stages = seed % 4;
-    terms.may_copy = seed % 5 != 0;
-    terms.clocked = seed % 7 == 0;
-    terms.rolling = seed % 2 == 1;
-    if (seed % 6 == 0) terms.path_groups[1].group = IdempotencyScope::kAll;
-    if (seed % 6 == 1) terms.path_groups[1].group = IdempotencyScope::kCell;
+    terms.request_classes[1].key_retention = Span::ms(250);
+    terms.sticky_keys = seed % 2 == 0;
+    terms.exposure_per_class = seed % 3 == 0;
+    terms.idempotent_only_stages = seed % 4;
+    terms.may_hedge = seed % 5 != 0;
+    terms.promoted_by_clock = seed % 7 == 0;
+    terms.rolling_update = seed % 2 == 1;
+    if (seed % 6 == 0) terms.request_classes[1].scope = IdempotencyScope::kAll;
+    if (seed % 6 == 1) terms.request_classes[1].scope = IdempotencyScope::kCell;
     SCOPED_TRACE("seed " + std::to_string(seed));
     Stream stream(terms, seed);
     stream.run(Span::s(20));
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -11,7 +11,7 @@
 
 Sent played(const RouterSettings& terms, const std::vector<unsigned>& groups) {
   World w(terms, 6, 2);
-  w.stage(2, 0, ReleasePhase::kCanary, terms.caps[0]);
+  w.stage(2, 0, ReleasePhase::kCanary, terms.exposure_caps[0]);
   w.serve = [](ReleaseVersion, EndpointIndex h) {
     return World::Outcome{h % 5 == 4 ? AttemptResult::kError : AttemptResult::kOk, Span::ms(60)};
   };
@@ -26,10 +26,12 @@
   RouterSettings
       other;  // fewer path groups in another order, one zone, other limits, more kinds, more stages
   other = default_settings();
-  other.path_groups = {other.path_groups[2], other.path_groups[0]};
-  other.path_groups[0].client_timeout = Span::s(6), other.path_groups[1].client_timeout = Span::ms(900);
-  other.zones = 1, other.kinds = 3, other.max_forwards = 2, other.may_copy = false, other.one_way = true;
-  other.caps = {0.2, 0.3, 0.5, 0.8, 1}, other.customer_per_s = {5, 50, 1};
+  other.request_classes = {other.request_classes[2], other.request_classes[0]};
+  other.request_classes[0].client_timeout = Span::s(6),
+  other.request_classes[1].client_timeout = Span::ms(900);
+  other.zone_count = 1, other.machine_type_count = 3, other.max_attempts = 2, other.may_hedge = false,
+  other.sticky_keys = true;
+  other.exposure_caps = {0.2, 0.3, 0.5, 0.8, 1}, other.tenant_quota_per_s = {5, 50, 1};
   const Sent alone = played(one, {0, 1, 2}), others = played(other, {0, 1});
   EXPECT_NE(alone, others);
   EXPECT_EQ(played(one, {0, 1, 2}), alone);
@@ -40,8 +42,8 @@
 TEST(Settings, CustomersSideBySideAreHeldToTheirOwnShares) {
   const auto bounced = [](const std::vector<double>& shares) {
     RouterSettings terms = default_settings();
-    terms.customer_per_s = shares;
-    terms.over_share_worth = 0.05;
+    terms.tenant_quota_per_s = shares;
+    terms.over_quota_weight = 0.05;
     World w(terms, 4);
     w.customers = static_cast<unsigned>(shares.size());
     w.serve = [](ReleaseVersion, EndpointIndex) { return World::Outcome{AttemptResult::kOk, Span::ms(200)}; };
--- a/tests/simhost_test.cpp
+++ b/tests/simhost_test.cpp
@@ -172,21 +172,22 @@
     EXPECT_EQ(doubts.size(), said) << more;
     return t;
   };
-  EXPECT_EQ(read("replicasOfMe=300\nmyNumber=299\nfamilyInfo.onVotes=118\n", 0).routers, 300u);
-  EXPECT_EQ(read("replicasOfMe=0\nmyNumber=7\n", 1).routers, 8u);
-  EXPECT_EQ(read("replicasOfMe=-3\n", 1).routers, 1u);
-  EXPECT_EQ(read("replicasOfMe=nan\nmyNumber=3\n", 1).routers, 4u);
-  EXPECT_EQ(read("replicasOfMe=3\nfamilyInfo.onVotes=118\nfamilyInfo.noesNeeded=45\n", 1).routers, 118u);
-  EXPECT_EQ(read("replicasOfMe=1e12\n", 1).routers, 1u << 20);
-  EXPECT_EQ(read("replicasOfMe=2\nfamilyInfo.callsPerS=0\n", 1).votes_per_s, 1);
+  EXPECT_EQ(read("replicasOfMe=300\nmyNumber=299\nfamilyInfo.onVotes=118\n", 0).router_count, 300u);
+  EXPECT_EQ(read("replicasOfMe=0\nmyNumber=7\n", 1).router_count, 8u);
+  EXPECT_EQ(read("replicasOfMe=-3\n", 1).router_count, 1u);
+  EXPECT_EQ(read("replicasOfMe=nan\nmyNumber=3\n", 1).router_count, 4u);
+  EXPECT_EQ(read("replicasOfMe=3\nfamilyInfo.onVotes=118\nfamilyInfo.noesNeeded=45\n", 1).router_count, 118u);
+  EXPECT_EQ(read("replicasOfMe=1e12\n", 1).router_count, 1u << 20);
+  EXPECT_EQ(read("replicasOfMe=2\nfamilyInfo.callsPerS=0\n", 1).platform_calls_per_s, 1);
 }
 
 // Whoever is no customer of the settings has no share, and no other customer's.
 TEST(Settings, ThereIsAPlaceWithoutAShareForWhoeverIsNoCustomer) {
   const std::string two = "parties.count=2\nparties.0.name=x\nparties.0.allowancePerS=9\nparties.1.name=y\n";
-  EXPECT_EQ(read_router_settings(SettingsMap(kInfo + two)).customer_per_s, (std::vector<double>{9, 0, 0}));
+  EXPECT_EQ(read_router_settings(SettingsMap(kInfo + two)).tenant_quota_per_s,
+            (std::vector<double>{9, 0, 0}));
   EXPECT_TRUE(
-      read_router_settings(SettingsMap(kInfo + std::string("parties.count=0\n"))).customer_per_s.empty());
+      read_router_settings(SettingsMap(kInfo + std::string("parties.count=0\n"))).tenant_quota_per_s.empty());
 }
 
 }  // namespace
--- a/tests/tls_test.cpp
+++ b/tests/tls_test.cpp
@@ -66,7 +66,7 @@
     const WireSettings door{{"look", "book", "pay"}, {"shop"},   {"one"}, {"usual"}, {},
                             Span::ms(250),           Span::s(20)};
     RouterSettings terms = default_settings();
-    terms.routers = 1, terms.zones = 1;
+    terms.router_count = 1, terms.zone_count = 1;
     service_ = std::make_unique<Service>(loop_, limits_, terms, door,
                                          Site{"n", "127.0.0.1:0", discovery_->address(), desk_->address(), 7,
                                               discovery_->list(), desk_->news()},
