--- a/benches/calling.cpp
+++ b/benches/calling.cpp
@@ -8,13 +8,13 @@
 #include <memory>
 #include <thread>
 
-#include "calling/gate.hpp"
+#include "calling/authorizer.hpp"
+#include "fakes/client.hpp"
+#include "fakes/discovery.hpp"
+#include "fakes/endpoint.hpp"
+#include "fakes/pki.hpp"
+#include "fakes/release_platform.hpp"
 #include "program/environment.hpp"
-#include "standins/client.hpp"
-#include "standins/desk.hpp"
-#include "standins/discovery.hpp"
-#include "standins/host.hpp"
-#include "standins/pki.hpp"
 #include "tokens/jws.hpp"
 
 namespace ashbeam {
@@ -32,13 +32,13 @@
                            std::to_string(s) + R"(,"exp":)" + std::to_string(s + 3600) + more + "}");
 }
 
-CallingTerms terms_of() {
-  CallingTerms t;
+CallingSettings terms_of() {
+  CallingSettings t;
   t.required = true;
   t.audience = "ashbeam";
   t.path_groups = {"look"};
   t.verifications_per_s = 1e5;
-  TenantTerms shop;
+  TenantSettings shop;
   shop.name = "shop";
   t.tenants = {shop};
   return t;
@@ -79,9 +79,9 @@
 
 void token(benchmark::State& state, tokens::Algorithm algorithm, bool cached) {
   const tokens::Key key = tokens::Key::fresh(algorithm);
-  CallingTerms terms = terms_of();
+  CallingSettings terms = terms_of();
   terms.cached_tokens = 4096;
-  Gate gate(terms, 7, kBegin);
+  Authorizer gate(terms, 7, kBegin);
   tokens::Listed listed;
   listed.key = key, listed.kid = "k";
   gate.keys(std::vector{listed}, kBegin);
@@ -129,19 +129,19 @@
     limits_ = limits_for(1024, door_, terms_);
     for (int i = 0; i < 4; ++i) {
       hosts_.push_back(
-          std::make_unique<standins::Host>(theirs_, limits_, [](const http::Head&, const std::string&) {
-            standins::Served s;
+          std::make_unique<fakes::Endpoint>(theirs_, limits_, [](const http::Head&, const std::string&) {
+            fakes::Served s;
             s.takes = Span();
             return s;
           }));
     }
-    discovery_ = std::make_unique<standins::Discovery>(theirs_, limits_);
-    desk_ = std::make_unique<standins::Desk>(theirs_, limits_, std::vector<double>{1},
-                                             [](const standins::Desk::State&) {});
+    discovery_ = std::make_unique<fakes::Discovery>(theirs_, limits_);
+    desk_ = std::make_unique<fakes::ReleasePlatform>(theirs_, limits_, std::vector<double>{1},
+                                                     [](const fakes::ReleasePlatform::State&) {});
     for (std::size_t i = 0; i < hosts_.size(); ++i)
       discovery_->put({"h" + std::to_string(i), hosts_[i]->address(), "up", 1, Instant()});
     thread_ = std::thread([this] {
-      Loop loop;
+      EventLoop loop;
       Service service(loop, limits_, terms_, door_,
                       Site{"bench", "127.0.0.1:0", discovery_->address(), desk_->address(), 7,
                            discovery_->list(), desk_->news()},
@@ -168,10 +168,10 @@
       identities_.push_back(authority_.issue("shop", "c" + std::to_string(i), Span::s(3600)));
     }
     for (int i = 0; i < 16; ++i) {
-      clients_.push_back(std::make_unique<standins::Client>(
+      clients_.push_back(std::make_unique<fakes::Client>(
           theirs_, limits_, "127.0.0.1:" + std::to_string(port_),
-          veiled ? std::make_shared<standins::ClientTls>(&identities_[static_cast<std::size_t>(i)], nullptr,
-                                                         kind_ == Kind::kResumed)
+          veiled ? std::make_shared<fakes::ClientTls>(&identities_[static_cast<std::size_t>(i)], nullptr,
+                                                      kind_ == Kind::kResumed)
                  : nullptr));
     }
     hits_ = Counted{};
@@ -203,16 +203,16 @@
   }
 
  private:
-  void secure(Loop& loop, Service& service) {
+  void secure(EventLoop& loop, Service& service) {
     if (kind_ != Kind::kToken) {
-      TlsTerms tls;
-      tls.listen = "127.0.0.1:0", tls.clients = TlsTerms::Clients::kOptional, tls.handshake_cpu = 1;
-      const standins::Identity server = authority_.issue("", "router", Span::s(3600), true);
+      TlsSettings tls;
+      tls.listen = "127.0.0.1:0", tls.clients = TlsSettings::Clients::kOptional, tls.handshake_cpu = 1;
+      const fakes::Identity server = authority_.issue("", "router", Span::s(3600), true);
       service.also_listen(
-          tls, std::make_shared<TlsMaterial>(
+          tls, std::make_shared<TlsCredentials>(
                    tls, TlsFiles{server.certificate_pem, server.key_pem, authority_.pem(), "", ""}));
     }
-    auto gate = std::make_unique<Gate>(terms_of(), 7, loop.now());
+    auto gate = std::make_unique<Authorizer>(terms_of(), 7, loop.now());
     tokens::Listed listed;
     listed.key = key_, listed.kid = "k";
     gate->keys(std::vector{listed}, loop.now());
@@ -226,26 +226,26 @@
       if (tokens_.size() <= i) tokens_.push_back(token_of(key_, "c" + std::to_string(i), theirs_.now()));
       request += "Authorization: Bearer " + tokens_[i] + "\r\n";
     }
-    clients_[i]->ask(request + "\r\n", [this, i](const standins::Client::Answer& a) {
+    clients_[i]->ask(request + "\r\n", [this, i](const fakes::Client::Answer& a) {
       ++(a.status == 200 ? hits_.good : hits_.other);
       hits_.resumed += clients_[i]->resumed();
       if (kind_ >= Kind::kFull) clients_[i]->hang_up();
-      theirs_.later([this, i] { ask(i); });
+      theirs_.post([this, i] { ask(i); });
     });
   }
 
   Kind kind_;
   tokens::Key key_;
-  standins::Authority authority_{"authority"};
-  std::vector<standins::Identity> identities_;
-  Loop theirs_;
+  fakes::Authority authority_{"authority"};
+  std::vector<fakes::Identity> identities_;
+  EventLoop theirs_;
   RouterSettings terms_;
   WireSettings door_;
   Limits limits_;
-  std::vector<std::unique_ptr<standins::Host>> hosts_;
-  std::unique_ptr<standins::Discovery> discovery_;
-  std::unique_ptr<standins::Desk> desk_;
-  std::vector<std::unique_ptr<standins::Client>> clients_;
+  std::vector<std::unique_ptr<fakes::Endpoint>> hosts_;
+  std::unique_ptr<fakes::Discovery> discovery_;
+  std::unique_ptr<fakes::ReleasePlatform> desk_;
+  std::vector<std::unique_ptr<fakes::Client>> clients_;
   std::vector<std::string> tokens_;
   Counted hits_;
   std::uint64_t ids_ = 0;
--- a/benches/load.cpp
+++ b/benches/load.cpp
@@ -12,10 +12,10 @@
 #include <string>
 #include <vector>
 
-#include "standins/client.hpp"
-#include "standins/desk.hpp"
-#include "standins/discovery.hpp"
-#include "standins/host.hpp"
+#include "fakes/client.hpp"
+#include "fakes/discovery.hpp"
+#include "fakes/endpoint.hpp"
+#include "fakes/release_platform.hpp"
 
 namespace ashbeam {
 namespace {
@@ -24,12 +24,12 @@
  public:
   Load(unsigned hits, char** command)
       : hits_(hits), discovery_(loop_, limits_),
-        desk_(loop_, limits_, {1}, [](const standins::Desk::State&) {}), client_(loop_, limits_, kAt),
+        desk_(loop_, limits_, {1}, [](const fakes::ReleasePlatform::State&) {}), client_(loop_, limits_, kAt),
         again_(loop_, [this] { ask(); }) {
     for (int i = 0; i < 4; ++i) {
       hosts_.push_back(
-          std::make_unique<standins::Host>(loop_, limits_, [](const http::Head&, const std::string&) {
-            standins::Served s;
+          std::make_unique<fakes::Endpoint>(loop_, limits_, [](const http::Head&, const std::string&) {
+            fakes::Served s;
             s.takes = Span();
             return s;
           }));
@@ -74,7 +74,7 @@
     client_.ask(
         "GET /look/1 HTTP/1.1\r\nHost: l\r\nX-Account: shop\r\nX-Time-Left-Ms: 15000\r\nX-Correlation-Id: l" +
             std::to_string(asked_) + "\r\n\r\n",
-        [this](const standins::Client::Answer& a) {
+        [this](const fakes::Client::Answer& a) {
           if (a.status == 200) ++served_;
           else ++failed_;
           again_.in(a.status == 200 ? Span() : Span::ms(100));  // not up yet
@@ -82,12 +82,12 @@
   }
   unsigned hits_, asked_ = 0, served_ = 0, failed_ = 0;
   std::string path_;
-  Loop loop_;
+  EventLoop loop_;
   Limits limits_;
-  standins::Discovery discovery_;
-  standins::Desk desk_;
-  std::vector<std::unique_ptr<standins::Host>> hosts_;
-  standins::Client client_;
+  fakes::Discovery discovery_;
+  fakes::ReleasePlatform desk_;
+  std::vector<std::unique_ptr<fakes::Endpoint>> hosts_;
+  fakes::Client client_;
   Timer again_;
   pid_t router_ = 0;
 };
--- a/benches/throughput.cpp
+++ b/benches/throughput.cpp
@@ -15,10 +15,10 @@
 #include <string>
 #include <vector>
 
-#include "standins/client.hpp"
-#include "standins/desk.hpp"
-#include "standins/discovery.hpp"
-#include "standins/host.hpp"
+#include "fakes/client.hpp"
+#include "fakes/discovery.hpp"
+#include "fakes/endpoint.hpp"
+#include "fakes/release_platform.hpp"
 
 namespace ashbeam {
 namespace {
@@ -30,17 +30,17 @@
  public:
   Throughput(double seconds, int clients, char** command)
       : seconds_(seconds), discovery_(loop_, limits_),
-        release_(loop_, limits_, {1}, [](const standins::Desk::State&) {}),
+        release_(loop_, limits_, {1}, [](const fakes::ReleasePlatform::State&) {}),
         begin_(loop_, [this] { begin(); }), end_(loop_, [this] { loop_.stop(); }) {
     for (int i = 0; i < kServers; ++i) {
       servers_.push_back(
-          std::make_unique<standins::Host>(loop_, limits_, [](const http::Head&, const std::string&) {
-            return standins::Served{200, Span(), false, "ok\n"};
+          std::make_unique<fakes::Endpoint>(loop_, limits_, [](const http::Head&, const std::string&) {
+            return fakes::Served{200, Span(), false, "ok\n"};
           }));
       discovery_.put({"h" + std::to_string(i), servers_.back()->address(), "up", 1, Instant()});
     }
     for (int i = 0; i < clients; ++i) {
-      clients_.push_back(std::make_unique<standins::Client>(loop_, limits_, kAt));
+      clients_.push_back(std::make_unique<fakes::Client>(loop_, limits_, kAt));
       pauses_.push_back(std::make_unique<Timer>(loop_, [this, i] { ask(i); }));
     }
     start(command);
@@ -99,7 +99,7 @@
     clients_[static_cast<std::size_t>(i)]->ask(
         "GET /look/1 HTTP/1.1\r\nHost: l\r\nX-Account: shop\r\nX-Time-Left-Ms: 2000\r\nX-Correlation-Id: t" +
             std::to_string(++asked_) + "\r\n\r\n",
-        [this, i, from](const standins::Client::Answer& answer) {
+        [this, i, from](const fakes::Client::Answer& answer) {
           const bool served = answer.status == 200;
           if (served) waits_ms_.push_back((loop_.now() - from).ms());
           else ++not_served_;
@@ -110,12 +110,12 @@
   std::uint64_t asked_ = 0, not_served_ = 0;
   std::vector<double> waits_ms_;
   std::string path_;
-  Loop loop_;
+  EventLoop loop_;
   Limits limits_;
-  standins::Discovery discovery_;
-  standins::Desk release_;
-  std::vector<std::unique_ptr<standins::Host>> servers_;
-  std::vector<std::unique_ptr<standins::Client>> clients_;
+  fakes::Discovery discovery_;
+  fakes::ReleasePlatform release_;
+  std::vector<std::unique_ptr<fakes::Endpoint>> servers_;
+  std::vector<std::unique_ptr<fakes::Client>> clients_;
   std::vector<std::unique_ptr<Timer>> pauses_;
   Timer begin_, end_;
   pid_t router_ = 0;
--- a/proofs/calling.cpp
+++ b/proofs/calling.cpp
@@ -18,13 +18,13 @@
 #include <vector>
 
 #include "calling/quota.hpp"
+#include "fakes/client.hpp"
+#include "fakes/discovery.hpp"
+#include "fakes/endpoint.hpp"
+#include "fakes/release_platform.hpp"
 #include "figures.hpp"
+#include "program/access_config_loader.hpp"
 #include "program/environment.hpp"
-#include "program/guardian.hpp"
-#include "standins/client.hpp"
-#include "standins/desk.hpp"
-#include "standins/discovery.hpp"
-#include "standins/host.hpp"
 #include "tokens/base64url.hpp"
 #include "tokens/jws.hpp"
 
@@ -59,7 +59,7 @@
     char name[] = "/tmp/ashbeam-proof-XXXXXX";
     folder_ = ::mkdtemp(name);
     ::mkdir(at("keys").c_str(), 0755);
-    const standins::Identity server = authority.issue("", "router", Span::s(86400), true);
+    const fakes::Identity server = authority.issue("", "router", Span::s(86400), true);
     write_file(at("chain.pem"), server.certificate_pem, 0644);
     write_file(at("key.pem"), server.key_pem, 0600);
     write_file(at("ca.pem"), authority.pem(), 0644);
@@ -86,7 +86,7 @@
   }
   void revoked(const std::string& lines) const { write_file(at("revoked"), lines, 0644); }
 
-  standins::Authority authority{"authority"};
+  fakes::Authority authority{"authority"};
 
  private:
   std::string folder_;
@@ -97,7 +97,7 @@
  public:
   Running(const Files& files, Site site) {
     thread_ = std::thread([this, &files, site] {
-      Loop loop;
+      EventLoop loop;
       const Start start = start_from(kSettings, site);
       Site full = start.site;
       full.desk = site.desk, full.discovery = site.discovery, full.known = site.known, full.news = site.news;
@@ -108,12 +108,12 @@
         if (std::getenv("PROOF_LOG"))
           std::fprintf(stderr, "%.*s\n", static_cast<int>(line.size()), line.data());
       });
-      Guardian guardian(loop, service, door, terms, files.at("ashbeam.cue"), 7,
-                        [this](std::string_view line) {
-                          if (std::getenv("PROOF_LOG"))
-                            std::fprintf(stderr, "%.*s\n", static_cast<int>(line.size()), line.data());
-                          look();
-                        });
+      AccessConfigLoader guardian(
+          loop, service, door, terms, files.at("ashbeam.cue"), 7, [this](std::string_view line) {
+            if (std::getenv("PROOF_LOG"))
+              std::fprintf(stderr, "%.*s\n", static_cast<int>(line.size()), line.data());
+            look();
+          });
       service.start();
       plain_ = service.port(), veiled_ = service.tls_port();
       loop_ = &loop, guardian_ = &guardian;
@@ -123,14 +123,14 @@
     while (!up_) ::usleep(1000);
   }
   ~Running() {
-    loop_->hand_over([this] { loop_->stop(); });
+    loop_->post_from_thread([this] { loop_->stop(); });
     thread_.join();
   }
   Running(const Running&) = delete;
   Running& operator=(const Running&) = delete;
   // What the files say now is in force for every hit that comes after the time that `revoked` is then given.
   void reread(const std::shared_ptr<Revoked>& revoked) {
-    loop_->hand_over([this, revoked] {
+    loop_->post_from_thread([this, revoked] {
       revoked->reading = guardian_->reread();
       waiting_.push_back(revoked);
     });
@@ -153,8 +153,8 @@
   std::thread thread_;
   std::atomic<bool> up_ = false;
   std::uint16_t plain_ = 0, veiled_ = 0;
-  Loop* loop_ = nullptr;
-  Guardian* guardian_ = nullptr;
+  EventLoop* loop_ = nullptr;
+  AccessConfigLoader* guardian_ = nullptr;
 };
 
 struct Counts {
@@ -189,13 +189,13 @@
 
  private:
   struct One {
-    One(Flood& flood, const Limits& limits, Loop& loop)
+    One(Flood& flood, const Limits& limits, EventLoop& loop)
         : client(loop, limits, flood.address_), timer(loop, [this, &flood] { flood.ask(*this); }) {}
-    standins::Client client;
+    fakes::Client client;
     Timer timer;
   };
   void run() {
-    Loop loop;
+    EventLoop loop;
     const Limits limits;
     std::vector<std::unique_ptr<One>> all;
     const auto now = std::to_string(loop.now().us() / 1000000 + 60);
@@ -225,7 +225,7 @@
     ++asked_;
     o.client.ask("GET /look/1 HTTP/1.1\r\nX-Correlation-Id: f" + std::to_string(asked_) +
                      "\r\nX-Time-Left-Ms: 1500\r\nAuthorization: Bearer " + token + "\r\n\r\n",
-                 [this, &o](const standins::Client::Answer& a) {
+                 [this, &o](const fakes::Client::Answer& a) {
                    served_ += a.status == 200;
                    o.client.hang_up();
                  });
@@ -244,14 +244,14 @@
  public:
   Crowd(Proof& proof, Files& files)
       : proof_(proof), files_(files), chance_(proof.seed), discovery_(loop_, limits_),
-        desk_(loop_, limits_, {0.2, 1.0}, [](const standins::Desk::State&) {}),
+        desk_(loop_, limits_, {0.2, 1.0}, [](const fakes::ReleasePlatform::State&) {}),
         rotate_(loop_, [this] { rotate(); }), doom_(loop_, [this] { doom(); }),
         end_(loop_, [this] { loop_.stop(); }),
         flood_begin_(loop_,
                      [this] { flood_ = std::make_unique<Flood>(router_->plain(), signs_.kid, proof_.seed); }),
         flood_end_(loop_, [this] { std::exchange(flood_, nullptr)->stop(counts_); }) {
     for (unsigned i = 0; i < 4; ++i) {
-      hosts_.push_back(std::make_unique<standins::Host>(
+      hosts_.push_back(std::make_unique<fakes::Endpoint>(
           loop_, limits_, [this](const http::Head& head, const std::string&) { return serve(head); }));
       discovery_.put({"h" + std::to_string(i), hosts_.back()->address(), "up", 1, Instant()});
     }
@@ -264,8 +264,8 @@
 
   Counts& run() {
     begin_ = loop_.now();
-    const auto tls = [&](const standins::Identity* id, bool resume) {
-      return std::make_shared<standins::ClientTls>(id, nullptr, resume);
+    const auto tls = [&](const fakes::Identity* id, bool resume) {
+      return std::make_shared<fakes::ClientTls>(id, nullptr, resume);
     };
     for (unsigned i = 0; i < 32; ++i) {
       const std::string name = "caller" + std::to_string(i);
@@ -275,8 +275,8 @@
       if (i % 4 >= 2) c->identity = files_.authority.issue("shop", name, Span::s(3600));
       const bool veiled = i % 4 >= 2;
       c->client =
-          std::make_unique<standins::Client>(loop_, limits_, veiled ? router_->veiled() : router_->plain(),
-                                             veiled ? tls(&c->identity, i % 8 >= 4) : nullptr);
+          std::make_unique<fakes::Client>(loop_, limits_, veiled ? router_->veiled() : router_->plain(),
+                                          veiled ? tls(&c->identity, i % 8 >= 4) : nullptr);
       c->timer.in(Span::ms(10 + 3 * i));
       all_.push_back(std::move(c));
     }
@@ -298,16 +298,16 @@
   struct One {
     explicit One(Crowd& crowd) : timer(crowd.loop_, [this, &crowd] { crowd.ask(*this); }) {}
     std::string kind, subject, token, id;
-    standins::Identity identity;
-    std::unique_ptr<standins::Client> client;
+    fakes::Identity identity;
+    std::unique_ptr<fakes::Client> client;
     Instant token_until, asked_at;
     std::shared_ptr<Revoked> revoked;
     bool again = false, asked_revoked = false;
     Timer timer;
   };
 
-  standins::Served serve(const http::Head& head) {
-    standins::Served s;
+  fakes::Served serve(const http::Head& head) {
+    fakes::Served s;
     s.takes = Span::ms(10 + chance_.below(10));
     if (head.word(1).starts_with("/pay") && !paid_.insert(std::string(*head.find("X-Correlation-Id"))).second)
       ++counts_.duplicates;
@@ -390,10 +390,9 @@
       c->token_until = Instant::never();
       write_keys();
     }
-    c->client = std::make_unique<standins::Client>(
+    c->client = std::make_unique<fakes::Client>(
         loop_, limits_, certificate ? router_->veiled() : router_->plain(),
-        certificate ? std::make_shared<standins::ClientTls>(&c->identity, nullptr, doomed % 4 == 0)
-                    : nullptr);
+        certificate ? std::make_shared<fakes::ClientTls>(&c->identity, nullptr, doomed % 4 == 0) : nullptr);
     c->timer.in(Span::ms(250));  // by then its key is known
     all_.push_back(std::move(c));
   }
@@ -439,10 +438,10 @@
     if (!c.token.empty()) fields += "Authorization: Bearer " + c.token + "\r\n";
     c.client->ask(
         mutating ? "POST /pay" + fields + "Content-Length: 2\r\n\r\nhi" : "GET /look/1" + fields + "\r\n",
-        [this, &c](const standins::Client::Answer& a) { answered(c, a); });
+        [this, &c](const fakes::Client::Answer& a) { answered(c, a); });
   }
 
-  void answered(One& c, const standins::Client::Answer& a) {
+  void answered(One& c, const fakes::Client::Answer& a) {
     const Instant now = loop_.now();
     if (a.status == 200) ++counts_.by_kind[c.kind];
     if (c.kind == "none") {
@@ -478,12 +477,12 @@
   Proof& proof_;
   Files& files_;
   Pcg chance_;
-  Loop loop_;
+  EventLoop loop_;
   Limits limits_;
   Counts counts_;
-  std::vector<std::unique_ptr<standins::Host>> hosts_;
-  standins::Discovery discovery_;
-  standins::Desk desk_;
+  std::vector<std::unique_ptr<fakes::Endpoint>> hosts_;
+  fakes::Discovery discovery_;
+  fakes::ReleasePlatform desk_;
   std::vector<tokens::Listed> listed_;
   tokens::Listed signs_;
   unsigned rotations_ = 0, ids_ = 0, doomed_ = 0;
--- a/proofs/discovery_queue.cpp
+++ b/proofs/discovery_queue.cpp
@@ -69,7 +69,7 @@
   RouterSettings terms;
   terms.router_count = routers;
   terms.endpoint_poll_interval = Span::s(10);
-  return limits_for(1024, WireSettings{}, terms).first_ask;
+  return limits_for(1024, WireSettings{}, terms).max_initial_poll_delay;
 }
 
 void show(Proof& proof, const std::string& name, const Outcome& outcome, double most_late) {
--- a/proofs/metadata.cpp
+++ b/proofs/metadata.cpp
@@ -12,14 +12,14 @@
 #include <thread>
 #include <vector>
 
+#include "fakes/client.hpp"
+#include "fakes/discovery.hpp"
+#include "fakes/endpoint.hpp"
+#include "fakes/release_platform.hpp"
 #include "figures.hpp"
+#include "metadata/metadata_verifier.hpp"
 #include "metadata/publisher.hpp"
-#include "metadata/warden.hpp"
 #include "program/environment.hpp"
-#include "standins/client.hpp"
-#include "standins/desk.hpp"
-#include "standins/discovery.hpp"
-#include "standins/host.hpp"
 
 namespace ashbeam {
 namespace {
@@ -107,7 +107,7 @@
  public:
   Running(Site site, std::string root) {
     thread_ = std::thread([this, site, root] {
-      Loop loop;
+      EventLoop loop;
       const Start start = start_from(kSettings, site);
       Site full = start.site;
       full.desk = site.desk, full.discovery = site.discovery, full.known = site.known, full.news = site.news;
@@ -119,9 +119,9 @@
           std::fprintf(stderr, "%.*s\n", static_cast<int>(line.size()), line.data());
       });
       service.watch_metadata(
-          std::make_unique<Warden>(std::vector<RepositoryTerms>{{kPrefix, root, kLag}}, 4096));
+          std::make_unique<MetadataVerifier>(std::vector<RepositorySettings>{{kPrefix, root, kLag}}, 4096));
       service.start();
-      loop.expect_hand_overs();
+      loop.enable_posts_from_threads();
       loop_ = &loop;
       port_ = service.port();
       loop.run();
@@ -129,8 +129,8 @@
     while (port_ == 0) ::usleep(1000);
   }
   ~Running() {
-    Loop* const loop = loop_;
-    loop->hand_over([loop] { loop->stop(); });
+    EventLoop* const loop = loop_;
+    loop->post_from_thread([loop] { loop->stop(); });
     thread_.join();
   }
   Running(const Running&) = delete;
@@ -138,7 +138,7 @@
   std::string address() const { return "127.0.0.1:" + std::to_string(port_); }
 
  private:
-  std::atomic<Loop*> loop_ = nullptr;
+  std::atomic<EventLoop*> loop_ = nullptr;
   std::atomic<std::uint16_t> port_ = 0;
   std::thread thread_;
 };
@@ -147,14 +147,15 @@
  public:
   explicit Field(Proof& proof)
       : proof_(proof), chance_(proof.seed), repository_(loop_.now() + Span::s(86400)),
-        discovery_(loop_, limits_), desk_(loop_, limits_, {0.2, 1.0}, [](const standins::Desk::State&) {}),
+        discovery_(loop_, limits_),
+        desk_(loop_, limits_, {0.2, 1.0}, [](const fakes::ReleasePlatform::State&) {}),
         publish_(loop_, [this] { publish(); }), end_(loop_, [this] { loop_.stop(); }) {
     repository_.contents["targets"]["app"] = "0";
     first_root_ = repository_.root();
     versions_.push_back(repository_.files());
     for (unsigned i = 0; i < kHosts; ++i) {
       held_.push_back(0);
-      hosts_.push_back(std::make_unique<standins::Host>(
+      hosts_.push_back(std::make_unique<fakes::Endpoint>(
           loop_, limits_, [this, i](const http::Head& head, const std::string&) { return serve(i, head); }));
       discovery_.put({"h" + std::to_string(i), hosts_.back()->address(), "up", 1, Instant()});
     }
@@ -184,9 +185,9 @@
  private:
   struct One {
     One(Field& field, unsigned i)
-        : client(std::make_unique<standins::Client>(field.loop_, field.limits_, field.router_->address())),
+        : client(std::make_unique<fakes::Client>(field.loop_, field.limits_, field.router_->address())),
           number(i), timer(field.loop_, [this, &field] { field.next(*this); }) {}
-    std::unique_ptr<standins::Client> client;
+    std::unique_ptr<fakes::Client> client;
     unsigned number, step = 0;  // root, timestamp, snapshot, targets
     Trust trust;
     Instant asked_at;
@@ -229,8 +230,8 @@
     if (following_.size() > 200) following_.erase(following_.begin(), following_.begin() + 100);
   }
 
-  standins::Served serve(unsigned host, const http::Head& head) {
-    standins::Served s;
+  fakes::Served serve(unsigned host, const http::Head& head) {
+    fakes::Served s;
     s.takes = Span::ms(2 + chance_.below(4));
     const std::string path(head.word(1)), name = path.substr(kPrefix.size());
     // Under consistent snapshots a host may hold what its timestamp does not name yet.
@@ -281,10 +282,10 @@
   void send(One& c) {
     c.client->ask("GET " + kPrefix + c.file + " HTTP/1.1\r\nHost: p\r\nX-Correlation-Id: m" +
                       std::to_string(++ids_) + "\r\nX-Time-Left-Ms: 1500\r\n\r\n",
-                  [this, &c](const standins::Client::Answer& a) { answered(c, a); });
+                  [this, &c](const fakes::Client::Answer& a) { answered(c, a); });
   }
 
-  void answered(One& c, const standins::Client::Answer& a) {
+  void answered(One& c, const fakes::Client::Answer& a) {
     c.timer.in(Span::ms(10 + chance_.below(20)));
     if (a.status == 0) {
       if (c.again) return void(++counts_.missing);
@@ -331,16 +332,16 @@
 
   Proof& proof_;
   Pcg chance_;
-  Loop loop_;
+  EventLoop loop_;
   Limits limits_;
   Counts counts_;
   Publisher repository_;
   std::string first_root_;
   std::vector<std::map<std::string, std::string>> versions_;
   std::vector<std::size_t> held_;
-  std::vector<std::unique_ptr<standins::Host>> hosts_;
-  standins::Discovery discovery_;
-  standins::Desk desk_;
+  std::vector<std::unique_ptr<fakes::Endpoint>> hosts_;
+  fakes::Discovery discovery_;
+  fakes::ReleasePlatform desk_;
   std::vector<std::shared_ptr<Timer>> following_;
   std::unique_ptr<Running> router_;
   std::vector<std::unique_ptr<One>> all_;
--- a/proofs/soak.cpp
+++ b/proofs/soak.cpp
@@ -16,10 +16,10 @@
 #include <fstream>
 #include <set>
 
+#include "fakes/client.hpp"
+#include "fakes/release_platform.hpp"
 #include "figures.hpp"
 #include "soak_world.hpp"
-#include "standins/client.hpp"
-#include "standins/desk.hpp"
 
 namespace ashbeam {
 namespace {
@@ -55,7 +55,7 @@
   std::string address, path;
   bool stopping = false;
   Instant signalled_at;
-  std::vector<std::unique_ptr<standins::Client>> clients;
+  std::vector<std::unique_ptr<fakes::Client>> clients;
 };
 
 class Soak {
@@ -63,7 +63,7 @@
   Soak(const Proof& proof, Tally& tally)
       : chance_(proof.seed), tally_(tally), seed_(proof.seed), crowd_(proof.seed % 3 == 0),
         folder_(std::filesystem::temp_directory_path() / ("ashbeam-soak-" + std::to_string(::getpid()))),
-        release_(loop_, limits_, {1}, [](const standins::Desk::State&) {}),
+        release_(loop_, limits_, {1}, [](const fakes::ReleasePlatform::State&) {}),
         end_(loop_, [this] { loop_.stop(); }), trouble_(loop_, [this] { next_trouble(); }) {
     std::filesystem::create_directories(folder_);
     for (int s = 0; s < kServers; ++s) {
@@ -99,7 +99,7 @@
     router->path = (folder_ / ("n" + std::to_string(number) + ".json")).string();
     const int clients = crowd_ ? 2 : 4;
     for (int c = 0; c < clients; ++c)
-      router->clients.push_back(std::make_unique<standins::Client>(loop_, limits_, router->address));
+      router->clients.push_back(std::make_unique<fakes::Client>(loop_, limits_, router->address));
     routers_.push_back(std::move(router));
     configure(*routers_.back());
     Router& at = *routers_.back();
@@ -241,7 +241,7 @@
     after(wait, [this, &router, client] { ask(router, client, false); });
   }
   void ask(Router& router, int c, bool again) {
-    standins::Client& client = *router.clients[static_cast<std::size_t>(c)];
+    fakes::Client& client = *router.clients[static_cast<std::size_t>(c)];
     const bool unsafe = chance_.below(3) == 0;
     const std::string id = "r" + std::to_string(router.number) + "-" + std::to_string(++ids_);
     const std::string fields = "Host: o\r\nX-Account: shop\r\nX-Correlation-Id: " + id +
@@ -253,13 +253,13 @@
     const pid_t pid = router.pid;
     ++tally_.asked;
     client.ask(request,
-               [this, &router, c, id, unsafe, asked, pid, again](const standins::Client::Answer& answer) {
+               [this, &router, c, id, unsafe, asked, pid, again](const fakes::Client::Answer& answer) {
                  answered(router, pid, id, unsafe, asked, answer, again);
                  ask_soon(router, c, Span::ms(answer.status == 200 ? 25 : 100));
                });
   }
   void answered(const Router& router, pid_t pid, const std::string& id, bool unsafe, Instant asked,
-                const standins::Client::Answer& answer, bool) {
+                const fakes::Client::Answer& answer, bool) {
     const bool same_process = pid > 0 && pid == router.pid;
     if (answer.status == 0) {
       // Killed, or not there: nobody's loss. A close in order may cross a request of a client that just stood
@@ -314,9 +314,9 @@
   bool crowd_;
   std::filesystem::path folder_;
   std::string step_file_;
-  Loop loop_;
+  EventLoop loop_;
   Limits limits_;
-  standins::Desk release_;
+  fakes::ReleasePlatform release_;
   soak::Discovery::Servers servers_;
   std::unique_ptr<soak::Discovery> discovery_;
   std::vector<std::unique_ptr<Router>> routers_;
--- a/proofs/soak_world.hpp
+++ b/proofs/soak_world.hpp
@@ -27,7 +27,7 @@
  public:
   // `came` is told each whole request with its id, and whether it may repeat.
   using Came = std::function<void(Server& server, const std::string& id, bool unsafe, bool ran)>;
-  Server(Loop& loop, const Limits& limits, std::string uid, Came came)
+  Server(EventLoop& loop, const Limits& limits, std::string uid, Came came)
       : loop_(loop), limits_(limits), uid_(std::move(uid)), came_(std::move(came)) {
     start();
     history_.push_back({loop_.now(), Listed::kUp});
@@ -67,10 +67,10 @@
    public:
     Link(Server& server, int fd)
         : server_(server), connection_(server.loop_, server.limits_, *this, fd),
-          requests_(http::Side::kRequests, server.limits_.head, server.limits_.body) {}
+          requests_(http::Side::kRequests, server.limits_.max_head_bytes, server.limits_.max_body_bytes) {}
 
    private:
-    void bytes_came() override {
+    void on_data() override {
       std::string_view bytes = connection_.unread();
       const std::size_t had = bytes.size();
       const auto got = requests_.feed(bytes);
@@ -86,7 +86,7 @@
                              : "HTTP/1.1 503 X\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n");
       requests_.next();
     }
-    void ended() override { server_.remove(this); }
+    void on_closed() override { server_.remove(this); }
     Server& server_;
     Connection connection_;
     http::Messages requests_;
@@ -98,7 +98,7 @@
     loop_.destroy_later(std::move(*at));
     links_.erase(at);
   }
-  Loop& loop_;
+  EventLoop& loop_;
   const Limits& limits_;
   std::string uid_;
   Came came_;
@@ -115,7 +115,8 @@
 class Discovery {
  public:
   using Servers = std::vector<std::unique_ptr<Server>>;
-  Discovery(Loop& loop, const Limits& limits, Pcg& chance, const Servers& servers, int routers, Span service)
+  Discovery(EventLoop& loop, const Limits& limits, Pcg& chance, const Servers& servers, int routers,
+            Span service)
       : loop_(loop), limits_(limits), chance_(chance), servers_(servers), service_(service),
         written_(routers), tick_(loop, [this] { tick(); }) {
     for (int r = 0; r < routers; ++r) {
@@ -210,14 +211,14 @@
 
    private:
     enum class State { kReading, kWaiting, kStanding, kSilent, kOver };
-    void bytes_came() override {
+    void on_data() override {
       const bool whole = connection_.unread().find("\r\n\r\n") != std::string_view::npos;
       if (!whole || state_ != State::kReading) return;
       state_ = State::kWaiting;
       asked_at_ = discovery_.loop_.now();
       discovery_.calls_.push_back(asked_at_);
     }
-    void ended() override { state_ = State::kOver; }
+    void on_closed() override { state_ = State::kOver; }
     Discovery& discovery_;
     int router_;
     Connection connection_;
@@ -254,7 +255,7 @@
       return true;
     });
   }
-  Loop& loop_;
+  EventLoop& loop_;
   const Limits& limits_;
   Pcg& chance_;
   const Servers& servers_;
--- a/src/base/limits.hpp
+++ b/src/base/limits.hpp
@@ -1,4 +1,4 @@
-// What the program may hold and how long it waits: filled once at start, handed down by reference.
+// The program's limits and timeouts: filled once at start, handed down by reference. Sizes are in bytes.
 #pragma once
 #include <cstddef>
 
@@ -7,71 +7,121 @@
 namespace ashbeam {
 
 struct Limits {
-  // Bytes.
-  std::size_t head = 16 * 1024;             // of a request or an answer
-  std::size_t body = 64 * 1024;             // as plain bytes; chunk framing may take as much again
-  std::size_t desk_line = 8 * 1024;         // of the release desk
-  std::size_t list_line = 4 * 1024 * 1024;  // of discovery: a whole list stands on one line
-  std::size_t read_at_once = 16 * 1024;
-  std::size_t discard_at_once = 1024 * 1024;  // of what is not wanted
-  std::size_t id = 128;                       // a request's
-  std::size_t unread = 16 * 1024;             // read from a connection and not taken yet: then reading stops
-  // Counts of connections.
-  std::size_t clients = 448;
-  std::size_t idle_clients = 128;  // of those, between requests
-  std::size_t to_hosts = 448;
-  int backlog = 1024;
-  std::size_t ids = 16 * 1024;  // remembered, so that no id is taken twice
-  // Times.
-  Span connect = Span::ms(250);  // to a host; the settings may say less
-  // After an answer, in which more than it may still come: as time limits' slack; the shorter one where so
-  // many connections to a server rest at a time, and it has sent nothing unasked for so long.
-  Span host_settle = Span::ms(50), host_settle_busy = Span::ms(4);
-  std::size_t resting_at_once = 8;
-  Span unasked_remembered = Span::s(60);
-  Span host_forgotten = Span::s(30);  // after it is gone; outcomes and judgements name it for a while
-  Span host_idle = Span::s(24);       // kept connections are closed before the host does so
-  Span first_request = Span::s(2);    // from a client's connecting to the end of its first request
-  Span request_read = Span::s(2);     // from a later request's first byte to its last
-  Span client_idle = Span::s(4);      // between requests, then the connection is closed; at a table more
-  Span crowded_idle = Span::s(2);     // than half full, already then
-  Span turned_away = Span::ms(100);   // after an answer to a bad request, before more is read from there
-  Span half_request = Span::s(1);     // one that takes longer to come gives way at a full table
-  Span settle = Span::ms(200);        // a kept connection idle so long may give way at a full table
-  Span young = Span::ms(50);          // one this young is about to bring its whole first request
-  Span linger = Span::s(1);           // for a client that still sends what was refused
-  Span id_kept = Span::s(5);          // past the client timeout, in which no other may come with a hit's id
-  Span overdue = Span::ms(20);        // past the client timeout: by then the module has long answered
-  Span answer_written = Span::s(5);   // a client that does not read its answer
-  // A line at least comes every 2 s; what a silent watch misses counts as told 6 s after it fell silent. So
-  // another is begun a quarter late, and once more if that one is silent, too.
-  Span discovery_silence = Span::ms(2500);
-  Span discovery_first_line = Span::ms(1500);  // of a watch begun in place of a silent one
-  Span discovery_call = Span::ms(4500);        // of any other: discovery may let a call wait for its turn
-  // Without a byte in the middle of a line: what has begun counts as notified, and the grace runs. Longer
-  // than one retransmission takes (RFC 6298: 0.2 s here).
-  Span discovery_stall = Span::ms(400);
-  // After the start, jittered: many routers may have been started anew at once, and calls that wait too long
-  // at discovery cost it as much as those that it serves.
-  Span first_ask;
-  // After the start; ready then without a list: nine in ten restarted routers have to be ready within 6 s.
-  Span first_list = Span::ms(5500);
-  // How long the list of the configuration may be sent to before discovery confirms it: nothing says how old
-  // it is.
-  Span known_list;
-  // For which a router may be held up between reading its clock and writing, and a first byte on its way.
-  Span held_up = Span::ms(150), on_its_way = Span::ms(50);
-  Span desk_connect = Span::s(1);
-  Span desk_silence = Span::ms(3500);  // a ping comes every second
-  Span desk_answer = Span::s(2);
-  Span retry_first = Span::ms(100), retry_longest = Span::s(2);  // of the release desk's connection
-  Span stop_accepting = Span::ms(650);  // after the signal to stop new connections go on coming for a while
-  Span door_quiet = Span::ms(100);      // with none for so long the door may close
-  Span killed_soonest =
-      Span::ms(3700);                 // after the signal: the longest client timeout, 3 s at most, and 0.7 s
-  Span killed_early = Span::ms(100);  // by then what came after the signal has its answer, and it is read
-  Span stop_at_latest =
-      Span::ms(3600);  // then the program ends whatever is left; more for longer client timeouts
+  // ---- Sizes, in bytes ----
+
+  // Of the head of a request or an answer.
+  std::size_t max_head_bytes = 16 * 1024;
+  // Of a decoded body; chunk framing may take as much again.
+  std::size_t max_body_bytes = 64 * 1024;
+  // Of a line from the release platform.
+  std::size_t max_platform_line_bytes = 8 * 1024;
+  // Of a line from discovery: a complete endpoint list is one line.
+  std::size_t max_list_line_bytes = 4 * 1024 * 1024;
+  std::size_t max_request_id_bytes = 128;
+  std::size_t read_chunk_bytes = 16 * 1024;
+  // Read at once from a connection whose bytes are dropped.
+  std::size_t discard_chunk_bytes = 1024 * 1024;
+  // Read from a connection and not yet consumed by its owner; reading pauses there.
+  std::size_t max_unread_bytes = 16 * 1024;
+
+  // ---- Counts ----
+
+  std::size_t max_client_connections = 448;
+  std::size_t max_idle_client_connections = 128;
+  std::size_t max_endpoint_connections = 448;
+  int accept_backlog = 1024;
+  // Request ids remembered, so that none is accepted twice.
+  std::size_t max_remembered_ids = 16 * 1024;
+
+  // ---- Connections to endpoints ----
+
+  // The deployment's settings may say less.
+  Span connect_timeout = Span::ms(250);
+  // After an answer a connection settles before it is used again, since more bytes than the answer may come.
+  // The busy time holds where more than `max_settling_connections` to an endpoint settle at once and it has
+  // sent nothing unsolicited for `unsolicited_bytes_memory`.
+  Span endpoint_settle_time = Span::ms(50);
+  Span busy_endpoint_settle_time = Span::ms(4);
+  std::size_t max_settling_connections = 8;
+  Span unsolicited_bytes_memory = Span::s(60);
+  // An endpoint's index is used again this long after its removal: late outcomes still name it.
+  Span removed_endpoint_retention = Span::s(30);
+  // Below the endpoints' own idle timeout.
+  Span endpoint_idle_timeout = Span::s(24);
+
+  // ---- Connections of clients ----
+
+  // From connecting to the end of the first request.
+  Span first_request_timeout = Span::s(2);
+  // From a later request's first byte to its last.
+  Span request_read_timeout = Span::s(2);
+  // Between requests; the shorter one once half of the connections are taken.
+  Span client_idle_timeout = Span::s(4);
+  Span crowded_client_idle_timeout = Span::s(2);
+  // After a 4xx answer, before the next request of that connection is read.
+  Span bad_request_pause = Span::ms(100);
+  // Where all connections are taken: one with half a request is closed after the first of these, an idle one
+  // after the second, a new one not before the third.
+  Span partial_request_timeout = Span::s(1);
+  Span min_idle_before_close = Span::ms(200);
+  Span new_connection_grace = Span::ms(50);
+  // How long the bytes of a refused client are read and dropped before its connection is closed.
+  Span lingering_close_timeout = Span::s(1);
+  // Past the client timeout: a request's id is remembered this long.
+  Span request_id_retention = Span::s(5);
+  // Past the client timeout: a request that the decisions left open is failed then.
+  Span overdue_answer_delay = Span::ms(20);
+  // For a client that does not read its answer.
+  Span answer_write_timeout = Span::s(5);
+
+  // ---- Endpoint discovery ----
+
+  // Discovery sends a line at least every 2 s, and a change counts as notified 6 s after a watch fell silent:
+  // this leaves time for two more watches.
+  Span watch_silence_timeout = Span::ms(2500);
+  // For the first line of a watch that replaces a silent one.
+  Span replacement_watch_timeout = Span::ms(1500);
+  // For the first line of any other: discovery queues calls.
+  Span discovery_call_timeout = Span::ms(4500);
+  // Without a byte in the middle of a line. A line that has begun counts as notified. Longer than one TCP
+  // retransmission (RFC 6298: 0.2 s on Linux).
+  Span watch_stall_timeout = Span::ms(400);
+  // The first call is delayed by a random part of this, so that routers started together do not overload
+  // discovery.
+  Span max_initial_poll_delay;
+  // After the start: the router is ready then even without a list, and rejects.
+  Span ready_without_list_after = Span::ms(5500);
+  // How long the configuration's list may be used before discovery confirms it: its age is unknown.
+  Span configured_list_validity;
+
+  // ---- Delays on the way of an attempt ----
+
+  // Between reading the clock and writing.
+  Span max_processing_delay = Span::ms(150);
+  // Of a first byte on the network.
+  Span max_network_delay = Span::ms(50);
+
+  // ---- Release platform ----
+
+  Span platform_connect_timeout = Span::s(1);
+  // It sends a ping every second.
+  Span platform_silence_timeout = Span::ms(3500);
+  Span platform_answer_timeout = Span::s(2);
+  // Between attempts to connect.
+  Span platform_retry_min = Span::ms(100);
+  Span platform_retry_max = Span::s(2);
+
+  // ---- Graceful shutdown, counted from the signal ----
+
+  // New connections are accepted for this long, and until none has come for `shutdown_quiet_time`.
+  Span shutdown_accept_time = Span::ms(650);
+  Span shutdown_quiet_time = Span::ms(100);
+  // When the machine may kill the process: the longest client timeout (3 s at most) and 0.7 s.
+  Span earliest_kill = Span::ms(3700);
+  // What came after the signal has its answer this long before the kill.
+  Span kill_margin = Span::ms(100);
+  // The program ends then, whatever is still open; more where client timeouts are longer.
+  Span shutdown_timeout = Span::ms(3600);
 };
 
 }  // namespace ashbeam
--- a/src/calling/gate.cpp
+++ b/src/calling/authorizer.cpp
@@ -1,4 +1,4 @@
-#include "calling/gate.hpp"
+#include "calling/authorizer.hpp"
 
 #include <xxhash.h>
 
@@ -42,7 +42,7 @@
   return true;
 }
 
-KeyRing::Times times_of(const CallingTerms& terms) {
+KeyRing::Times times_of(const CallingSettings& terms) {
   KeyRing::Times t;
   t.overlap = terms.overlap, t.leeway = terms.leeway;
   t.revoked_kept = std::max(t.revoked_kept, terms.longest_life * 2);
@@ -51,7 +51,7 @@
 
 }  // namespace
 
-Gate::Gate(const CallingTerms& terms, std::uint64_t seed, Instant now)
+Authorizer::Authorizer(const CallingSettings& terms, std::uint64_t seed, Instant now)
     : terms_(terms), directory_(std::make_unique<Directory>(terms)), seed_(seed), ring_(times_of(terms)),
       granted_(terms.cached_tokens), refused_tokens_(1024), subjects_(terms.subjects, now),
       unproven_(terms.verifications_per_s, std::max(1.0, terms.verifications_per_s / 10)),
@@ -62,7 +62,7 @@
 }
 
 // Tenants keep their places by name; one that is gone keeps it until its last hit is over.
-void Gate::place_tenants(Instant now) {
+void Authorizer::place_tenants(Instant now) {
   for (Standing& s : tenants_) s.entry = Directory::kNone;
   std::erase_if(ids_, [&](const auto& named) {
     return tenants_[named.second].in_hand == 0 && directory_->by_name(named.first) == Directory::kNone;
@@ -90,7 +90,7 @@
   }
 }
 
-void Gate::terms(const CallingTerms& terms, Instant now) {
+void Authorizer::terms(const CallingSettings& terms, Instant now) {
   auto next = std::make_unique<Directory>(terms);
   terms_ = terms;
   directory_ = std::move(next);
@@ -101,12 +101,12 @@
 
 // ---- Who it is ----
 
-std::uint64_t Gate::hash_of(const std::string& caller) const {
+std::uint64_t Authorizer::hash_of(const std::string& caller) const {
   return XXH3_64bits_withSeed(caller.data(), caller.size(), seed_);
 }
 
-Refusal Gate::identify(const Asked& asked, Presence& presence, Instant now, Identity& into,
-                       Span& retry_after) {
+Refusal Authorizer::identify(const Asked& asked, Presence& presence, Instant now, Identity& into,
+                             Span& retry_after) {
   into.tenant = Directory::kNone;
   into.caller.clear();
   std::string_view text;
@@ -131,7 +131,7 @@
   return Refusal::kNone;
 }
 
-Refusal Gate::certificate(const Certificate& c, Instant now, Identity& into) const {
+Refusal Authorizer::certificate(const Certificate& c, Instant now, Identity& into) const {
   const Instant wall = now + wall_ahead_;
   if (wall < c.not_before - terms_.leeway || wall > c.not_after) return Refusal::kCertificate;
   into.tenant = directory_->by_organisation(c.organisation);
@@ -143,8 +143,8 @@
   return Refusal::kNone;
 }
 
-Refusal Gate::token(std::string_view text, const Asked& asked, Presence& presence, Instant now,
-                    Identity& into, Span& retry_after) {
+Refusal Authorizer::token(std::string_view text, const Asked& asked, Presence& presence, Instant now,
+                          Identity& into, Span& retry_after) {
   if (text.empty() || text.size() > tokens::kLongestToken) return Refusal::kUnreadable;
   const tokens::Digest digest = tokens::digest_of(text);
   Grant* grant = granted_.find(digest);
@@ -177,7 +177,7 @@
   return Refusal::kNone;
 }
 
-bool Gate::may_verify(std::string_view text, const Presence& presence, Instant now, Span& retry_after) {
+bool Authorizer::may_verify(std::string_view text, const Presence& presence, Instant now, Span& retry_after) {
   if (!presence.proven && unproven_.take(now)) return true;
   bool heard = presence.proven;
   if (!heard) {
@@ -195,7 +195,7 @@
 }
 
 // Whatever is wrong, one signature is computed; the first fault in the order below is told.
-Refusal Gate::verify(std::string_view text, Grant& grant, Instant now) {
+Refusal Authorizer::verify(std::string_view text, Grant& grant, Instant now) {
   ++verifications_;
   const auto jws = tokens::split(text);
   // The token names an algorithm; what counts is whether one of its key's is that.
@@ -235,7 +235,7 @@
   return ring_.accepts(grant.key, grant.issued, wall);
 }
 
-Refusal Gate::times(const Grant& g, const Certificate* certificate, Instant now) const {
+Refusal Authorizer::times(const Grant& g, const Certificate* certificate, Instant now) const {
   const Instant wall = now + wall_ahead_;
   const Refusal key = ring_.accepts(g.key, g.issued, wall);
   if (key != Refusal::kNone) return key;
@@ -245,7 +245,7 @@
   return Refusal::kNone;
 }
 
-Refusal Gate::resolve(Grant& g) const {
+Refusal Authorizer::resolve(Grant& g) const {
   g.tenant_id = directory_->by_name(g.tenant);
   if (g.tenant_id == Directory::kNone) return Refusal::kTenant;
   const Directory::Tenant& tenant = (*directory_)[g.tenant_id];
@@ -256,7 +256,7 @@
   return Refusal::kNone;
 }
 
-void Gate::identity(const Grant& g, Identity& into) const {
+void Authorizer::identity(const Grant& g, Identity& into) const {
   into.tenant = g.tenant_id;
   into.rule = g.rule;
   into.hash = g.hash;
@@ -266,8 +266,8 @@
 
 // ---- What they may ----
 
-Refusal Gate::let_in(const Identity& who, unsigned path_group, Instant now, Ticket& ticket,
-                     Span& retry_after) {
+Refusal Authorizer::let_in(const Identity& who, unsigned path_group, Instant now, AdmissionToken& ticket,
+                           Span& retry_after) {
   if (who.tenant == Directory::kNone) return Refusal::kNone;
   const Directory::Tenant& tenant = (*directory_)[who.tenant];
   const Directory::Rule& rule = tenant.rules[who.rule];
@@ -299,7 +299,7 @@
   return Refusal::kNone;
 }
 
-void Gate::ended(const Ticket& t) {
+void Authorizer::ended(const AdmissionToken& t) {
   if (t.tenant == UINT32_MAX) return;
   --tenants_[t.tenant].in_hand;
   --subjects_.in_hand(t.subject);
--- a/src/calling/gate.hpp
+++ b/src/calling/authorizer.hpp
@@ -21,7 +21,7 @@
 #include "calling/key_ring.hpp"
 #include "calling/quota.hpp"
 #include "calling/refusal.hpp"
-#include "calling/terms.hpp"
+#include "calling/settings.hpp"
 #include "calling/token_cache.hpp"
 
 namespace ashbeam::calling {
@@ -52,19 +52,20 @@
   std::string caller;  // "tenant/subject", as hosts are told; empty: nobody
 };
 
-struct Ticket {
+struct AdmissionToken {
   std::uint32_t tenant = UINT32_MAX, subject = UINT32_MAX;
 };
 
-class Gate {
+class Authorizer {
  public:
-  Gate(const CallingTerms& terms, std::uint64_t seed, Instant now);
+  Authorizer(const CallingSettings& terms, std::uint64_t seed, Instant now);
 
   // kNone: `into` says who it is. kBusy: `retry_after` says when.
   Refusal identify(const Asked& asked, Presence& presence, Instant now, Identity& into, Span& retry_after);
   // kNone: `ticket` is to be given back. kRate, kInHand: `retry_after` says when there is room.
-  Refusal let_in(const Identity& who, unsigned path_group, Instant now, Ticket& ticket, Span& retry_after);
-  void ended(const Ticket& ticket);
+  Refusal let_in(const Identity& who, unsigned path_group, Instant now, AdmissionToken& ticket,
+                 Span& retry_after);
+  void ended(const AdmissionToken& ticket);
 
   KeyRing::Change keys(std::span<const tokens::Listed> set, Instant now) {
     return ring_.told(set, now + wall_ahead_);
@@ -73,7 +74,7 @@
   // and waits are of the time handed in, which never goes back.
   void wall_ahead(Span ahead) { wall_ahead_ = ahead; }
   Span wall_ahead() const { return wall_ahead_; }
-  void terms(const CallingTerms& terms, Instant now);  // what is in hand and was used up stands
+  void terms(const CallingSettings& terms, Instant now);  // what is in hand and was used up stands
   const KeyRing& ring() const { return ring_; }
   std::size_t cached() const { return granted_.size(); }
   std::uint64_t verifications() const { return verifications_; }
@@ -100,7 +101,7 @@
   void place_tenants(Instant now);
 
   Span wall_ahead_;
-  CallingTerms terms_;
+  CallingSettings terms_;
   std::unique_ptr<Directory> directory_;
   std::uint64_t epoch_ = 1, seed_;  // of the directory
   KeyRing ring_;
--- a/src/calling/directory.cpp
+++ b/src/calling/directory.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-std::vector<bool> mask(const CallingTerms& terms, bool any, const std::vector<std::string>& may) {
+std::vector<bool> mask(const CallingSettings& terms, bool any, const std::vector<std::string>& may) {
   std::vector<bool> all(terms.path_groups.size(), any);
   for (std::size_t i = 0; i < all.size() && !any; ++i)
     all[i] = std::find(may.begin(), may.end(), terms.path_groups[i]) != may.end();
@@ -15,12 +15,12 @@
 
 }  // namespace
 
-Directory::Directory(const CallingTerms& terms) {
+Directory::Directory(const CallingSettings& terms) {
   const auto part = [&](const Limit& limit, double over) {
     return Rate::part(limit, over, terms.lend, terms.bank);
   };
   const double reach = std::min(terms.reach, terms.routers);
-  for (const TenantTerms& given : terms.tenants) {
+  for (const TenantSettings& given : terms.tenants) {
     Tenant t;
     t.name = given.name;
     t.issuer = given.issuer.empty() ? terms.issuer : given.issuer;
@@ -55,7 +55,7 @@
   return only_listed ? kNone : 0;
 }
 
-std::vector<std::string> problems_of(const CallingTerms& terms) {
+std::vector<std::string> problems_of(const CallingSettings& terms) {
   std::vector<std::string> all;
   std::vector<std::string> names, organisations;
   const auto known = [&](const std::string& where, const std::vector<std::string>& may) {
@@ -69,7 +69,7 @@
       all.push_back(what + " " + name + " stands twice");
     seen.push_back(name);
   };
-  for (const TenantTerms& t : terms.tenants) {
+  for (const TenantSettings& t : terms.tenants) {
     once(names, t.name, "tenant");
     once(organisations, t.organisation.empty() ? t.name : t.organisation, "organisation");
     known("tenant " + t.name, t.may);
--- a/src/calling/directory.hpp
+++ b/src/calling/directory.hpp
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "calling/quota.hpp"
-#include "calling/terms.hpp"
+#include "calling/settings.hpp"
 
 namespace ashbeam::calling {
 
@@ -31,7 +31,7 @@
     std::uint32_t rule_of(std::string_view subject) const;          // kNone: it has no rights here
   };
 
-  explicit Directory(const CallingTerms& terms);
+  explicit Directory(const CallingSettings& terms);
   std::uint32_t by_name(std::string_view name) const { return look(names_, name); }
   std::uint32_t by_organisation(std::string_view name) const { return look(organisations_, name); }
   const Tenant& operator[](std::uint32_t tenant) const { return tenants_[tenant]; }
@@ -48,6 +48,6 @@
 };
 
 // What in the terms contradicts itself or names what is not there; empty if nothing.
-std::vector<std::string> problems_of(const CallingTerms& terms);
+std::vector<std::string> problems_of(const CallingSettings& terms);
 
 }  // namespace ashbeam::calling
--- a/src/calling/quota.hpp
+++ b/src/calling/quota.hpp
@@ -21,7 +21,7 @@
 
 #include "base/time.hpp"
 #include "base/wide_pages.hpp"
-#include "calling/terms.hpp"
+#include "calling/settings.hpp"
 
 namespace ashbeam::calling {
 
--- a/src/calling/terms.hpp
+++ b/src/calling/settings.hpp
@@ -22,7 +22,7 @@
   Limit limit;
 };
 
-struct TenantTerms {
+struct TenantSettings {
   std::string name;          // as in X-Account
   std::string issuer;        // of its tokens; empty: the common one
   std::string organisation;  // O of its certificates; empty: its name
@@ -32,7 +32,7 @@
   std::vector<SubjectTerms> subjects;
 };
 
-struct CallingTerms {
+struct CallingSettings {
   bool required = false;  // else who proves nothing is served as before
   std::string issuer, audience, tenant_claim = "tenant";
   Span leeway = Span::s(30);           // between the issuer's clock and ours, either way
@@ -46,7 +46,7 @@
   double lend = 4;
   Span longest_hit = Span::s(5);                    // by when whatever is in hand is over
   std::vector<std::string> path_groups, customers;  // names by their index in the module
-  std::vector<TenantTerms> tenants;
+  std::vector<TenantSettings> tenants;
 };
 
 }  // namespace ashbeam::calling
--- a/src/standins/client.cpp
+++ b/src/fakes/client.cpp
@@ -1,15 +1,15 @@
-#include "standins/client.hpp"
+#include "fakes/client.hpp"
 
 #include <utility>
 
-namespace ashbeam::standins {
+namespace ashbeam::fakes {
 
 void Client::ask(const std::string& request, Next next) {
   next_ = std::move(next);
   answers_.next();
   if (connection_ && !connection_->quiet()) hang_up();  // closed between requests, as a router may
   if (!connection_) {
-    Connection::MakeVeil veil;
+    Connection::MakeTlsStream veil;
     if (tls_) veil = [tls = tls_](int fd) { return tls->veil(fd); };
     connection_ = std::make_unique<Connection>(loop_, limits_, *this, address_, std::move(veil));
   }
@@ -22,7 +22,7 @@
   loop_.destroy_later(std::move(connection_));
 }
 
-void Client::bytes_came() {
+void Client::on_data() {
   std::string_view bytes = connection_->unread();
   const std::size_t had = bytes.size();
   if (!next_) {
@@ -42,7 +42,7 @@
   finish({answers_.status(), &answers_, true});
 }
 
-void Client::ended() {
+void Client::on_closed() {
   const bool written = !connection_->unwritten();
   hang_up();
   if (next_) finish({0, nullptr, written});
@@ -53,4 +53,4 @@
   next(answer);
 }
 
-}  // namespace ashbeam::standins
+}  // namespace ashbeam::fakes
--- a/src/standins/client.hpp
+++ b/src/fakes/client.hpp
@@ -5,12 +5,12 @@
 #include <string>
 
 #include "base/limits.hpp"
+#include "fakes/pki.hpp"
 #include "protocol/http.hpp"
-#include "standins/pki.hpp"
 #include "transport/connection.hpp"
-#include "transport/loop.hpp"
+#include "transport/event_loop.hpp"
 
-namespace ashbeam::standins {
+namespace ashbeam::fakes {
 
 class Client : public Connection::Owner {
  public:
@@ -20,9 +20,9 @@
     bool whole_before_end = false;  // the request had been written
   };
   using Next = std::function<void(const Answer&)>;
-  Client(Loop& loop, const Limits& limits, std::string address, std::shared_ptr<ClientTls> tls = nullptr)
+  Client(EventLoop& loop, const Limits& limits, std::string address, std::shared_ptr<ClientTls> tls = nullptr)
       : loop_(loop), limits_(limits), address_(std::move(address)), tls_(std::move(tls)),
-        answers_(http::Side::kAnswers, limits.head, limits.body) {}
+        answers_(http::Side::kAnswers, limits.max_head_bytes, limits.max_body_bytes) {}
   // Only once the one before has its answer. `next` is never called before this returns.
   void ask(const std::string& request, Next next);
   void finish_raw(const std::string& bytes) { connection_->write(bytes); }  // the rest of a request begun
@@ -33,10 +33,10 @@
   bool resumed() const { return tls_ && tls_->last_resumed(); }
 
  private:
-  void bytes_came() override;
-  void ended() override;
+  void on_data() override;
+  void on_closed() override;
   void finish(const Answer& answer);
-  Loop& loop_;
+  EventLoop& loop_;
   const Limits& limits_;
   std::string address_;
   std::shared_ptr<ClientTls> tls_;
@@ -46,4 +46,4 @@
   std::uint64_t stray_ = 0;
 };
 
-}  // namespace ashbeam::standins
+}  // namespace ashbeam::fakes
--- a/src/standins/discovery.cpp
+++ b/src/fakes/discovery.cpp
@@ -1,9 +1,9 @@
-#include "standins/discovery.hpp"
+#include "fakes/discovery.hpp"
 
 #include <algorithm>
 #include <cstdio>
 
-namespace ashbeam::standins {
+namespace ashbeam::fakes {
 
 class Discovery::Watch : private Connection::Owner {
  public:
@@ -17,7 +17,7 @@
   }
 
  private:
-  void bytes_came() override {
+  void on_data() override {
     const bool whole = connection_.unread().find("\r\n\r\n") != std::string_view::npos;
     if (!whole || asked_) return;
     connection_.take(connection_.unread().size());
@@ -25,7 +25,7 @@
     connection_.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     tell(discovery_.list());
   }
-  void ended() override {
+  void on_closed() override {
     auto& all = discovery_.watches_;
     const auto at = std::find_if(all.begin(), all.end(), [this](const auto& w) { return w.get() == this; });
     discovery_.loop_.destroy_later(std::move(*at));
@@ -36,7 +36,7 @@
   bool asked_ = false;
 };
 
-Discovery::Discovery(Loop& loop, const Limits& limits)
+Discovery::Discovery(EventLoop& loop, const Limits& limits)
     : loop_(loop), limits_(limits), alive_(loop,
                                            [this] {
                                              tell("");
@@ -74,4 +74,4 @@
   for (const auto& watch : watches_) watch->tell(line);
 }
 
-}  // namespace ashbeam::standins
+}  // namespace ashbeam::fakes
--- a/src/standins/discovery.hpp
+++ b/src/fakes/discovery.hpp
@@ -7,10 +7,10 @@
 
 #include "base/limits.hpp"
 #include "transport/connection.hpp"
+#include "transport/event_loop.hpp"
 #include "transport/listener.hpp"
-#include "transport/loop.hpp"
 
-namespace ashbeam::standins {
+namespace ashbeam::fakes {
 
 struct Entry {
   std::string uid, endpoint, state = "up";
@@ -20,7 +20,7 @@
 
 class Discovery {
  public:
-  Discovery(Loop& loop, const Limits& limits);
+  Discovery(EventLoop& loop, const Limits& limits);
   ~Discovery();
   std::string address() const { return "127.0.0.1:" + std::to_string(listener_.port()); }
   void put(const Entry& entry);  // and tells all who watch
@@ -30,7 +30,7 @@
   class Watch;
   void tell(const std::string& line);
   std::string text(const Entry& entry) const;
-  Loop& loop_;
+  EventLoop& loop_;
   const Limits& limits_;
   unsigned rev_ = 1;
   std::map<std::string, Entry> entries_;
@@ -39,4 +39,4 @@
   Listener listener_;
 };
 
-}  // namespace ashbeam::standins
+}  // namespace ashbeam::fakes
--- a/src/standins/host.cpp
+++ b/src/fakes/endpoint.cpp
@@ -1,18 +1,18 @@
-#include "standins/host.hpp"
+#include "fakes/endpoint.hpp"
 
 #include <algorithm>
 
-namespace ashbeam::standins {
+namespace ashbeam::fakes {
 
-class Host::Link : private Connection::Owner {
+class Endpoint::Link : private Connection::Owner {
  public:
-  Link(Host& host, int fd)
+  Link(Endpoint& host, int fd)
       : host_(host), connection_(host.loop_, host.limits_, *this, fd),
-        requests_(http::Side::kRequests, host.limits_.head, host.limits_.body),
+        requests_(http::Side::kRequests, host.limits_.max_head_bytes, host.limits_.max_body_bytes),
         answer_(host.loop_, [this] { answer(); }) {}
 
  private:
-  void bytes_came() override {
+  void on_data() override {
     if (answer_.armed()) return;
     std::string_view bytes = connection_.unread();
     const std::size_t had = bytes.size();
@@ -29,26 +29,26 @@
     connection_.write("HTTP/1.1 " + std::to_string(served_.status) + " X\r\nContent-Length: " +
                       std::to_string(served_.body.size()) + "\r\n\r\n" + served_.body);
     requests_.next();
-    if (!connection_.unread().empty()) host_.loop_.later([this] { bytes_came(); });
+    if (!connection_.unread().empty()) host_.loop_.post([this] { on_data(); });
   }
-  void ended() override { host_.remove(this); }
+  void on_closed() override { host_.remove(this); }
 
-  Host& host_;
+  Endpoint& host_;
   Connection connection_;
   http::Messages requests_;
   Served served_;
   Timer answer_;
 };
 
-Host::Host(Loop& loop, const Limits& limits, Serve serve)
+Endpoint::Endpoint(EventLoop& loop, const Limits& limits, Serve serve)
     : loop_(loop), limits_(limits), serve_(std::move(serve)),
       listener_(loop, "127.0.0.1:0", 512, [this](int fd) {
         if (fd >= 0) links_.push_back(std::make_unique<Link>(*this, fd));
       }) {}
 
-Host::~Host() = default;
+Endpoint::~Endpoint() = default;
 
-void Host::remove(Link* link) {
+void Endpoint::remove(Link* link) {
   const auto at =
       std::find_if(links_.begin(), links_.end(), [link](const auto& l) { return l.get() == link; });
   if (at == links_.end()) return;
@@ -56,4 +56,4 @@
   links_.erase(at);
 }
 
-}  // namespace ashbeam::standins
+}  // namespace ashbeam::fakes
--- a/src/standins/host.hpp
+++ b/src/fakes/endpoint.hpp
@@ -9,10 +9,10 @@
 #include "base/limits.hpp"
 #include "protocol/http.hpp"
 #include "transport/connection.hpp"
+#include "transport/event_loop.hpp"
 #include "transport/listener.hpp"
-#include "transport/loop.hpp"
 
-namespace ashbeam::standins {
+namespace ashbeam::fakes {
 
 struct Served {
   unsigned status = 200;
@@ -21,18 +21,18 @@
   std::string body = "ok\n";
 };
 
-class Host {
+class Endpoint {
  public:
   using Serve = std::function<Served(const http::Head& head, const std::string& body)>;
-  Host(Loop& loop, const Limits& limits, Serve serve);
-  ~Host();
+  Endpoint(EventLoop& loop, const Limits& limits, Serve serve);
+  ~Endpoint();
   std::string address() const { return "127.0.0.1:" + std::to_string(listener_.port()); }
   std::uint64_t ran() const { return ran_; }
 
  private:
   class Link;
   void remove(Link* link);
-  Loop& loop_;
+  EventLoop& loop_;
   const Limits& limits_;
   Serve serve_;
   std::uint64_t ran_ = 0;
@@ -40,4 +40,4 @@
   Listener listener_;
 };
 
-}  // namespace ashbeam::standins
+}  // namespace ashbeam::fakes
--- a/src/standins/pki.cpp
+++ b/src/fakes/pki.cpp
@@ -1,4 +1,4 @@
-#include "standins/pki.hpp"
+#include "fakes/pki.hpp"
 
 #include <openssl/bio.h>
 #include <openssl/bn.h>
@@ -14,7 +14,7 @@
 
 #include "tokens/base64url.hpp"
 
-namespace ashbeam::standins {
+namespace ashbeam::fakes {
 
 namespace {
 
@@ -126,7 +126,7 @@
 
 // ---- The client side ----
 
-class ClientVeil : public Veil {
+class ClientVeil : public TlsStream {
  public:
   ClientVeil(ClientTls& tls, int fd) : tls_(tls), ctx_(tls.ctx_), ssl_(SSL_new(ctx_.get()), SSL_free) {
     SSL_set_fd(ssl_.get(), fd);
@@ -160,7 +160,7 @@
   }
   bool holds() const override { return SSL_pending(ssl_.get()) > 0; }
   void finish() override { SSL_shutdown(ssl_.get()); }
-  Proof proof(Instant) override { return {}; }
+  PeerProof proof(Instant) override { return {}; }
 
  private:
   std::ptrdiff_t told(int n) {
@@ -194,6 +194,6 @@
 
 ClientTls::~ClientTls() = default;
 
-std::unique_ptr<Veil> ClientTls::veil(int fd) { return std::make_unique<ClientVeil>(*this, fd); }
+std::unique_ptr<TlsStream> ClientTls::veil(int fd) { return std::make_unique<ClientVeil>(*this, fd); }
 
-}  // namespace ashbeam::standins
+}  // namespace ashbeam::fakes
--- a/src/standins/pki.hpp
+++ b/src/fakes/pki.hpp
@@ -6,14 +6,14 @@
 #include <string>
 
 #include "base/time.hpp"
-#include "transport/veil.hpp"
+#include "transport/tls_stream.hpp"
 
 struct x509_st;
 struct evp_pkey_st;
 struct ssl_ctx_st;
 struct ssl_session_st;
 
-namespace ashbeam::standins {
+namespace ashbeam::fakes {
 
 struct Identity {
   std::shared_ptr<x509_st> certificate;
@@ -46,7 +46,7 @@
   ~ClientTls();
   ClientTls(const ClientTls&) = delete;
   ClientTls& operator=(const ClientTls&) = delete;
-  std::unique_ptr<Veil> veil(int fd);
+  std::unique_ptr<TlsStream> veil(int fd);
   bool last_resumed() const { return resumed_; }
 
  private:
@@ -56,4 +56,4 @@
   bool resume_, resumed_ = false;
 };
 
-}  // namespace ashbeam::standins
+}  // namespace ashbeam::fakes
--- a/src/standins/desk.cpp
+++ b/src/fakes/release_platform.cpp
@@ -1,23 +1,24 @@
-#include "standins/desk.hpp"
+#include "fakes/release_platform.hpp"
 
 #include <algorithm>
 
-namespace ashbeam::standins {
+namespace ashbeam::fakes {
 
-class Desk::Link : private Connection::Owner {
+class ReleasePlatform::Link : private Connection::Owner {
  public:
-  Link(Desk& desk, int fd)
-      : desk_(desk), connection_(desk.loop_, desk.limits_, *this, fd), lines_(desk.limits_.desk_line) {}
+  Link(ReleasePlatform& desk, int fd)
+      : desk_(desk), connection_(desk.loop_, desk.limits_, *this, fd),
+        lines_(desk.limits_.max_platform_line_bytes) {}
   void say(const std::string& line) {
     if (subscribed_) connection_.write(line + "\n");
   }
 
  private:
-  void bytes_came() override {
+  void on_data() override {
     const std::string bytes(connection_.unread());
     connection_.take(bytes.size());
     const bool good = lines_.feed(bytes, [this](std::string_view line) { return call(line); });
-    if (!good) ended();
+    if (!good) on_closed();
   }
   bool call(std::string_view line) {
     const auto whole = Json::parse(line);
@@ -39,7 +40,7 @@
     answer(desk_.news());
     return true;
   }
-  void ended() override {
+  void on_closed() override {
     auto& all = desk_.links_;
     const auto at = std::find_if(all.begin(), all.end(), [this](const auto& l) { return l.get() == this; });
     if (at == all.end()) return;
@@ -47,14 +48,14 @@
     desk_.loop_.destroy_later(std::move(*at));
     all.erase(at);
   }
-  Desk& desk_;
+  ReleasePlatform& desk_;
   Connection connection_;
   Lines lines_;
   bool subscribed_ = false;
 };
 
-Desk::Desk(Loop& loop, const Limits& limits, std::vector<double> caps,
-           std::function<void(const State&)> changed)
+ReleasePlatform::ReleasePlatform(EventLoop& loop, const Limits& limits, std::vector<double> caps,
+                                 std::function<void(const State&)> changed)
     : loop_(loop), limits_(limits), caps_(std::move(caps)), changed_(std::move(changed)),
       ping_(loop,
             [this] {
@@ -69,20 +70,20 @@
   ping_.in(Span::s(1));
 }
 
-Desk::~Desk() = default;
+ReleasePlatform::~ReleasePlatform() = default;
 
-std::string Desk::news() const {
+std::string ReleasePlatform::news() const {
   return R"({"image":)" + std::to_string(state_.build) + R"(,"ring":)" + std::to_string(state_.stage) +
          R"(,"progress":")" + state_.progress + R"(","ceiling":)" + std::to_string(state_.cap) +
          R"(,"lag_ms":)" + std::to_string((loop_.now() - state_.since).us() / 1000) + "}";
 }
 
-void Desk::offer(unsigned build) {
+void ReleasePlatform::offer(unsigned build) {
   state_.build = build;
   change("trial", 0);
 }
 
-void Desk::change(const std::string& progress, unsigned stage) {
+void ReleasePlatform::change(const std::string& progress, unsigned stage) {
   state_.progress = progress;
   state_.stage = stage;
   state_.cap = progress == "trial" ? caps_[stage] : progress == "released" ? 1 : 0;
@@ -92,7 +93,7 @@
   changed_(state_);
 }
 
-void Desk::vote(unsigned build, unsigned stage, const std::string& opinion) {
+void ReleasePlatform::vote(unsigned build, unsigned stage, const std::string& opinion) {
   if (build != state_.build || stage != state_.stage || state_.progress != "trial") return;
   if (opinion == "promote") {
     const bool last = stage + 1 >= caps_.size();
@@ -103,4 +104,4 @@
   }
 }
 
-}  // namespace ashbeam::standins
+}  // namespace ashbeam::fakes
--- a/src/standins/desk.hpp
+++ b/src/fakes/release_platform.hpp
@@ -8,12 +8,12 @@
 #include "base/limits.hpp"
 #include "protocol/lines.hpp"
 #include "transport/connection.hpp"
+#include "transport/event_loop.hpp"
 #include "transport/listener.hpp"
-#include "transport/loop.hpp"
 
-namespace ashbeam::standins {
+namespace ashbeam::fakes {
 
-class Desk {
+class ReleasePlatform {
  public:
   struct State {
     unsigned build = 1, stage = 0;
@@ -21,8 +21,9 @@
     double cap = 1;
     Instant since;
   };
-  Desk(Loop& loop, const Limits& limits, std::vector<double> caps, std::function<void(const State&)> changed);
-  ~Desk();
+  ReleasePlatform(EventLoop& loop, const Limits& limits, std::vector<double> caps,
+                  std::function<void(const State&)> changed);
+  ~ReleasePlatform();
   std::string address() const { return "127.0.0.1:" + std::to_string(listener_.port()); }
   std::string news() const;  // as a JSON object
   void offer(unsigned build);
@@ -32,7 +33,7 @@
   class Link;
   void vote(unsigned build, unsigned stage, const std::string& opinion);
   void change(const std::string& progress, unsigned stage);
-  Loop& loop_;
+  EventLoop& loop_;
   const Limits& limits_;
   std::vector<double> caps_;
   std::function<void(const State&)> changed_;
@@ -42,4 +43,4 @@
   Listener listener_;
 };
 
-}  // namespace ashbeam::standins
+}  // namespace ashbeam::fakes
--- a/src/metadata/warden.cpp
+++ b/src/metadata/metadata_verifier.cpp
@@ -1,4 +1,4 @@
-#include "metadata/warden.hpp"
+#include "metadata/metadata_verifier.hpp"
 
 #include <algorithm>
 #include <charconv>
@@ -28,7 +28,7 @@
 
 }  // namespace
 
-Warden::Warden(std::vector<RepositoryTerms> repositories, std::size_t clients)
+MetadataVerifier::MetadataVerifier(std::vector<RepositorySettings> repositories, std::size_t clients)
     : most_clients_(std::max<std::size_t>(1, clients)) {
   for (auto& terms : repositories) {
     Repository r;
@@ -45,7 +45,7 @@
   });
 }
 
-std::uint32_t Warden::repository_of(std::string_view path, std::string_view& file) const {
+std::uint32_t MetadataVerifier::repository_of(std::string_view path, std::string_view& file) const {
   for (const std::uint32_t i : by_length_) {
     if (!path.starts_with(all_[i].terms.prefix)) continue;
     file = path.substr(all_[i].terms.prefix.size());
@@ -54,8 +54,8 @@
   return kNone;
 }
 
-Refusal Warden::check(std::uint32_t repository, std::string_view file, std::string_view bytes,
-                      std::uint64_t client, Instant now) {
+Refusal MetadataVerifier::check(std::uint32_t repository, std::string_view file, std::string_view bytes,
+                                std::uint64_t client, Instant now) {
   Repository& r = all_[repository];
   std::string role;
   std::int64_t version = 0;
@@ -69,14 +69,14 @@
   return why;
 }
 
-Refusal Warden::note(Step step, Trust& into) {
+Refusal MetadataVerifier::note(Step step, Trust& into) {
   verifications_ += step.verifications;
   if (!step.refusal) into = std::move(step.trust);
   return std::move(step.refusal);
 }
 
-Refusal Warden::root(Repository& r, std::int64_t named, std::string_view bytes, std::uint64_t key,
-                     Instant now) {
+Refusal MetadataVerifier::root(Repository& r, std::int64_t named, std::string_view bytes, std::uint64_t key,
+                               Instant now) {
   const std::int64_t trusted = r.trust.root->version;
   const std::string digest = sha256_hex(bytes);
   const auto known = r.roots.find(named == 0 ? trusted : named);
@@ -114,7 +114,7 @@
   return {};
 }
 
-Refusal Warden::timestamp(Repository& r, std::string_view bytes, std::uint64_t key, Instant now) {
+Refusal MetadataVerifier::timestamp(Repository& r, std::string_view bytes, std::uint64_t key, Instant now) {
   std::erase_if(r.passed, [&](const Passed& p) { return p.until <= now; });
   const std::string digest = sha256_hex(bytes);
   const Floor floor = floor_of(r, key);
@@ -159,8 +159,8 @@
 
 }  // namespace
 
-Refusal Warden::below(Repository& r, const std::string& role, std::int64_t named, std::string_view bytes,
-                      Instant now) {
+Refusal MetadataVerifier::below(Repository& r, const std::string& role, std::int64_t named,
+                                std::string_view bytes, Instant now) {
   std::erase_if(r.passed, [&](const Passed& p) { return p.until <= now; });
   const auto step = [&](const Trust& trust) {
     if (role == "snapshot") return take_snapshot(trust, bytes, now);
@@ -209,8 +209,8 @@
   return first;
 }
 
-Refusal Warden::alone(const Repository& r, const std::string& role, std::int64_t named,
-                      std::string_view bytes, Instant now) {
+Refusal MetadataVerifier::alone(const Repository& r, const std::string& role, std::int64_t named,
+                                std::string_view bytes, Instant now) {
   File file;
   if (Refusal why = read_file_of(role, bytes, file)) return why;
   const Root& root = *r.trust.root;
@@ -229,26 +229,26 @@
 
 // ---- Clients ----
 
-void Warden::unlink(std::uint32_t at) {
+void MetadataVerifier::unlink(std::uint32_t at) {
   Client& c = clients_[at];
   (c.older == kNone ? oldest_ : clients_[c.older].newer) = c.newer;
   (c.newer == kNone ? newest_ : clients_[c.newer].older) = c.older;
 }
 
-void Warden::link_newest(std::uint32_t at) {
+void MetadataVerifier::link_newest(std::uint32_t at) {
   Client& c = clients_[at];
   c.older = newest_, c.newer = kNone;
   (newest_ == kNone ? oldest_ : clients_[newest_].newer) = at;
   newest_ = at;
 }
 
-Warden::Floor Warden::floor_of(const Repository& r, std::uint64_t key) const {
+MetadataVerifier::Floor MetadataVerifier::floor_of(const Repository& r, std::uint64_t key) const {
   const std::uint32_t at = by_client_.find(key);
   if (at == IndexMap::kNone) return r.forgotten_floor;
   return const_cast<Slab<Client>&>(clients_)[at].floor;
 }
 
-void Warden::served(Repository& r, std::uint64_t key, Floor floor) {
+void MetadataVerifier::served(Repository& r, std::uint64_t key, Floor floor) {
   std::uint32_t at = by_client_.find(key);
   if (at == IndexMap::kNone) {
     if (by_client_.size() >= most_clients_) {
--- a/src/metadata/warden.hpp
+++ b/src/metadata/metadata_verifier.hpp
@@ -30,19 +30,19 @@
 
 namespace ashbeam::metadata {
 
-struct RepositoryTerms {
+struct RepositorySettings {
   std::string prefix;  // of paths, "/look/updates/"
   std::string root;    // the pinned root's bytes
   Span lag = Span::s(30);
 };
 
-class Warden {
+class MetadataVerifier {
  public:
   static constexpr std::uint32_t kNone = UINT32_MAX;
   static constexpr std::size_t kMostRoots = 256;    // of a repository, whose bytes are known
   static constexpr std::size_t kMostVersions = 32;  // timestamps of a repository that may still pass
   // Throws std::runtime_error where a pinned root can't be used, naming its prefix.
-  Warden(std::vector<RepositoryTerms> repositories, std::size_t clients);
+  MetadataVerifier(std::vector<RepositorySettings> repositories, std::size_t clients);
 
   // The repository that a path (without its query) belongs to, the longest prefix first; `file` is the rest.
   std::uint32_t repository_of(std::string_view path, std::string_view& file) const;
@@ -70,7 +70,7 @@
     std::int64_t turn = 0;
   };
   struct Repository {
-    RepositoryTerms terms;
+    RepositorySettings terms;
     Trust trust;
     struct KnownRoot {
       std::string digest;
--- a/src/policy/endpoint_lease.hpp
+++ b/src/policy/endpoint_lease.hpp
@@ -15,7 +15,7 @@
 
 namespace ashbeam::policy {
 
-struct EndpointLeaseTerms {
+struct EndpointLeaseSettings {
   Span notified_within = Span::s(6);  // after discovery had a change it counts as notified, at the latest
   Span drain_grace;                   // after that nothing new goes to the endpoint
   Span send_delay;                    // from the decision for an attempt to its first byte, at the most
@@ -30,7 +30,7 @@
 
 class EndpointLease {
  public:
-  explicit EndpointLease(const EndpointLeaseTerms& terms) : terms_(terms) {}
+  explicit EndpointLease(const EndpointLeaseSettings& terms) : terms_(terms) {}
 
   // A whole line came on a watch: the list stands as discovery has it now.
   void confirmed(Instant now);
@@ -58,7 +58,7 @@
  private:
   Span grace_left() const { return terms_.drain_grace - terms_.send_delay; }
 
-  EndpointLeaseTerms terms_;
+  EndpointLeaseSettings terms_;
   Instant confirmed_at_;                 // far past: never
   Instant renewed_at_;                   // the same, or when discovery was last known to be unreachable
   Instant begun_at_ = Instant::never();  // the first byte of what has not come whole yet
--- a/src/program/guardian.cpp
+++ b/src/program/access_config_loader.cpp
@@ -1,12 +1,13 @@
-#include "program/guardian.hpp"
+#include "program/access_config_loader.hpp"
 
 #include <algorithm>
 #include <utility>
 
 namespace ashbeam {
 
-Guardian::Guardian(Loop& loop, Service& service, const WireSettings& door, const RouterSettings& terms,
-                   std::string path, std::uint64_t seed, Service::Note note)
+AccessConfigLoader::AccessConfigLoader(EventLoop& loop, Service& service, const WireSettings& door,
+                                       const RouterSettings& terms, std::string path, std::uint64_t seed,
+                                       Service::Note note)
     : loop_(loop), service_(service),
       reading_by_(std::make_shared<Reading>(Reading{std::move(path), door, terms})), note_(std::move(note)),
       look_(loop, [this] { look(); }) {
@@ -14,21 +15,22 @@
   if (!fresh.problem.empty()) throw OperatorsError(fresh.problem);
   standing_ = fresh.operators;
   if (standing_.metadata) {
-    std::vector<metadata::RepositoryTerms> all = standing_.metadata->repositories;
+    std::vector<metadata::RepositorySettings> all = standing_.metadata->repositories;
     for (auto& r : all) r.root = read_file(r.root, metadata::most_bytes("root"));
-    service_.watch_metadata(std::make_unique<metadata::Warden>(std::move(all), standing_.metadata->clients));
+    service_.watch_metadata(
+        std::make_unique<metadata::MetadataVerifier>(std::move(all), standing_.metadata->clients));
   }
   if (!standing_.calling && !standing_.tls) return;
   worker_ = std::make_unique<Worker>(loop_);
   if (standing_.tls) service_.also_listen(*standing_.tls, fresh.tls);
   if (!standing_.calling) return;
-  service_.guard(std::make_unique<calling::Gate>(standing_.calling->terms, seed, loop_.now()),
+  service_.guard(std::make_unique<calling::Authorizer>(standing_.calling->terms, seed, loop_.now()),
                  standing_.calling->token_goes_on);
   take_keys(fresh.keys);
   look_.in(Span());
 }
 
-Guardian::Fresh Guardian::Reading::read(const std::string& keys_only) const {
+AccessConfigLoader::Fresh AccessConfigLoader::Reading::read(const std::string& keys_only) const {
   Fresh fresh;
   try {
     std::string folder = keys_only;
@@ -38,20 +40,21 @@
     }
     if (!folder.empty()) fresh.keys = read_key_folder(folder);
     if (fresh.operators.tls)
-      fresh.tls = std::make_shared<TlsMaterial>(*fresh.operators.tls, read_tls_files(*fresh.operators.tls));
+      fresh.tls =
+          std::make_shared<TlsCredentials>(*fresh.operators.tls, read_tls_files(*fresh.operators.tls));
   } catch (const std::exception& e) {
     fresh.problem = e.what();
   }
   return fresh;
 }
 
-void Guardian::begin_reading() {
+void AccessConfigLoader::begin_reading() {
   reading_ = true;
   reading_since_ = loop_.now();
   stuck_told_ = false;
 }
 
-std::uint64_t Guardian::reread() {
+std::uint64_t AccessConfigLoader::reread() {
   if (!worker_) {
     note_("operator's file: counts from the next start, nothing of it was on at this one");
     return 0;
@@ -73,7 +76,7 @@
 }
 
 // A folder on a file system that hangs must not go unnoticed: what is revoked there is not known here.
-void Guardian::look() {
+void AccessConfigLoader::look() {
   look_.in(std::min(standing_.calling->reread, Span::s(1)));
   const Span ahead = loop_.wall_ahead(), before = service_.gate()->wall_ahead();
   if (ahead > before + Span::s(1) || ahead < before - Span::s(1))
@@ -103,7 +106,7 @@
       });
 }
 
-void Guardian::take(const Fresh& fresh, bool all) {
+void AccessConfigLoader::take(const Fresh& fresh, bool all) {
   if (!fresh.problem.empty()) {
     // A folder that stays spoilt is looked at again and again; it is told once.
     if (all || fresh.problem != complaint_) note_("calling: the old ring and rights stand: " + fresh.problem);
@@ -128,7 +131,7 @@
   take_keys(fresh.keys);
 }
 
-void Guardian::take_keys(const KeyFolder& folder) {
+void AccessConfigLoader::take_keys(const KeyFolder& folder) {
   stamp_ = folder.stamp;
   const auto change = service_.gate()->keys(folder.keys, loop_.now());
   if (!change.any()) return;
--- a/src/program/guardian.hpp
+++ b/src/program/access_config_loader.hpp
@@ -13,11 +13,11 @@
 
 namespace ashbeam {
 
-class Guardian {
+class AccessConfigLoader {
  public:
   // Throws OperatorsError or FileError where the file can't be used: the program does not start on it.
-  Guardian(Loop& loop, Service& service, const WireSettings& door, const RouterSettings& terms,
-           std::string path, std::uint64_t seed, Service::Note note);
+  AccessConfigLoader(EventLoop& loop, Service& service, const WireSettings& door, const RouterSettings& terms,
+                     std::string path, std::uint64_t seed, Service::Note note);
   // Reads all of it again, off the loop. What stands in the files now is in force once taken() has come to
   // the number that this gives; 0 where nothing is read.
   std::uint64_t reread();
@@ -29,7 +29,7 @@
     std::string problem;
     Operators operators;
     KeyFolder keys;
-    std::shared_ptr<TlsMaterial> tls;
+    std::shared_ptr<TlsCredentials> tls;
   };
   // What a job on the worker reads by: it owns all of it, and may outlive us.
   struct Reading {
@@ -42,7 +42,7 @@
   void take_keys(const KeyFolder& folder);
   void look();  // at the key folder, and at the clock
   void begin_reading();
-  Loop& loop_;
+  EventLoop& loop_;
   Service& service_;
   std::shared_ptr<const Reading> reading_by_;
   Service::Note note_;
--- a/src/program/demo.cpp
+++ b/src/program/demo.cpp
@@ -8,12 +8,12 @@
 #include <string>
 #include <vector>
 
+#include "fakes/client.hpp"
+#include "fakes/discovery.hpp"
+#include "fakes/endpoint.hpp"
+#include "fakes/release_platform.hpp"
 #include "program/environment.hpp"
 #include "protocol/json.hpp"
-#include "standins/client.hpp"
-#include "standins/desk.hpp"
-#include "standins/discovery.hpp"
-#include "standins/host.hpp"
 #include "tokens/jws.hpp"
 
 namespace ashbeam {
@@ -47,12 +47,13 @@
                           Site{"demo", "127.0.0.1:" + std::to_string(options.port), "", "", 7, "", ""})),
         terms_(read_router_settings(start_.settings)), door_(read_wire_settings(start_.settings)),
         limits_(limits_for(1024, door_, terms_)), discovery_(loop_, limits_),
-        desk_(loop_, limits_, {0.2, 0.5, 1.0}, [this](const standins::Desk::State& s) { changed(s); }),
+        desk_(loop_, limits_, {0.2, 0.5, 1.0},
+              [this](const fakes::ReleasePlatform::State& s) { changed(s); }),
         next_(loop_, [this] { next(); }), load_(loop_, [this] { hits(); }),
         end_(loop_, [this] { loop_.stop(); }), signals_(loop_, [this] { look(); }) {
     for (unsigned i = 0; i < kHosts; ++i) {
       builds_.push_back(1);
-      hosts_.push_back(std::make_unique<standins::Host>(
+      hosts_.push_back(std::make_unique<fakes::Endpoint>(
           loop_, limits_, [this, i](const http::Head& head, const std::string&) { return serve(i, head); }));
       place(i, 1, Instant());
     }
@@ -67,7 +68,7 @@
     guard();
     service_->start();
     for (unsigned i = 0; i < kClients; ++i) {
-      clients_.push_back(std::make_unique<standins::Client>(loop_, limits_, address()));
+      clients_.push_back(std::make_unique<fakes::Client>(loop_, limits_, address()));
     }
     if (options.seconds > 0) end_.in(Span::s(options.seconds));
     ends_ = options.seconds > 0;
@@ -96,14 +97,14 @@
   std::string address() const { return "127.0.0.1:" + std::to_string(service_->port()); }
 
   void guard() {
-    calling::CallingTerms terms;
+    calling::CallingSettings terms;
     terms.audience = "ashbeam";
     terms.path_groups = door_.request_classes, terms.customers = door_.tenants;
-    calling::TenantTerms shop;
+    calling::TenantSettings shop;
     shop.name = "shop";
     shop.each = {20, 10, 0};
     terms.tenants = {shop};
-    auto gate = std::make_unique<calling::Gate>(terms, 7, loop_.now());
+    auto gate = std::make_unique<calling::Authorizer>(terms, 7, loop_.now());
     tokens::Listed key;
     key.key = tokens::Key::fresh(tokens::Algorithm::kEdDsa), key.kid = "demo";
     gate->keys(std::vector{key}, loop_.now());
@@ -114,8 +115,8 @@
     service_->guard(std::move(gate), false);
   }
 
-  standins::Served serve(unsigned host, const http::Head& head) {
-    standins::Served s;
+  fakes::Served serve(unsigned host, const http::Head& head) {
+    fakes::Served s;
     s.takes = Span::ms(8 + chance_.below(12));
     if (builds_[host] == kBad && chance_.below(3) == 0) s.status = 500;
     s.body = "host " + std::to_string(host) + " build " + std::to_string(builds_[host]) + " for " +
@@ -130,7 +131,7 @@
 
   // As an installer does: so many hosts of the stage get the build on trial, and the earlier one when it goes
   // back.
-  void changed(const standins::Desk::State& s) {
+  void changed(const fakes::ReleasePlatform::State& s) {
     std::printf("desk: release %u %s, stage %u, cap %.2f\n", s.build, s.progress.c_str(), s.stage, s.cap);
     std::fflush(stdout);
     const unsigned hosts[] = {1, 3, 6};
@@ -165,7 +166,7 @@
           kind < 7   ? "GET /look/1" + fields + "\r\n"
           : kind < 9 ? "POST /book" + fields + "Idempotency-Key: " + id + "\r\nContent-Length: 2\r\n\r\nhi"
                      : "POST /pay" + fields + "Content-Length: 2\r\n\r\nhi";
-      client->ask(request, [this](const standins::Client::Answer& a) {
+      client->ask(request, [this](const fakes::Client::Answer& a) {
         ++(a.status == 200 ? good_answers_ : other_answers_);
       });
     }
@@ -177,17 +178,17 @@
     signals_.in(Span::ms(50));
   }
 
-  Loop loop_;
+  EventLoop loop_;
   Start start_;
   RouterSettings terms_;
   WireSettings door_;
   Limits limits_;
   std::vector<unsigned> builds_;
-  std::vector<std::unique_ptr<standins::Host>> hosts_;
-  standins::Discovery discovery_;
-  standins::Desk desk_;
+  std::vector<std::unique_ptr<fakes::Endpoint>> hosts_;
+  fakes::Discovery discovery_;
+  fakes::ReleasePlatform desk_;
   std::unique_ptr<Service> service_;
-  std::vector<std::unique_ptr<standins::Client>> clients_;
+  std::vector<std::unique_ptr<fakes::Client>> clients_;
   Pcg chance_{7};
   std::string token_, bad_end_, good_end_;
   unsigned ids_ = 0, good_answers_ = 0, other_answers_ = 0;
--- a/src/program/environment.cpp
+++ b/src/program/environment.cpp
@@ -98,24 +98,24 @@
 Limits limits_for(std::size_t sockets, const WireSettings& door, const RouterSettings& terms) {
   constexpr std::size_t kOwn = 32;
   Limits limits;
-  limits.clients = (sockets - kOwn) / 2;
-  limits.idle_clients = sockets / 8;
-  limits.to_hosts = (sockets - kOwn) / 2;
-  limits.connect = door.connect_timeout;
-  limits.host_idle = std::min(limits.host_idle, door.endpoint_idle_timeout * 0.8);
-  limits.desk_answer = terms.vote_answer_timeout;
+  limits.max_client_connections = (sockets - kOwn) / 2;
+  limits.max_idle_client_connections = sockets / 8;
+  limits.max_endpoint_connections = (sockets - kOwn) / 2;
+  limits.connect_timeout = door.connect_timeout;
+  limits.endpoint_idle_timeout = std::min(limits.endpoint_idle_timeout, door.endpoint_idle_timeout * 0.8);
+  limits.platform_answer_timeout = terms.vote_answer_timeout;
   Span longest;
   for (const RequestClass& g : terms.request_classes) {
-    limits.stop_at_latest =
-        std::max(limits.stop_at_latest, g.client_timeout + limits.stop_accepting + Span::ms(250));
+    limits.shutdown_timeout =
+        std::max(limits.shutdown_timeout, g.client_timeout + limits.shutdown_accept_time + Span::ms(250));
     longest = std::max(longest, g.client_timeout);
   }
   // Two fifths of the time within which the settings have each router ask once, 4 s at the most: then
   // processes that start together do not fill discovery's queue. One alone takes none.
   constexpr double kManyRouters = 10;
-  limits.first_ask = std::min(terms.endpoint_poll_interval * 0.4, Span::s(4)) *
-                     std::min(1.0, (terms.router_count - 1) / kManyRouters);
-  limits.killed_soonest = std::min(longest, Span::s(3)) + Span::ms(700);
+  limits.max_initial_poll_delay = std::min(terms.endpoint_poll_interval * 0.4, Span::s(4)) *
+                                  std::min(1.0, (terms.router_count - 1) / kManyRouters);
+  limits.earliest_kill = std::min(longest, Span::s(3)) + Span::ms(700);
   return limits;
 }
 
--- a/src/program/operators.cpp
+++ b/src/program/operators.cpp
@@ -112,8 +112,8 @@
   return all;
 }
 
-calling::TenantTerms tenant_of(const Value& v) {
-  calling::TenantTerms t;
+calling::TenantSettings tenant_of(const Value& v) {
+  calling::TenantSettings t;
   t.name = v["name"].text, t.issuer = v["issuer"].text, t.organisation = v["organisation"].text;
   t.any_path = !v["path_groups"].given();
   t.may = names_of(v["path_groups"]);
@@ -167,7 +167,7 @@
 
   Operators::Calling read_calling(const Value& v) {
     Operators::Calling c;
-    calling::CallingTerms& t = c.terms;
+    calling::CallingSettings& t = c.terms;
     t.required = v["prove"].text == "required";
     const Value& tokens = v["tokens"];
     if (tokens.given()) {
@@ -227,18 +227,18 @@
     return m;
   }
 
-  TlsTerms read_tls(const Value& v) {
-    TlsTerms t;
+  TlsSettings read_tls(const Value& v) {
+    TlsSettings t;
     t.listen = v["listen"].text;
     if (!is_address(t.listen) && !t.listen.ends_with(":0"))
       wrong(v["listen"], "tls.listen", "a numeric address and port", records::quoted(t.listen));
     t.certificate = file(v["certificate"]), t.key = file(v["key"]);
     t.trust = file(v["trust"]), t.crl = file(v["crl"]), t.revoked = file(v["revoked"]);
     const std::string& clients = v["clients"].text;
-    t.clients = clients == "off"        ? TlsTerms::Clients::kOff
-                : clients == "optional" ? TlsTerms::Clients::kOptional
-                                        : TlsTerms::Clients::kRequired;
-    if (t.clients != TlsTerms::Clients::kOff && t.trust.empty())
+    t.clients = clients == "off"        ? TlsSettings::Clients::kOff
+                : clients == "optional" ? TlsSettings::Clients::kOptional
+                                        : TlsSettings::Clients::kRequired;
+    if (t.clients != TlsSettings::Clients::kOff && t.trust.empty())
       wrong(v["clients"], "tls.trust", "who signs clients' certificates", "nothing");
     t.only_13 = v["oldest"].text == "1.3";
     t.handshakes = static_cast<std::size_t>(v["handshakes"].number);
@@ -263,7 +263,7 @@
   return Reader(path, door, terms).read(text);
 }
 
-TlsFiles read_tls_files(const TlsTerms& terms) {
+TlsFiles read_tls_files(const TlsSettings& terms) {
   constexpr std::size_t kLongestPem = 1024 * 1024, kLongestList = 16 * kLongestPem;
   const auto read = [](const std::string& path, std::size_t most) {
     return path.empty() ? "" : read_file(path, most);
--- a/src/program/operators.hpp
+++ b/src/program/operators.hpp
@@ -5,24 +5,24 @@
 #include <string>
 #include <string_view>
 
-#include "calling/terms.hpp"
-#include "metadata/warden.hpp"
+#include "calling/settings.hpp"
+#include "metadata/metadata_verifier.hpp"
 #include "terms/terms.hpp"
-#include "transport/tls_terms.hpp"
+#include "transport/tls_settings.hpp"
 
 namespace ashbeam {
 
 struct Operators {
   struct Calling {
-    calling::CallingTerms terms;
+    calling::CallingSettings terms;
     std::string keys;  // folder of key sets; empty: no tokens
     Span reread;       // how often the folder is looked at
     bool token_goes_on = false;
   };
   std::optional<Calling> calling;
-  std::optional<TlsTerms> tls;
+  std::optional<TlsSettings> tls;
   struct Metadata {
-    std::vector<metadata::RepositoryTerms> repositories;  // `root` is a path here
+    std::vector<metadata::RepositorySettings> repositories;  // `root` is a path here
     std::size_t clients = 0;
   };
   std::optional<Metadata> metadata;
@@ -37,7 +37,7 @@
 // Paths in the file are relative to its folder. `door` and `terms` say what the file's names stand for;
 // without them these names are taken as they are. Throws OperatorsError, FileError.
 Operators read_operators(const std::string& path, const WireSettings* door, const RouterSettings* terms);
-TlsFiles read_tls_files(const TlsTerms& terms);  // throws FileError
+TlsFiles read_tls_files(const TlsSettings& terms);  // throws FileError
 Operators operators_from(std::string_view text, const std::string& path, const WireSettings* door,
                          const RouterSettings* terms);
 
--- a/src/program/serve.cpp
+++ b/src/program/serve.cpp
@@ -11,9 +11,9 @@
 #include <memory>
 #include <string_view>
 
+#include "program/access_config_loader.hpp"
 #include "program/commands.hpp"
 #include "program/environment.hpp"
-#include "program/guardian.hpp"
 #include "program/log_sink.hpp"
 #include "routing/service.hpp"
 
@@ -64,13 +64,14 @@
   const WireSettings door = read_wire_settings(start.settings);
   const Limits limits = limits_for(start.sockets, door, terms);
 
-  Loop loop;
+  EventLoop loop;
   Service service(loop, limits, terms, door, start.site,
                   [](std::string_view line) { spdlog::info("{}", line); });
-  std::unique_ptr<Guardian> guardian;  // nothing of it is there where no file is named
+  std::unique_ptr<AccessConfigLoader> guardian;  // nothing of it is there where no file is named
   if (!options.operators.empty()) {
-    guardian = std::make_unique<Guardian>(loop, service, door, terms, options.operators, start.site.seed,
-                                          [](std::string_view line) { spdlog::info("{}", line); });
+    guardian =
+        std::make_unique<AccessConfigLoader>(loop, service, door, terms, options.operators, start.site.seed,
+                                             [](std::string_view line) { spdlog::info("{}", line); });
   }
   const char* const log_wanted = std::getenv(kLogVariable);
   service.detail_log().enable(log_wanted ? log_wanted : "");
--- a/src/routing/callers.cpp
+++ b/src/routing/callers.cpp
@@ -6,26 +6,27 @@
 
 namespace ashbeam {
 
-Caller::Caller(Callers& callers, int accepted, std::unique_ptr<Veil> veil, std::size_t place)
+Caller::Caller(Callers& callers, int accepted, std::unique_ptr<TlsStream> veil, std::size_t place)
     : callers_(callers), place_(place), since_(callers.loop_.now()),
       connection_(callers.loop_, callers.limits_, *this, accepted, std::move(veil)),
-      requests_(http::Messages::Side::kRequests, callers.limits_.head, callers.limits_.body),
+      requests_(http::Messages::Side::kRequests, callers.limits_.max_head_bytes,
+                callers.limits_.max_body_bytes),
       timer_(callers.loop_, [this] { late(); }) {
   // Guards against clients that connect and say nothing, or never come to an end of what they say.
   serial = ++callers.serials_;
-  timer_.in(connection_.shaking() ? callers.handshake_() : callers.limits_.first_request);
+  timer_.in(connection_.handshaking() ? callers.handshake_() : callers.limits_.first_request_timeout);
 }
 
-void Caller::opened() {
+void Caller::on_connected() {
   since_ = callers_.loop_.now();
-  timer_.in(callers_.limits_.first_request);
+  timer_.in(callers_.limits_.first_request_timeout);
 }
 
-void Caller::bytes_came() {
+void Caller::on_data() {
   if (at_ != At::kReading) {  // the next request waits for its turn
     // Guards against a client that leaves behind more than is held unread: its close would not be seen, and
     // its hit sent on. What comes after the answer is not served, as the answer says.
-    if (at_ == At::kAnswering && connection_.unread().size() >= callers_.limits_.unread) {
+    if (at_ == At::kAnswering && connection_.unread().size() >= callers_.limits_.max_unread_bytes) {
       last_ = true;
       connection_.discard();
     }
@@ -40,7 +41,7 @@
   if (got == http::Messages::Got::kMore) {
     if (!begun && requests_.begun()) {
       since_ = callers_.loop_.now();
-      if (asked_) timer_.in(callers_.limits_.request_read);
+      if (asked_) timer_.in(callers_.limits_.request_read_timeout);
     }
     if (!timer_.armed()) wait_for_more();  // nothing but blank lines came early
     return;
@@ -72,12 +73,12 @@
   bytes.append(http::reason(status)).append("\r\n").append(fields);
   if (last_) bytes += "Connection: close\r\n";
   bytes.append("\r\n").append(body);
-  timer_.in(callers_.limits_.answer_written);
+  timer_.in(callers_.limits_.answer_write_timeout);
   connection_.write(bytes);
   if (!connection_.unwritten()) written();
 }
 
-void Caller::all_written() {
+void Caller::on_write_complete() {
   if (at_ == At::kWriting) written();
 }
 
@@ -91,7 +92,7 @@
   requests_.next();
   if (bad_) {  // guards against a client that sends the same again as soon as it is turned away
     at_ = At::kPausing;
-    return timer_.in(callers_.limits_.turned_away);
+    return timer_.in(callers_.limits_.bad_request_pause);
   }
   at_ = At::kReading;
   if (connection_.unread().empty()) return wait_for_more();
@@ -109,27 +110,27 @@
 void Caller::linger() {
   at_ = At::kLingering;
   connection_.finish_writing();
-  timer_.in(callers_.limits_.linger);
+  timer_.in(callers_.limits_.lingering_close_timeout);
   connection_.discard();
 }
 
 void Caller::wait_for_more() {
   const Limits& limits = callers_.limits_;
-  timer_.at(since_ + (callers_.crowded() ? limits.crowded_idle : limits.client_idle));
+  timer_.at(since_ + (callers_.crowded() ? limits.crowded_client_idle_timeout : limits.client_idle_timeout));
 }
 
-void Caller::ended() {
+void Caller::on_closed() {
   if (at_ == At::kAnswering) callers_.left_(*this);
   callers_.remove(this);
 }
 
 void Caller::late() {
-  if (connection_.shaking()) return callers_.remove(this);
+  if (connection_.handshaking()) return callers_.remove(this);
   if (at_ == At::kPausing) {
     at_ = At::kReading;
     if (connection_.unread().empty()) return wait_for_more();
   }
-  if (at_ == At::kReading && !connection_.unread().empty() && !requests_.begun()) return bytes_came();
+  if (at_ == At::kReading && !connection_.unread().empty() && !requests_.begun()) return on_data();
   if (at_ == At::kReading && requests_.begun()) {
     at_ = At::kAnswering;
     last_ = true;
@@ -137,21 +138,21 @@
   }
   if (at_ == At::kAnswering) return callers_.overdue_(*this);
   if (at_ != At::kReading) return callers_.remove(this);
-  if (!connection_.quiet()) return timer_.in(callers_.limits_.settle);  // it comes
+  if (!connection_.quiet()) return timer_.in(callers_.limits_.min_idle_before_close);  // it comes
   part();
 }
 
-Callers::Callers(Loop& loop, const Limits& limits, const std::string& address, Came came, Left left,
+Callers::Callers(EventLoop& loop, const Limits& limits, const std::string& address, Came came, Left left,
                  Left overdue)
     : loop_(loop), limits_(limits), came_(std::move(came)), left_(std::move(left)),
       overdue_(std::move(overdue)), room_(loop, [this] { make_room(); }),
-      listener_(loop, address, limits.backlog, [this](int fd) { accepted(fd, false); }) {}
+      listener_(loop, address, limits.accept_backlog, [this](int fd) { accepted(fd, false); }) {}
 
 void Callers::also_listen(const std::string& address, Veiled veil, std::function<Span()> handshake) {
   veil_ = std::move(veil);
   handshake_ = std::move(handshake);
-  veiled_ =
-      std::make_unique<Listener>(loop_, address, limits_.backlog, [this](int fd) { accepted(fd, true); });
+  veiled_ = std::make_unique<Listener>(loop_, address, limits_.accept_backlog,
+                                       [this](int fd) { accepted(fd, true); });
 }
 
 void Callers::pause_doors(bool on) {
@@ -162,7 +163,7 @@
 void Callers::accepted(int fd, bool veiled) {
   if (fd < 0) return pause();
   last_came_ = loop_.now();
-  std::unique_ptr<Veil> veil;
+  std::unique_ptr<TlsStream> veil;
   if (veiled && !(veil = veil_(fd))) return void(::close(fd));
   callers_.push_back(std::make_unique<Caller>(*this, fd, std::move(veil), callers_.size()));
   make_room();
@@ -175,15 +176,15 @@
 }
 
 bool Callers::enough_stand() const {
-  if (callers_.size() <= limits_.idle_clients) return false;
+  if (callers_.size() <= limits_.max_idle_client_connections) return false;
   const auto standing =
       std::count_if(callers_.begin(), callers_.end(), [](const auto& c) { return c->stands(); });
-  return static_cast<std::size_t>(standing) >= limits_.idle_clients;
+  return static_cast<std::size_t>(standing) >= limits_.max_idle_client_connections;
 }
 
 void Callers::pause() {
   pause_doors(true);
-  room_.in(limits_.young);
+  room_.in(limits_.new_connection_grace);
 }
 
 bool Callers::close_idlest() {
@@ -194,9 +195,9 @@
     const bool lingers = c->at_ == Caller::At::kLingering, reads = c->at_ == Caller::At::kReading;
     if (!lingers && !reads && c->at_ != Caller::At::kPausing) continue;
     const bool kept = c->asked_ && reads, begun = reads && c->requests_.begun();
-    Span spared = limits_.young;
-    if (begun && kept) spared = limits_.half_request;
-    else if (kept) spared = limits_.settle;
+    Span spared = limits_.new_connection_grace;
+    if (begun && kept) spared = limits_.partial_request_timeout;
+    else if (kept) spared = limits_.min_idle_before_close;
     if (now - c->since_ < spared) continue;
     const std::pair rank(kept, c->since_);
     if ((idlest && rank >= first) || (!lingers && !c->connection_.quiet())) continue;
@@ -206,7 +207,8 @@
   if (!idlest) return false;
   if (idlest->stands()) {  // then nothing else is left that may go
     for (const auto& c : callers_) {
-      if (c->stands() && now - c->since_ >= limits_.settle && c->connection_.quiet()) c->part();
+      if (c->stands() && now - c->since_ >= limits_.min_idle_before_close && c->connection_.quiet())
+        c->part();
     }
     return false;
   }
@@ -239,7 +241,7 @@
     door->pause(false);
     none_waits = door->accept_waiting() && none_waits;
   }
-  if (!none_waits || loop_.now() - last_came_ < limits_.door_quiet) return false;
+  if (!none_waits || loop_.now() - last_came_ < limits_.shutdown_quiet_time) return false;
   listener_.close();
   if (veiled_) veiled_->close();
   return true;
@@ -249,7 +251,7 @@
   const Instant now = loop_.now();
   for (const auto& c : callers_) {
     const bool reads = c->at_ == Caller::At::kReading && !c->requests_.begun();
-    const bool waited = c->asked_ || now - c->since_ >= limits_.settle;
+    const bool waited = c->asked_ || now - c->since_ >= limits_.min_idle_before_close;
     if ((reads || c->at_ == Caller::At::kPausing) && waited && c->connection_.quiet()) c->part();
   }
 }
--- a/src/routing/callers.hpp
+++ b/src/routing/callers.hpp
@@ -7,11 +7,11 @@
 #include <vector>
 
 #include "base/limits.hpp"
-#include "calling/gate.hpp"
+#include "calling/authorizer.hpp"
 #include "protocol/http.hpp"
 #include "transport/connection.hpp"
+#include "transport/event_loop.hpp"
 #include "transport/listener.hpp"
-#include "transport/loop.hpp"
 
 namespace ashbeam {
 
@@ -20,15 +20,15 @@
 // One client's connection.
 class Caller : private Connection::Owner {
  public:
-  Caller(Callers& callers, int accepted, std::unique_ptr<Veil> veil, std::size_t place);
+  Caller(Callers& callers, int accepted, std::unique_ptr<TlsStream> veil, std::size_t place);
   // The answer to the request at hand. `fields` are whole header lines and say how `body` is framed.
   void answer(unsigned status, std::string_view fields, std::string_view body);
   void answer_plain(unsigned status, std::string_view fields = {});  // with the status' words as its body
   // `overdue` is told if the request at hand has no answer by then.
   void answer_by(Instant when) { timer_.at(when); }
   // What the connection's handshake has proven, as things stand now; nothing on a plain one.
-  Veil::Proof proof(Instant now) const {
-    return connection_.veil() ? connection_.veil()->proof(now) : Veil::Proof();
+  TlsStream::PeerProof proof(Instant now) const {
+    return connection_.veil() ? connection_.veil()->proof(now) : TlsStream::PeerProof();
   }
   void end_after() { last_ = true; }  // the connection ends after the answer to the request at hand
   std::uint32_t hit = UINT32_MAX;     // the owner's mark on the request at hand
@@ -38,10 +38,10 @@
  private:
   friend class Callers;
   enum class At { kReading, kAnswering, kWriting, kPausing, kLingering };
-  void opened() override;
-  void bytes_came() override;
-  void all_written() override;
-  void ended() override;
+  void on_connected() override;
+  void on_data() override;
+  void on_write_complete() override;
+  void on_closed() override;
   void written();
   void wait_for_more();
   void late();
@@ -66,10 +66,11 @@
   // A whole request: answer it on the caller now or later. A caller that has gone must not be answered.
   using Came = std::function<void(Caller&, http::Messages&)>;
   using Left = std::function<void(Caller&)>;
-  Callers(Loop& loop, const Limits& limits, const std::string& address, Came came, Left left, Left overdue);
+  Callers(EventLoop& loop, const Limits& limits, const std::string& address, Came came, Left left,
+          Left overdue);
   std::uint16_t port() const { return listener_.port(); }
   // A second door. `veil` may say no with null. A handshake ends within `handshake`. Throws Poco::Exception.
-  using Veiled = std::function<std::unique_ptr<Veil>(int fd)>;
+  using Veiled = std::function<std::unique_ptr<TlsStream>(int fd)>;
   void also_listen(const std::string& address, Veiled veil, std::function<Span()> handshake);
   std::uint16_t veiled_port() const { return veiled_ ? veiled_->port() : 0; }
   // From now on each answer is the last of its connection.
@@ -96,14 +97,14 @@
   // hand is then the last of its connection, which no request can cross.
   bool enough_stand() const;
   void pause();
-  bool full() const { return callers_.size() >= limits_.clients; }
-  bool crowded() const { return callers_.size() * 2 >= limits_.clients; }
+  bool full() const { return callers_.size() >= limits_.max_client_connections; }
+  bool crowded() const { return callers_.size() * 2 >= limits_.max_client_connections; }
   // The one that has been idle longest, and long enough, one that never had an answer before one that has.
   // Guards against clients that hold connections and send nothing, or half a request (which is answered 503):
   // whoever keeps to the protocol sends a whole request at once, so is not met by this, and must not wait
   // outside for the others. One that stands between requests is parted first and closed at a later look.
   bool close_idlest();
-  Loop& loop_;
+  EventLoop& loop_;
   const Limits& limits_;
   Came came_;
   Left left_, overdue_;
--- a/src/routing/discovery.cpp
+++ b/src/routing/discovery.cpp
@@ -4,10 +4,12 @@
 
 namespace ashbeam {
 
-Discovery::Discovery(Loop& loop, const Limits& limits, std::string address, DetailLog& detail, Events& events)
+Discovery::Discovery(EventLoop& loop, const Limits& limits, std::string address, DetailLog& detail,
+                     Events& events)
     : loop_(loop), limits_(limits), address_(std::move(address)), detail_(detail), events_(events),
-      head_(http::Side::kAnswers, limits.head), body_(std::numeric_limits<std::size_t>::max()),
-      lines_(limits.list_line), silence_(loop, [this] { silent(); }), stall_(loop, [this] { stalled(); }) {}
+      head_(http::Side::kAnswers, limits.max_head_bytes), body_(std::numeric_limits<std::size_t>::max()),
+      lines_(limits.max_list_line_bytes), silence_(loop, [this] { silent(); }),
+      stall_(loop, [this] { stalled(); }) {}
 
 namespace {
 
@@ -63,7 +65,7 @@
   following_ = true;
   if (connection_) return;
   in_place_ = 0;
-  begin(limits_.discovery_call);
+  begin(limits_.discovery_call_timeout);
 }
 
 void Discovery::begin(Span first_line) {
@@ -90,7 +92,7 @@
   if (!text.empty() && !take(text)) return false;
   stands_ = true;
   in_place_ = 0;
-  silence_.in(limits_.discovery_silence);
+  silence_.in(limits_.watch_silence_timeout);
   events_.list_confirmed();
   return true;
 }
@@ -111,7 +113,7 @@
   drop(why);
   ++in_place_;
   events_.list_lost(why, true, false);
-  begin(stood && in_place_ == 1 ? limits_.discovery_first_line : limits_.discovery_call);
+  begin(stood && in_place_ == 1 ? limits_.replacement_watch_timeout : limits_.discovery_call_timeout);
 }
 
 bool Discovery::begun() const { return in_body_ && (!stands_ || lines_.begun() || body_.begun()); }
@@ -119,20 +121,20 @@
 void Discovery::watch_for_stall() {
   if (!begun()) return stall_.off();
   events_.list_begun();
-  stall_.in(limits_.discovery_stall);
+  stall_.in(limits_.watch_stall_timeout);
 }
 
-void Discovery::ended() {
+void Discovery::on_closed() {
   const Failure failure = connection_->failure();
   fail(failure == Failure::kLocal ? "not possible for this machine" : "ended", failure == Failure::kRefused);
 }
 
-void Discovery::opened() {
+void Discovery::on_connected() {
   detail_.line(LogTopic::kDiscovery, loop_.now(), "discovery: call %llu connected, after %.1f ms",
                calls_number(), (loop_.now() - begun_at_).ms());
 }
 
-void Discovery::bytes_came() {
+void Discovery::on_data() {
   std::string_view bytes = connection_->unread();
   const std::size_t had = bytes.size();
   bytes_ += had;
--- a/src/routing/discovery.hpp
+++ b/src/routing/discovery.hpp
@@ -9,7 +9,7 @@
 #include "protocol/http.hpp"
 #include "protocol/lines.hpp"
 #include "transport/connection.hpp"
-#include "transport/loop.hpp"
+#include "transport/event_loop.hpp"
 
 namespace ashbeam {
 
@@ -29,7 +29,7 @@
     // the machine is there, and nothing listens.
     virtual void list_lost(const char* why, bool again, bool refused) = 0;
   };
-  Discovery(Loop& loop, const Limits& limits, std::string address, DetailLog& detail, Events& events);
+  Discovery(EventLoop& loop, const Limits& limits, std::string address, DetailLog& detail, Events& events);
   // A list in discovery's form, from the watch or from elsewhere; false where it is none.
   bool take(std::string_view line);
   void follow();  // begins a watch unless one stands; `list_lost` says each time that one ended
@@ -37,9 +37,9 @@
   void move_to(const std::string& address);
 
  private:
-  void opened() override;
-  void bytes_came() override;
-  void ended() override;
+  void on_connected() override;
+  void on_data() override;
+  void on_closed() override;
   void begin(Span first_line);  // opens a connection and asks; the first line has to come within that
   bool line(std::string_view text);
   void silent();
@@ -50,7 +50,7 @@
   void fail(const char* why, bool refused = false);
   void drop(const char* why);
   unsigned long long calls_number() const { return calls_; }
-  Loop& loop_;
+  EventLoop& loop_;
   const Limits& limits_;
   std::string address_;
   DetailLog& detail_;
--- a/src/routing/host_pools.cpp
+++ b/src/routing/host_pools.cpp
@@ -12,7 +12,7 @@
   Link(HostPools& pools, EndpointIndex host, std::size_t place)
       : pools_(pools), host_(host), place_(place),
         connection_(pools.loop_, pools.limits_, *this, pools.hosts_[host].address),
-        answers_(http::Messages::Side::kAnswers, pools.limits_.head, pools.limits_.body),
+        answers_(http::Messages::Side::kAnswers, pools.limits_.max_head_bytes, pools.limits_.max_body_bytes),
         timer_(pools.loop_, [this] { late(); }) {}
 
   EndpointIndex host() const { return host_; }
@@ -42,7 +42,7 @@
     next_ = nullptr;
     pools_.remove(this);
     if (at_once) return next(result, nullptr);
-    pools_.loop_.later([next = std::move(next), result] { next(result, nullptr); });
+    pools_.loop_.post([next = std::move(next), result] { next(result, nullptr); });
   }
 
   // What is not written whole has not run.
@@ -52,14 +52,14 @@
                                                     : AttemptResult::kConnectFailed;
   }
 
-  void opened() override {
+  void on_connected() override {
     opened_at_ = pools_.loop_.now();
     if (!waiting()) return;
     timer_.at(until_);
     connection_.write(std::exchange(bytes_, nullptr)(until_));
   }
 
-  void bytes_came() override {
+  void on_data() override {
     std::string_view bytes = connection_.unread();
     const std::size_t had = bytes.size();
     const auto got = waiting() ? answers_.feed(bytes) : http::Messages::Got::kBad;
@@ -74,7 +74,7 @@
     answered(bytes.empty() && !answers_.last());
   }
 
-  void ended() override {
+  void on_closed() override {
     if (!waiting()) return pools_.remove(this);
     // Only an end in order ends a body of no length: a reset may come in the midst of it.
     if (!connection_.broken() && answers_.stream_ended() == http::Messages::Got::kWhole)
@@ -93,7 +93,7 @@
     next_ = nullptr;
     keep = keep && written();
     idle_since_ = pools_.loop_.now();
-    if (keep) timer_.at(idle_since_ + pools_.limits_.host_idle);
+    if (keep) timer_.at(idle_since_ + pools_.limits_.endpoint_idle_timeout);
     else timer_.off();
     next(result, &answers_);
     if (keep && keep_) pools_.hosts_[host_].idle.push_back(this);
@@ -117,7 +117,7 @@
   bool keep_ = true;
 };
 
-HostPools::HostPools(Loop& loop, const Limits& limits, Span connect)
+HostPools::HostPools(EventLoop& loop, const Limits& limits, Span connect)
     : loop_(loop), limits_(limits), connect_(connect) {}
 
 HostPools::~HostPools() = default;
@@ -144,9 +144,9 @@
 // Where many connections to one server rest at a time, each would cost it and us a new one: there the rest is
 // short, unless that server has sent something unasked of late.
 Span HostPools::rest(const Host& host) const {
-  const bool suspect = loop_.now() - host.unasked_at < limits_.unasked_remembered;
-  return suspect || host.idle.size() < limits_.resting_at_once ? limits_.host_settle
-                                                               : limits_.host_settle_busy;
+  const bool suspect = loop_.now() - host.unasked_at < limits_.unsolicited_bytes_memory;
+  return suspect || host.idle.size() < limits_.max_settling_connections ? limits_.endpoint_settle_time
+                                                                        : limits_.busy_endpoint_settle_time;
 }
 
 HostPools::Link* HostPools::idle_link(EndpointIndex h) {
@@ -167,7 +167,7 @@
 
 // At the limit the connection that has been idle longest makes room.
 bool HostPools::make_room() {
-  if (links_.size() < limits_.to_hosts) return true;
+  if (links_.size() < limits_.max_endpoint_connections) return true;
   Link* oldest = nullptr;
   for (const Host& host : hosts_) {
     if (host.idle.empty()) continue;
@@ -185,7 +185,7 @@
     link = links_.back().get();
   }
   if (!link) {
-    loop_.later([next = std::move(next)] { next(AttemptResult::kLocalFailure, nullptr); });
+    loop_.post([next = std::move(next)] { next(AttemptResult::kLocalFailure, nullptr); });
     return nullptr;
   }
   link->send(std::move(bytes), until, std::move(next));
--- a/src/routing/host_pools.hpp
+++ b/src/routing/host_pools.hpp
@@ -9,7 +9,7 @@
 #include "base/limits.hpp"
 #include "policy/router_policy.hpp"
 #include "protocol/http.hpp"
-#include "transport/loop.hpp"
+#include "transport/event_loop.hpp"
 
 namespace ashbeam {
 
@@ -20,7 +20,7 @@
   using Next = std::function<void(AttemptResult, const http::Messages*)>;
 
   // `connect` bounds how long a forward waits to be written.
-  HostPools(Loop& loop, const Limits& limits, Span connect);
+  HostPools(EventLoop& loop, const Limits& limits, Span connect);
   ~HostPools();
   HostPools(const HostPools&) = delete;
   HostPools& operator=(const HostPools&) = delete;
@@ -50,7 +50,7 @@
   Link* idle_link(EndpointIndex host);
   bool make_room();
   void remove(Link* link);
-  Loop& loop_;
+  EventLoop& loop_;
   const Limits& limits_;
   Span connect_;
   std::vector<Host> hosts_;
--- a/src/routing/desk.cpp
+++ b/src/routing/release_client.cpp
@@ -1,4 +1,4 @@
-#include "routing/desk.hpp"
+#include "routing/release_client.hpp"
 
 #include <algorithm>
 #include <utility>
@@ -30,34 +30,34 @@
 
 }  // namespace
 
-Desk::Desk(Loop& loop, const Limits& limits, std::string address, std::uint64_t seed, News news,
-           Answered answered, Note note)
+ReleaseClient::ReleaseClient(EventLoop& loop, const Limits& limits, std::string address, std::uint64_t seed,
+                             News news, Answered answered, Note note)
     : loop_(loop), limits_(limits), address_(std::move(address)), chance_(seed), news_(std::move(news)),
-      answered_(std::move(answered)), note_(std::move(note)), lines_(limits.desk_line),
-      wait_(limits.retry_first), silence_(loop, [this] { lost("silent"); }), again_(loop, [this] { open(); }),
-      answers_(loop, [this] { check(); }) {}
+      answered_(std::move(answered)), note_(std::move(note)), lines_(limits.max_platform_line_bytes),
+      wait_(limits.platform_retry_min), silence_(loop, [this] { lost("silent"); }),
+      again_(loop, [this] { open(); }), answers_(loop, [this] { check(); }) {}
 
-void Desk::open() {
+void ReleaseClient::open() {
   lines_.clear();
   opened_ = false;
   connection_ = std::make_unique<Connection>(loop_, limits_, *this, address_);
   call("subscribe", "", false);
-  silence_.in(limits_.desk_connect);
+  silence_.in(limits_.platform_connect_timeout);
 }
 
-void Desk::opened() {
+void ReleaseClient::on_connected() {
   opened_ = true;
-  silence_.in(limits_.desk_silence);
+  silence_.in(limits_.platform_silence_timeout);
 }
 
-void Desk::call(const char* method, const std::string& params, bool vote) {
-  calls_.push_back({next_id_, vote, loop_.now() + limits_.desk_answer});
+void ReleaseClient::call(const char* method, const std::string& params, bool vote) {
+  calls_.push_back({next_id_, vote, loop_.now() + limits_.platform_answer_timeout});
   connection_->write(rpc_call(next_id_++, method, params));
   if (vote && !answers_.armed()) answers_.at(calls_.back().until);
 }
 
-void Desk::vote(ReleaseVersion build, unsigned stage, Vote vote) {
-  if (!connection_) return loop_.later([this] { answered_(VoteOutcome::kFailed, nullptr); });
+void ReleaseClient::vote(ReleaseVersion build, unsigned stage, Vote vote) {
+  if (!connection_) return loop_.post([this] { answered_(VoteOutcome::kFailed, nullptr); });
   call("release.vote",
        "{\"image\":" + std::to_string(build) + ",\"ring\":" + std::to_string(stage) + ",\"opinion\":\"" +
            word(vote) + "\"}",
@@ -65,7 +65,7 @@
 }
 
 // A vote that has waited too long may have been taken, or may yet be: its answer is not waited for any more.
-void Desk::check() {
+void ReleaseClient::check() {
   Instant next = Instant::never();
   for (std::size_t i = 0; i < calls_.size(); ++i) {  // the owner may vote again meanwhile
     Call& c = calls_[i];
@@ -81,19 +81,19 @@
   end_if_retired();
 }
 
-void Desk::retire(std::function<void()> over) {
+void ReleaseClient::retire(std::function<void()> over) {
   over_ = std::move(over);
   again_.off();
   end_if_retired();
 }
 
-void Desk::end_if_retired() {
+void ReleaseClient::end_if_retired() {
   if (!over_ || std::any_of(calls_.begin(), calls_.end(), [](const Call& c) { return c.vote; })) return;
   drop();
-  loop_.later(std::exchange(over_, nullptr));
+  loop_.post(std::exchange(over_, nullptr));
 }
 
-void Desk::bytes_came() {
+void ReleaseClient::on_data() {
   const std::string bytes(connection_->unread());
   connection_->take(bytes.size());
   const bool good = lines_.feed(bytes, [&](std::string_view text) { return text.empty() || line(text); });
@@ -101,10 +101,10 @@
   end_if_retired();
 }
 
-bool Desk::line(std::string_view text) {
+bool ReleaseClient::line(std::string_view text) {
   const auto whole = Json::parse(text);
   if (!whole || !whole->is_object()) return false;
-  silence_.in(limits_.desk_silence);  // bytes that never end a line are no sign of life
+  silence_.in(limits_.platform_silence_timeout);  // bytes that never end a line are no sign of life
   if (tries_ > 0) note_("connection stands again, tries " + std::to_string(tries_)), tries_ = 0;
   const std::string method = whole->text("method");
   if (method.empty()) {
@@ -114,12 +114,12 @@
     const auto params = whole->member("params");
     if (!params || (!over_ && !news_(method, *params))) return false;
   }
-  wait_ = limits_.retry_first;
+  wait_ = limits_.platform_retry_min;
   return true;
 }
 
 // Answers come in the calls' order: one that names a later call leaves those before it without any.
-bool Desk::answer(const Json& whole) {
+bool ReleaseClient::answer(const Json& whole) {
   const double id = whole.number("id", -1);
   const auto result = whole.member("result"), error = whole.member("error");
   const auto known = [id](const Call& c) { return static_cast<double>(c.id) == id; };
@@ -141,13 +141,13 @@
   return true;
 }
 
-void Desk::drop() {
+void ReleaseClient::drop() {
   silence_.off();
   answers_.off();
   if (connection_) connection_->close(), loop_.destroy_later(std::move(connection_));
 }
 
-void Desk::lost(const char* why) {
+void ReleaseClient::lost(const char* why) {
   if (tries_++ == 0) note_(std::string("connection ") + why);
   // What was never written was not carried out; of the rest that is not known.
   const VoteOutcome fate = opened_ ? VoteOutcome::kUnknown : VoteOutcome::kFailed;
@@ -159,7 +159,7 @@
   }
   if (over_) return end_if_retired();
   again_.in(wait_ * (0.5 + chance_.unit()));
-  wait_ = std::min(wait_ * 2, limits_.retry_longest);
+  wait_ = std::min(wait_ * 2, limits_.platform_retry_max);
 }
 
 }  // namespace ashbeam
--- a/src/routing/desk.hpp
+++ b/src/routing/release_client.hpp
@@ -11,19 +11,19 @@
 #include "policy/router_policy.hpp"
 #include "protocol/lines.hpp"
 #include "transport/connection.hpp"
-#include "transport/loop.hpp"
+#include "transport/event_loop.hpp"
 
 namespace ashbeam {
 
-class Desk : public Connection::Owner {
+class ReleaseClient : public Connection::Owner {
  public:
   // Both say whether what came could be read; if not, its connection is of no further use.
   using News = std::function<bool(const std::string& method, const Json& params)>;
   using Answered = std::function<bool(VoteOutcome, const Json* state)>;  // the state comes with kTaken
   using Note =
       std::function<void(const std::string& what)>;  // once when it is lost, once when it stands again
-  Desk(Loop& loop, const Limits& limits, std::string address, std::uint64_t seed, News news,
-       Answered answered, Note note);
+  ReleaseClient(EventLoop& loop, const Limits& limits, std::string address, std::uint64_t seed, News news,
+                Answered answered, Note note);
   void start() { open(); }
   // The desk is elsewhere from now on: no more news from here and no new connection; `over`, after this
   // returns, once every vote cast here has its answer or is given up.
@@ -36,9 +36,9 @@
     bool vote = false;  // false too once its answer is given up
     Instant until;
   };
-  void opened() override;
-  void bytes_came() override;
-  void ended() override { lost("ended"); }
+  void on_connected() override;
+  void on_data() override;
+  void on_closed() override { lost("ended"); }
   void open();
   void drop();
   void lost(const char* why);
@@ -47,7 +47,7 @@
   bool answer(const Json& whole);
   void check();
   void end_if_retired();
-  Loop& loop_;
+  EventLoop& loop_;
   const Limits& limits_;
   std::string address_;
   Pcg chance_;
--- a/src/routing/service.cpp
+++ b/src/routing/service.cpp
@@ -100,16 +100,17 @@
   return terms;
 }
 
-Service::Service(Loop& loop, const Limits& limits, const RouterSettings& terms, const WireSettings& door,
+Service::Service(EventLoop& loop, const Limits& limits, const RouterSettings& terms, const WireSettings& door,
                  const Site& site, Note note)
     : loop_(loop), limits_(limits), door_(door), site_(site), note_(std::move(note)), detail_(note_),
       callers_(
           loop, limits, site.listen, [this](Caller& c, http::Messages& m) { came(c, m); },
           [this](Caller& c) { left(c); }, [this](Caller& c) { overdue(c.hit); }),
-      pools_(loop, limits, std::min(limits.connect, terms.drain_grace * 0.5)),
+      pools_(loop, limits, std::min(limits.connect_timeout, terms.drain_grace * 0.5)),
       lease_(lease_terms(limits, terms, pools_.connect())),
-      discovery_(loop, limits, site.discovery, detail_, *this), one_way_(terms.sticky_keys), ids_(limits.ids),
-      first_ask_(loop, [this] { watch_endpoints(); }), listed_ready_(loop, [this] { ready_without_list(); }),
+      discovery_(loop, limits, site.discovery, detail_, *this), one_way_(terms.sticky_keys),
+      ids_(limits.max_remembered_ids), first_ask_(loop, [this] { watch_endpoints(); }),
+      listed_ready_(loop, [this] { ready_without_list(); }),
       lease_over_(loop, [this] { lease_changed("no news"); }),
       local_failures_over_(
           loop,
@@ -126,16 +127,16 @@
 Service::~Service() = default;
 
 void Service::start() {
-  listed_ready_.in(limits_.first_list);
+  listed_ready_.in(limits_.ready_without_list_after);
   tell([](RouterPolicy& r) { r.start(); });
   if (!site_.known.empty() && !discovery_.take(site_.known)) note_("known list can't be read");
-  known_until_ = loop_.now() + limits_.known_list;
+  known_until_ = loop_.now() + limits_.configured_list_validity;
   lease_changed("started");
   if (const auto news = Json::parse(site_.news)) stage(*news, false);
   // On sockets nobody sends the list unasked, whatever the settings say of how it comes elsewhere.
   open_desk();
   started_ = true;
-  first_ask_.in(limits_.first_ask * Pcg(site_.seed).unit());
+  first_ask_.in(limits_.max_initial_poll_delay * Pcg(site_.seed).unit());
 }
 
 void Service::ready_without_list() {
@@ -161,7 +162,7 @@
     return caller.answer_plain(ready_ && !winding_down_ ? 200 : 503);
   }
   const Instant now = loop_.now();
-  const Veil::Proof proof = caller.proof(now);
+  const TlsStream::PeerProof proof = caller.proof(now);
   if (proof.refused) {
     caller.end_after();
     return refuse(caller, calling::Refusal::kCertificate, Span());
@@ -174,7 +175,7 @@
   const Idempotency repeats = repeats_[group];
   const std::string method = repeats == Idempotency::kIdempotent ? "GET" : "POST";
   if (head.word(0) != method) return caller.answer_plain(405, "Allow: " + method + "\r\n");
-  if (unclear(head, repeats, limits_.id)) return caller.answer_plain(400);
+  if (unclear(head, repeats, limits_.max_request_id_bytes)) return caller.answer_plain(400);
   const auto left_ms = http::whole_number(*head.find("X-Time-Left-Ms"));
   // What may run again has no body: a host might take one for a request behind it.
   if (!left_ms || (repeats == Idempotency::kIdempotent && !request.raw_body().empty()))
@@ -182,13 +183,13 @@
   Instant give_up_at = now + Span::ms(std::min(static_cast<double>(*left_ms), 3.6e6));
   // What comes after the signal to stop is answered before the machine may kill this process.
   if (winding_down_)
-    give_up_at = std::min(give_up_at, stop_at_ + limits_.killed_soonest - limits_.killed_early);
-  calling::Ticket ticket;
+    give_up_at = std::min(give_up_at, stop_at_ + limits_.earliest_kill - limits_.kill_margin);
+  calling::AdmissionToken ticket;
   if (gate_ && !let_in(caller, who, group, ticket)) return;
   // Guards against a hit run twice since another client came with its id, during it or soon after.
   // By account: what one customer sends says nothing of another's.
   id_.assign(head.find("X-Account").value_or("")).append(1, '\n').append(*head.find("X-Correlation-Id"));
-  if (!ids_.take(id_, now, give_up_at + limits_.id_kept)) {
+  if (!ids_.take(id_, now, give_up_at + limits_.request_id_retention)) {
     if (gate_) gate_->ended(ticket);
     return caller.answer_plain(409);
   }
@@ -205,7 +206,7 @@
     std::string_view file;
     const std::string_view whole = head.word(1);
     const std::uint32_t repository = warden_->repository_of(whole.substr(0, whole.find('?')), file);
-    if (repository != metadata::Warden::kNone) {
+    if (repository != metadata::MetadataVerifier::kNone) {
       // Who has proven nothing is known by the connection.
       const std::uint64_t client = who.caller.empty() ? caller.serial : who.hash;
       hit.metadata = std::make_unique<Metadata>(Metadata{repository, std::string(file), client, {}});
@@ -214,7 +215,7 @@
   hit.head.assign(head.first_line());
   hit.head += gate_ ? vouched_lines(head, who, token_goes_on_) : kept_lines(head);
   hit.body = request.take_raw_body();
-  caller.answer_by(give_up_at + limits_.overdue);
+  caller.answer_by(give_up_at + limits_.overdue_answer_delay);
   std::uint64_t key = 0;
   // A key is any text; decisions need only know it again, where keys are one-way, and none is 0.
   const auto named = one_way_ ? head.find("X-Session-Key") : std::nullopt;
@@ -237,18 +238,18 @@
 
 // ---- Who is calling ----
 
-void Service::guard(std::unique_ptr<calling::Gate> gate, bool token_goes_on) {
+void Service::guard(std::unique_ptr<calling::Authorizer> gate, bool token_goes_on) {
   gate_ = std::move(gate);
   token_goes_on_ = token_goes_on;
 }
 
-void Service::also_listen(const TlsTerms& terms, std::shared_ptr<TlsMaterial> material) {
-  tls_ = std::make_unique<TlsDoor>(loop_, terms, std::move(material), note_);
+void Service::also_listen(const TlsSettings& terms, std::shared_ptr<TlsCredentials> material) {
+  tls_ = std::make_unique<TlsAcceptor>(loop_, terms, std::move(material), note_);
   callers_.also_listen(
       terms.listen, [this](int fd) { return tls_->veil(fd); }, [this] { return tls_->handshake(); });
 }
 
-bool Service::known(Caller& caller, const http::Head& head, const Veil::Proof& proof,
+bool Service::known(Caller& caller, const http::Head& head, const TlsStream::PeerProof& proof,
                     calling::Identity& who) {
   calling::Asked asked;
   asked.authorization = head.find("Authorization").value_or("");
@@ -261,7 +262,8 @@
   return why == calling::Refusal::kNone;
 }
 
-bool Service::let_in(Caller& caller, const calling::Identity& who, unsigned group, calling::Ticket& ticket) {
+bool Service::let_in(Caller& caller, const calling::Identity& who, unsigned group,
+                     calling::AdmissionToken& ticket) {
   Span retry_after;
   const calling::Refusal why = gate_->let_in(who, group, loop_.now(), ticket, retry_after);
   if (why != calling::Refusal::kNone) refuse(caller, why, retry_after);
@@ -360,7 +362,7 @@
                "request %u answered %u without an endpoint's answer, endpoint list %s", id, status,
                policy::name_of(lease_.state(loop_.now())));
   if (Caller* const caller = take_caller(id)) caller->answer_plain(status, fields);
-  loop_.later([this, id] { drop_if_over(id); });
+  loop_.post([this, id] { drop_if_over(id); });
 }
 
 // ---- Metadata ----
@@ -371,7 +373,7 @@
   if (answer.head().find("Content-Encoding")) {
     why = {metadata::Why::kUnreadable, "a coded body", "TUF 4.1"};
   } else if (answer.head().find("Transfer-Encoding")) {
-    http::Body body(limits_.body);
+    http::Body body(limits_.max_body_bytes);
     body.by_chunks();
     std::string_view bytes = answer.raw_body();
     std::string raw;
@@ -488,7 +490,7 @@
 
 // After the call at hand; the first time with the start's wait over, and from the known list.
 void Service::watch_endpoints() {
-  if (started_) loop_.later([this] { discovery_.follow(); });
+  if (started_) loop_.post([this] { discovery_.follow(); });
 }
 
 void Service::listed(bool whole, const Json& entries) {
@@ -510,13 +512,13 @@
   watch_tries_ = 0;
 }
 
-policy::EndpointLeaseTerms Service::lease_terms(const Limits& limits, const RouterSettings& terms,
-                                                Span connect) {
-  policy::EndpointLeaseTerms lease;
+policy::EndpointLeaseSettings Service::lease_terms(const Limits& limits, const RouterSettings& terms,
+                                                   Span connect) {
+  policy::EndpointLeaseSettings lease;
   if (terms.must_watch_endpoints)
     lease.notified_within = std::min(lease.notified_within, terms.endpoint_poll_interval);
   lease.drain_grace = terms.drain_grace;
-  lease.send_delay = connect + limits.held_up + limits.on_its_way;
+  lease.send_delay = connect + limits.max_processing_delay + limits.max_network_delay;
   return lease;
 }
 
@@ -554,7 +556,7 @@
 
 // Guards against a fleet whose ids are always new: the places of hosts long gone are used again.
 void Service::forget_hosts() {
-  const Instant long_ago = loop_.now() - limits_.host_forgotten;
+  const Instant long_ago = loop_.now() - limits_.removed_endpoint_retention;
   std::erase_if(indices_, [&](const auto& named) {
     const Known& known = hosts_[named.second];
     const bool over = !known.listed && known.out == 0 && known.gone_at <= long_ago;
@@ -632,7 +634,7 @@
 // ---- The release desk ----
 
 void Service::open_desk() {
-  desk_ = std::make_unique<Desk>(
+  desk_ = std::make_unique<ReleaseClient>(
       loop_, limits_, site_.desk, site_.seed,
       [this](const std::string& method, const Json& params) { return desk_said(method, params); },
       [this](VoteOutcome answer, const Json* state) { return vote_answered(answer, state); },
@@ -725,7 +727,7 @@
   wound_down_ = std::move(ended);
   stop_at_ = loop_.now();
   callers_.wind_down();
-  stop_.in(limits_.stop_accepting);
+  stop_.in(limits_.shutdown_accept_time);
 }
 
 // Connections between requests stay open until the door closes: clients go on using them, and new ones still
@@ -734,13 +736,14 @@
   const bool closed = callers_.close_door();
   callers_.part_idle();
   const Span since = loop_.now() - stop_at_;
-  if (since > limits_.stop_at_latest) {  // whoever still waits gets an answer, and a moment to read it
+  if (since > limits_.shutdown_timeout) {  // whoever still waits gets an answer, and a moment to read it
     for (RequestId id = 0; id < hits_.places(); ++id) {
       if (hits_[id].live && hits_[id].caller) overdue(id);
     }
   }
   const bool over = closed && in_hand_ == 0 && callers_.empty();
-  if (!over && since <= limits_.stop_at_latest + limits_.settle) return stop_.in(Span::ms(20));
+  if (!over && since <= limits_.shutdown_timeout + limits_.min_idle_before_close)
+    return stop_.in(Span::ms(20));
   note_("idle clients let go " + std::to_string(callers_.parted()) + ", crossed by a request " +
         std::to_string(callers_.crossed()));
   wound_down_();
--- a/src/routing/service.hpp
+++ b/src/routing/service.hpp
@@ -11,18 +11,18 @@
 #include "base/detail_log.hpp"
 #include "base/limits.hpp"
 #include "base/slab.hpp"
-#include "calling/gate.hpp"
-#include "metadata/warden.hpp"
+#include "calling/authorizer.hpp"
+#include "metadata/metadata_verifier.hpp"
 #include "policy/endpoint_lease.hpp"
 #include "policy/endpoint_start.hpp"
 #include "policy/router_policy.hpp"
 #include "routing/callers.hpp"
-#include "routing/desk.hpp"
 #include "routing/discovery.hpp"
 #include "routing/host_pools.hpp"
 #include "routing/ids.hpp"
+#include "routing/release_client.hpp"
 #include "terms/terms.hpp"
-#include "transport/loop.hpp"
+#include "transport/event_loop.hpp"
 #include "transport/tls.hpp"
 
 namespace ashbeam {
@@ -37,7 +37,7 @@
 class Service : private RouterActions, private Discovery::Events {
  public:
   using Note = std::function<void(std::string_view)>;  // a log line
-  Service(Loop& loop, const Limits& limits, const RouterSettings& terms, const WireSettings& door,
+  Service(EventLoop& loop, const Limits& limits, const RouterSettings& terms, const WireSettings& door,
           const Site& site, Note note);
   ~Service() override;
   void start();
@@ -46,14 +46,14 @@
   // Discovery and the release desk are elsewhere from now on; what was learnt stands.
   void move_to(const std::string& discovery, const std::string& desk);
   // From now on who calls is asked before a hit is taken; before `start`, or not at all.
-  void guard(std::unique_ptr<calling::Gate> gate, bool token_goes_on);
-  calling::Gate* gate() { return gate_.get(); }
+  void guard(std::unique_ptr<calling::Authorizer> gate, bool token_goes_on);
+  calling::Authorizer* gate() { return gate_.get(); }
   // From now on metadata files are checked before their first byte goes on; before `start`, or not at all.
-  void watch_metadata(std::unique_ptr<metadata::Warden> warden) { warden_ = std::move(warden); }
-  const metadata::Warden* warden() const { return warden_.get(); }
+  void watch_metadata(std::unique_ptr<metadata::MetadataVerifier> warden) { warden_ = std::move(warden); }
+  const metadata::MetadataVerifier* warden() const { return warden_.get(); }
   // A second listener, behind TLS.
-  void also_listen(const TlsTerms& terms, std::shared_ptr<TlsMaterial> material);
-  TlsDoor* tls() { return tls_.get(); }
+  void also_listen(const TlsSettings& terms, std::shared_ptr<TlsCredentials> material);
+  TlsAcceptor* tls() { return tls_.get(); }
   std::uint16_t port() const { return callers_.port(); }
   std::uint16_t tls_port() const { return callers_.veiled_port(); }
   std::size_t host_places() const { return hosts_.size(); }
@@ -81,7 +81,7 @@
     std::string head, body;  // of each forward, but for the time left
     std::vector<Leg> legs;
     unsigned out = 0;
-    calling::Ticket ticket;
+    calling::AdmissionToken ticket;
     std::unique_ptr<Metadata> metadata;  // of a hit for a repository's file
   };
   struct Known {  // of a host, as last listed
@@ -121,8 +121,9 @@
   void log(std::string_view line) override;
 
   // Who is calling: false where the request has been answered with why not.
-  bool known(Caller& caller, const http::Head& head, const Veil::Proof& proof, calling::Identity& who);
-  bool let_in(Caller& caller, const calling::Identity& who, unsigned group, calling::Ticket& ticket);
+  bool known(Caller& caller, const http::Head& head, const TlsStream::PeerProof& proof,
+             calling::Identity& who);
+  bool let_in(Caller& caller, const calling::Identity& who, unsigned group, calling::AdmissionToken& ticket);
   void refuse(Caller& caller, calling::Refusal why, Span retry_after);
   void tell_refused();
   // Is this answer fit for the client? What is not counts as an error of its host.
@@ -137,8 +138,8 @@
   void list_confirmed() override;
   void list_begun() override;
   void list_lost(const char* why, bool again, bool refused) override;
-  static policy::EndpointLeaseTerms lease_terms(const Limits& limits, const RouterSettings& terms,
-                                                Span connect);
+  static policy::EndpointLeaseSettings lease_terms(const Limits& limits, const RouterSettings& terms,
+                                                   Span connect);
   void lease_changed(const char* why);
   void publish_lease();
   void list_entry(const Json& entry);
@@ -163,22 +164,23 @@
   void ready_without_list();
   void now_ready();
 
-  Loop& loop_;
+  EventLoop& loop_;
   const Limits& limits_;
   WireSettings door_;
   std::vector<Idempotency> repeats_;  // by path group
   Site site_;
   Note note_;
   DetailLog detail_;
-  std::unique_ptr<TlsDoor> tls_;  // before the connections that stand behind it
+  std::unique_ptr<TlsAcceptor> tls_;  // before the connections that stand behind it
   Callers callers_;
   HostPools pools_;
   policy::EndpointLease lease_;
   policy::LeaseState lease_state_ = policy::LeaseState::kExpired;  // as last logged
   Instant known_until_;
   Discovery discovery_;
-  std::unique_ptr<Desk> desk_;
-  std::vector<std::unique_ptr<Desk>> retired_;  // of former addresses, until their votes are answered
+  std::unique_ptr<ReleaseClient> desk_;
+  std::vector<std::unique_ptr<ReleaseClient>>
+      retired_;  // of former addresses, until their votes are answered
   Slab<Hit> hits_;
   bool one_way_;
   Ids ids_;
@@ -196,8 +198,8 @@
   Instant stop_at_;
   Timer stop_;
   std::function<void()> wound_down_;
-  std::unique_ptr<calling::Gate> gate_;
-  std::unique_ptr<metadata::Warden> warden_;
+  std::unique_ptr<calling::Authorizer> gate_;
+  std::unique_ptr<metadata::MetadataVerifier> warden_;
   std::map<metadata::Why, Instant> refusal_told_;  // one line for each kind and second
   bool token_goes_on_ = false;
   calling::Identity who_;                    // of the request at hand; kept for its room
--- a/src/store/worker.hpp
+++ b/src/store/worker.hpp
@@ -8,7 +8,7 @@
 #include <mutex>
 #include <thread>
 
-#include "transport/loop.hpp"
+#include "transport/event_loop.hpp"
 
 namespace ashbeam {
 
@@ -19,8 +19,8 @@
   using Answer = std::function<void()>;
   using Job = std::function<Answer()>;
 
-  explicit Worker(Loop& loop) : shared_(std::make_shared<Shared>(loop)) {
-    loop.expect_hand_overs();
+  explicit Worker(EventLoop& loop) : shared_(std::make_shared<Shared>(loop)) {
+    loop.enable_posts_from_threads();
     thread_ = std::thread([shared = shared_] { work(*shared); });
   }
   // What waits is dropped. Guards against a file system that hangs: a job that does not end soon is left
@@ -52,8 +52,8 @@
 
  private:
   struct Shared {
-    explicit Shared(Loop& l) : loop(l) {}
-    Loop& loop;  // used under the mutex, and not once stopping
+    explicit Shared(EventLoop& l) : loop(l) {}
+    EventLoop& loop;  // used under the mutex, and not once stopping
     std::mutex mutex;
     std::condition_variable wake;
     std::deque<Job> waiting;
@@ -69,7 +69,7 @@
       lock.unlock();
       Answer answer = job();
       lock.lock();
-      if (!s.stopping) s.loop.hand_over(std::move(answer));
+      if (!s.stopping) s.loop.post_from_thread(std::move(answer));
     }
     s.ended = true;
     s.wake.notify_all();
--- a/src/transport/connection.cpp
+++ b/src/transport/connection.cpp
@@ -51,8 +51,8 @@
   }
 }
 
-Connection::Connection(Loop& loop, const Limits& limits, Owner& owner, const std::string& address,
-                       MakeVeil veil)
+Connection::Connection(EventLoop& loop, const Limits& limits, Owner& owner, const std::string& address,
+                       MakeTlsStream veil)
     : loop_(loop), limits_(limits), owner_(owner), make_veil_(std::move(veil)) {
   try {
     open(address);
@@ -80,8 +80,8 @@
   end(failure_at_once(error));
 }
 
-Connection::Connection(Loop& loop, const Limits& limits, Owner& owner, int accepted,
-                       std::unique_ptr<Veil> veil)
+Connection::Connection(EventLoop& loop, const Limits& limits, Owner& owner, int accepted,
+                       std::unique_ptr<TlsStream> veil)
     : loop_(loop), limits_(limits), owner_(owner), socket_(Accepted(accepted)),
       state_(veil ? State::kShaking : State::kOpen), was_open_(!veil), veil_(std::move(veil)) {
   socket_.setBlocking(false);
@@ -96,7 +96,7 @@
 void Connection::take(std::size_t n) {
   taken_ += n;
   if (taken_ == in_.size()) in_.clear(), taken_ = 0;
-  if (state_ != State::kOpen || unread().size() >= limits_.unread) return;
+  if (state_ != State::kOpen || unread().size() >= limits_.max_unread_bytes) return;
   if (!reading_) read_held();
   watch(true, writing_);
 }
@@ -104,22 +104,22 @@
 // Guards against waiting for a socket whose bytes have been read already, and stand behind the veil.
 void Connection::read_held() {
   if (!veil_ || !veil_->holds()) return;
-  loop_.later([this, alive = std::weak_ptr<int>(alive_)] {
+  loop_.post([this, alive = std::weak_ptr<int>(alive_)] {
     if (!alive.expired() && state_ == State::kOpen && reading_) readable({});
   });
 }
 
 void Connection::shake() {
   switch (veil_->shake()) {
-    case Veil::Step::kRead:
+    case TlsStream::Step::kRead:
       return watch(true, false);
-    case Veil::Step::kWrite:
+    case TlsStream::Step::kWrite:
       return watch(true, true);
-    case Veil::Step::kLater:
+    case TlsStream::Step::kLater:
       return watch(false, false);
-    case Veil::Step::kFailed:
+    case TlsStream::Step::kFailed:
       return end();
-    case Veil::Step::kDone:
+    case TlsStream::Step::kDone:
       break;
   }
   state_ = State::kOpen;
@@ -127,7 +127,7 @@
   watch(true, false);
   flush();
   read_held();
-  if (state_ == State::kOpen) owner_.opened();
+  if (state_ == State::kOpen) owner_.on_connected();
 }
 
 void Connection::write(std::string_view bytes) {
@@ -179,11 +179,11 @@
     was_open_ = true;
     watch(true, writing_);
     flush();
-    if (state_ == State::kOpen) owner_.opened();
+    if (state_ == State::kOpen) owner_.on_connected();
     return;
   }
   flush();
-  if (state_ == State::kOpen && !unwritten()) owner_.all_written();
+  if (state_ == State::kOpen && !unwritten()) owner_.on_write_complete();
 }
 
 void Connection::readable(const Told<ReadableNotification>&) {
@@ -191,24 +191,24 @@
   if (state_ == State::kShaking) return shake();
   if (state_ != State::kOpen) return;
   if (discarding_) {  // MSG_TRUNC: not even copied
-    const auto dropped = ::recv(socket_.impl()->sockfd(), nullptr, limits_.discard_at_once, MSG_TRUNC);
+    const auto dropped = ::recv(socket_.impl()->sockfd(), nullptr, limits_.discard_chunk_bytes, MSG_TRUNC);
     discarded_ = discarded_ || dropped > 0;
     if (dropped == 0 || (dropped < 0 && errno != EAGAIN && errno != EINTR)) end();
     return;
   }
   if (taken_ > 0) in_.erase(0, taken_), taken_ = 0;
   const std::size_t had = in_.size();
-  in_.resize(had + limits_.read_at_once);
-  const auto n = veil_ ? veil_->receive(in_.data() + had, limits_.read_at_once)
-                       : ::recv(socket_.impl()->sockfd(), in_.data() + had, limits_.read_at_once, 0);
+  in_.resize(had + limits_.read_chunk_bytes);
+  const auto n = veil_ ? veil_->receive(in_.data() + had, limits_.read_chunk_bytes)
+                       : ::recv(socket_.impl()->sockfd(), in_.data() + had, limits_.read_chunk_bytes, 0);
   const int error = errno;
   in_.resize(had + static_cast<std::size_t>(std::max<std::ptrdiff_t>(n, 0)));
   if (n < 0 && (error == EAGAIN || error == EINTR)) return;
   broken_ = n != 0;
   if (n <= 0) return end();
-  if (unread().size() >= limits_.unread) watch(false, writing_);  // until the owner has taken some
+  if (unread().size() >= limits_.max_unread_bytes) watch(false, writing_);  // until the owner has taken some
   else read_held();
-  owner_.bytes_came();
+  owner_.on_data();
 }
 
 void Connection::failed(const Told<ErrorNotification>&) {
@@ -221,8 +221,8 @@
   if (broken_) failure_ = why;
   state_ = State::kEnded;
   watch(false, false);
-  loop_.later([this, alive = std::weak_ptr<int>(alive_)] {
-    if (!alive.expired() && state_ == State::kEnded) owner_.ended();
+  loop_.post([this, alive = std::weak_ptr<int>(alive_)] {
+    if (!alive.expired() && state_ == State::kEnded) owner_.on_closed();
   });
 }
 
--- a/src/transport/connection.hpp
+++ b/src/transport/connection.hpp
@@ -7,9 +7,9 @@
 #include <string_view>
 
 #include "base/limits.hpp"
+#include "transport/event_loop.hpp"
 #include "transport/failure.hpp"
-#include "transport/loop.hpp"
-#include "transport/veil.hpp"
+#include "transport/tls_stream.hpp"
 
 namespace ashbeam {
 
@@ -22,26 +22,26 @@
   class Owner {
    public:
     virtual ~Owner() = default;
-    virtual void opened() {}
-    virtual void bytes_came() = 0;  // look at unread(), take() what was used
-    virtual void all_written() {}   // after a write that could not be finished at once
-    virtual void ended() = 0;       // by the other side, or broken; unread() still stands
+    virtual void on_connected() {}
+    virtual void on_data() = 0;          // look at unread(), take() what was used
+    virtual void on_write_complete() {}  // after a write that could not be finished at once
+    virtual void on_closed() = 0;        // by the other side, or broken; unread() still stands
   };
 
   // Opens one; with a veil it is open once that is shaken.
-  using MakeVeil = std::function<std::unique_ptr<Veil>(int fd)>;
-  Connection(Loop& loop, const Limits& limits, Owner& owner, const std::string& address,
-             MakeVeil veil = nullptr);
+  using MakeTlsStream = std::function<std::unique_ptr<TlsStream>(int fd)>;
+  Connection(EventLoop& loop, const Limits& limits, Owner& owner, const std::string& address,
+             MakeTlsStream veil = nullptr);
   // Takes one over; with a veil it is open once that is shaken.
-  Connection(Loop& loop, const Limits& limits, Owner& owner, int accepted,
-             std::unique_ptr<Veil> veil = nullptr);
+  Connection(EventLoop& loop, const Limits& limits, Owner& owner, int accepted,
+             std::unique_ptr<TlsStream> veil = nullptr);
   ~Connection() { close(); }
   Connection(const Connection&) = delete;
   Connection& operator=(const Connection&) = delete;
 
   bool opening() const { return state_ == State::kOpening; }
-  bool shaking() const { return state_ == State::kShaking; }
-  Veil* veil() const { return veil_.get(); }
+  bool handshaking() const { return state_ == State::kShaking; }
+  TlsStream* veil() const { return veil_.get(); }
   // Was it never open, or is something left of what was to be written? Stands after the end, too.
   bool unwritten() const { return !was_open_ || written_ < out_.size(); }
   std::string_view unread() const { return std::string_view(in_).substr(taken_); }
@@ -76,7 +76,7 @@
   void open(const std::string& address);
   void end(Failure why = Failure::kBroken);
 
-  Loop& loop_;
+  EventLoop& loop_;
   const Limits& limits_;
   Owner& owner_;
   Poco::Net::StreamSocket socket_;
@@ -86,8 +86,8 @@
   Failure failure_ = Failure::kNone;
   std::string in_, out_;
   std::size_t taken_ = 0, written_ = 0;
-  MakeVeil make_veil_;                                     // until the socket is open
-  std::unique_ptr<Veil> veil_;                             // none where bytes are plain
+  MakeTlsStream make_veil_;                                // until the socket is open
+  std::unique_ptr<TlsStream> veil_;                        // none where bytes are plain
   std::shared_ptr<int> alive_ = std::make_shared<int>(0);  // outlived by what was put off
 };
 
--- a/src/transport/loop.cpp
+++ b/src/transport/event_loop.cpp
@@ -1,4 +1,4 @@
-#include "transport/loop.hpp"
+#include "transport/event_loop.hpp"
 
 #include <Poco/ErrorHandler.h>
 #include <Poco/Exception.h>
@@ -34,30 +34,30 @@
 }  // namespace
 
 // POCO 1.11's wakeUp() does not end its poll: a byte on a socket of our own does.
-struct Loop::Bell {
+struct EventLoop::Bell {
   class End : public Poco::Net::StreamSocket {
    public:
     explicit End(int fd) : StreamSocket(new Poco::Net::StreamSocketImpl(fd)) {}
   };
-  Bell(Loop& l, const int (&pair)[2]) : loop(l), in(pair[0]), out(pair[1]) {}
+  Bell(EventLoop& l, const int (&pair)[2]) : loop(l), in(pair[0]), out(pair[1]) {}
   void rung(const Poco::AutoPtr<Poco::Net::ReadableNotification>&) {
     char some[64];
     while (::recv(in.impl()->sockfd(), some, sizeof some, MSG_DONTWAIT) == sizeof some) {
     }
     // What was handed over since this turn began has had its byte taken just now: it is not left to the next
     // event.
-    loop.later([] {});
+    loop.post([] {});
   }
   void ring() {
     ::send(out.impl()->sockfd(), "!", 1, MSG_DONTWAIT | MSG_NOSIGNAL);
   }  // full: it rings already
-  Loop& loop;
+  EventLoop& loop;
   End in, out;
 };
 
-Loop::~Loop() = default;
+EventLoop::~EventLoop() = default;
 
-void Loop::expect_hand_overs() {
+void EventLoop::enable_posts_from_threads() {
   if (bell_) return;
   int pair[2];
   if (::socketpair(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0, pair) != 0)
@@ -67,27 +67,27 @@
                             Poco::NObserver<Bell, Poco::Net::ReadableNotification>(*bell_, &Bell::rung));
 }
 
-Loop::Loop()
+EventLoop::EventLoop()
     : unix_minus_steady_us_(reading_us<std::chrono::system_clock>() -
                             reading_us<std::chrono::steady_clock>()) {
   set_wait();
 }
 
-Instant Loop::now() const {
+Instant EventLoop::now() const {
   return Instant::at_us(reading_us<std::chrono::steady_clock>() + unix_minus_steady_us_);
 }
 
-Span Loop::wall_ahead() const {
+Span EventLoop::wall_ahead() const {
   return Span::us(reading_us<std::chrono::system_clock>() - reading_us<std::chrono::steady_clock>() -
                   unix_minus_steady_us_);
 }
 
-void Loop::later(std::function<void()> what) {
+void EventLoop::post(std::function<void()> what) {
   put_off_.push_back(std::move(what));
   if (put_off_.size() == 1) set_wait();
 }
 
-void Loop::hand_over(std::function<void()> what) {
+void EventLoop::post_from_thread(std::function<void()> what) {
   {
     const std::lock_guard lock(handing_);
     handed_.push_back(std::move(what));
@@ -98,7 +98,7 @@
 
 // POCO waits in whole milliseconds and cuts fractions off: rounded up here, or the last one would be spun
 // away.
-void Loop::set_wait() {
+void EventLoop::set_wait() {
   std::int64_t us = kLongestWaitUs;
   if (!put_off_.empty()) us = 0;
   else if (!timers_.empty())
@@ -107,7 +107,7 @@
 }
 
 // What was put off comes first, then the timers that are due; a timer set meanwhile waits for the next turn.
-void Loop::run_due() {
+void EventLoop::run_due() {
   if (any_handed_) {
     const std::lock_guard lock(handing_);
     any_handed_ = false;
--- a/src/transport/loop.hpp
+++ b/src/transport/event_loop.hpp
@@ -13,10 +13,10 @@
 
 namespace ashbeam {
 
-class Loop : private Poco::Net::SocketReactor {
+class EventLoop : private Poco::Net::SocketReactor {
  public:
-  Loop();
-  ~Loop();
+  EventLoop();
+  ~EventLoop();
 
   // The machine's clock in Unix time, read once at start and carried on by the steady clock: never goes back.
   Instant now() const;
@@ -25,15 +25,15 @@
   void run() { Poco::Net::SocketReactor::run(); }
   void stop() { Poco::Net::SocketReactor::stop(); }
   // Runs `what` after the callback at hand, before the next wait.
-  void later(std::function<void()> what);
+  void post(std::function<void()> what);
   // The same from any other thread: the one way in which a worker answers. Only once the loop was told to
   // expect it, on its own thread or before it runs.
-  void expect_hand_overs();
-  void hand_over(std::function<void()> what);
+  void enable_posts_from_threads();
+  void post_from_thread(std::function<void()> what);
   // Destroys `what` then: a callback may so end its own object.
   template <class T>
   void destroy_later(std::unique_ptr<T> what) {
-    later([kept = std::shared_ptr<T>(std::move(what))] {});
+    post([kept = std::shared_ptr<T>(std::move(what))] {});
   }
   Poco::Net::SocketReactor& reactor() { return *this; }
 
@@ -61,7 +61,7 @@
 // Calls back once at a time that may be moved or taken back; destroying it takes it back.
 class Timer {
  public:
-  Timer(Loop& loop, std::function<void()> then) : loop_(loop), then_(std::move(then)) {}
+  Timer(EventLoop& loop, std::function<void()> then) : loop_(loop), then_(std::move(then)) {}
   ~Timer() { off(); }
   Timer(const Timer&) = delete;
   Timer& operator=(const Timer&) = delete;
@@ -71,10 +71,10 @@
   bool armed() const { return armed_; }
 
  private:
-  friend class Loop;
-  Loop& loop_;
+  friend class EventLoop;
+  EventLoop& loop_;
   std::function<void()> then_;
-  Loop::Due due_;
+  EventLoop::Due due_;
   bool armed_ = false;
 };
 
--- a/src/transport/listener.cpp
+++ b/src/transport/listener.cpp
@@ -32,7 +32,7 @@
 
 }  // namespace
 
-Listener::Listener(Loop& loop, const std::string& address, int backlog, std::function<void(int)> came)
+Listener::Listener(EventLoop& loop, const std::string& address, int backlog, std::function<void(int)> came)
     : loop_(loop), came_(std::move(came)) {
   socket_.bind(Poco::Net::SocketAddress(address), true);
   socket_.listen(backlog);
--- a/src/transport/listener.hpp
+++ b/src/transport/listener.hpp
@@ -6,7 +6,7 @@
 #include <functional>
 #include <string>
 
-#include "transport/loop.hpp"
+#include "transport/event_loop.hpp"
 
 namespace ashbeam {
 
@@ -15,7 +15,7 @@
   // `came` owns the descriptor that it is given; a negative one says that the machine has none left, and that
   // it must pause: a connection that can't be taken is told again and again. Throws Poco::Exception where the
   // address can't be had.
-  Listener(Loop& loop, const std::string& address, int backlog, std::function<void(int)> came);
+  Listener(EventLoop& loop, const std::string& address, int backlog, std::function<void(int)> came);
   ~Listener() { close(); }
   Listener(const Listener&) = delete;
   Listener& operator=(const Listener&) = delete;
@@ -27,7 +27,7 @@
 
  private:
   void readable(const Poco::AutoPtr<Poco::Net::ReadableNotification>&) { accept_waiting(); }
-  Loop& loop_;
+  EventLoop& loop_;
   std::function<void(int)> came_;
   Poco::Net::ServerSocket socket_;
   bool watched_ = false, closed_ = false;
--- a/src/transport/tls.cpp
+++ b/src/transport/tls.cpp
@@ -142,7 +142,7 @@
 
 }  // namespace
 
-struct TlsMaterial::Parts {
+struct TlsCredentials::Parts {
   Owned<SSL_CTX> ctx;
   Owned<X509_STORE> store;
   std::set<std::string> serials, keys;             // revoked
@@ -218,7 +218,8 @@
 
 }  // namespace
 
-TlsMaterial::TlsMaterial(const TlsTerms& terms, const TlsFiles& files) : parts_(std::make_unique<Parts>()) {
+TlsCredentials::TlsCredentials(const TlsSettings& terms, const TlsFiles& files)
+    : parts_(std::make_unique<Parts>()) {
   Parts& p = *parts_;
   p.ctx.reset(SSL_CTX_new(TLS_server_method()));
   SSL_CTX* const ctx = p.ctx.get();
@@ -248,7 +249,7 @@
   if (SSL_CTX_use_PrivateKey(ctx, key.get()) != 1)
     throw FileError(terms.key, "does not belong to the certificate: " + last_reason());
 
-  if (terms.clients == TlsTerms::Clients::kOff) return;
+  if (terms.clients == TlsSettings::Clients::kOff) return;
   p.store.reset(X509_STORE_new());
   p.trust = files.trust;
   const auto trusted = memory(files.trust);
@@ -285,17 +286,18 @@
   SSL_CTX_set_verify_depth(ctx, kDeepestChain);
   SSL_CTX_set_verify(
       ctx,
-      SSL_VERIFY_PEER | (terms.clients == TlsTerms::Clients::kRequired ? SSL_VERIFY_FAIL_IF_NO_PEER_CERT : 0),
+      SSL_VERIFY_PEER |
+          (terms.clients == TlsSettings::Clients::kRequired ? SSL_VERIFY_FAIL_IF_NO_PEER_CERT : 0),
       nullptr);
 }
 
-TlsMaterial::~TlsMaterial() = default;
+TlsCredentials::~TlsCredentials() = default;
 
 // ---- One connection ----
 
-class TlsVeil : public Veil {
+class TlsVeil : public TlsStream {
  public:
-  TlsVeil(TlsDoor& door, std::shared_ptr<TlsMaterial> material, int fd, calling::Handshakes::Id id)
+  TlsVeil(TlsAcceptor& door, std::shared_ptr<TlsCredentials> material, int fd, calling::Handshakes::Id id)
       : door_(door), material_(std::move(material)), ssl_(SSL_new(material_->parts_->ctx.get())), id_(id) {
     SSL_set_fd(ssl_.get(), fd);
     SSL_set_accept_state(ssl_.get());
@@ -351,10 +353,10 @@
     ERR_clear_error();
   }
 
-  Proof proof(Instant now) override {
+  PeerProof proof(Instant now) override {
     if (!leaf_) return {};
     if (epoch_ != door_.epoch_) {
-      TlsMaterial::Parts& parts = *door_.material_->parts_;
+      TlsCredentials::Parts& parts = *door_.material_->parts_;
       // Where clients are no longer asked for certificates, none proves anything.
       good_ = parts.store && parts.still_good(leaf_.get(), SSL_session_reused(ssl_.get()) == 1
                                                                ? nullptr
@@ -419,9 +421,9 @@
     certificate_.not_after = time_of(X509_get0_notAfter(leaf_.get()));
   }
 
-  friend class TlsDoor;
-  TlsDoor& door_;
-  std::shared_ptr<TlsMaterial> material_;  // outlives ssl_
+  friend class TlsAcceptor;
+  TlsAcceptor& door_;
+  std::shared_ptr<TlsCredentials> material_;  // outlives ssl_
   Owned<SSL> ssl_;
   Owned<X509> leaf_;
   calling::Handshakes::Id id_;
@@ -433,7 +435,8 @@
 
 // ---- The door ----
 
-TlsDoor::TlsDoor(Loop& loop, const TlsTerms& terms, std::shared_ptr<TlsMaterial> material, Note note)
+TlsAcceptor::TlsAcceptor(EventLoop& loop, const TlsSettings& terms, std::shared_ptr<TlsCredentials> material,
+                         Note note)
     : loop_(loop), terms_(terms), note_(std::move(note)), current_(fresh_key(loop.now(), 1)),
       previous_(current_), handshakes_(terms.handshakes, terms.handshake_cpu, Span::ms(100)),
       later_(loop, [this] {
@@ -447,16 +450,16 @@
   adopt(std::move(material));
 }
 
-TlsDoor::~TlsDoor() = default;
+TlsAcceptor::~TlsAcceptor() = default;
 
-void TlsDoor::adopt(std::shared_ptr<TlsMaterial> material) {
+void TlsAcceptor::adopt(std::shared_ptr<TlsCredentials> material) {
   material_ = std::move(material);
   SSL_CTX* const ctx = material_->parts_->ctx.get();
   SSL_CTX_set_app_data(ctx, this);
   SSL_CTX_set_tlsext_ticket_key_evp_cb(ctx, ticket);
 }
 
-void TlsDoor::take(const TlsTerms& terms, std::shared_ptr<TlsMaterial> material) {
+void TlsAcceptor::take(const TlsSettings& terms, std::shared_ptr<TlsCredentials> material) {
   const bool other = material->parts_->trust != material_->parts_->trust || terms.clients != terms_.clients;
   for (int i = 0; i < sk_X509_num(material_->parts_->seen.get()); ++i) {
     X509* const x = sk_X509_value(material_->parts_->seen.get(), i);
@@ -471,7 +474,7 @@
         std::to_string(epoch_));
 }
 
-std::unique_ptr<Veil> TlsDoor::veil(int fd) {
+std::unique_ptr<TlsStream> TlsAcceptor::veil(int fd) {
   const auto begun = handshakes_.begin(loop_.now());
   if (begun.gives_way != calling::Handshakes::kNone) {
     const auto out = under_way_.find(begun.gives_way);
@@ -487,17 +490,17 @@
   return one;
 }
 
-void TlsDoor::over(TlsVeil* veil) {
+void TlsAcceptor::over(TlsVeil* veil) {
   under_way_.erase(veil->id_);
   handshakes_.over(veil->id_);
 }
 
-void TlsDoor::later() {
+void TlsAcceptor::later() {
   if (handshakes_.any_waiting() && !later_.armed())
     later_.in(std::max(Span::ms(1), handshakes_.wait(loop_.now())));
 }
 
-void TlsDoor::complain(const std::string& kind) {
+void TlsAcceptor::complain(const std::string& kind) {
   const Instant now = loop_.now();
   if (!complaints_.contains(kind) && complaints_.size() >= kMostKinds) return;
   Complaint& c = complaints_[kind];
@@ -508,7 +511,7 @@
 
 // ---- Tickets ----
 
-TlsDoor::TicketKey TlsDoor::fresh_key(Instant now, std::uint64_t epoch) {
+TlsAcceptor::TicketKey TlsAcceptor::fresh_key(Instant now, std::uint64_t epoch) {
   TicketKey k{};
   RAND_bytes(k.name, sizeof k.name);
   RAND_priv_bytes(k.cipher, sizeof k.cipher);
@@ -517,7 +520,7 @@
   return k;
 }
 
-const TlsDoor::TicketKey& TlsDoor::ticket_key() {
+const TlsAcceptor::TicketKey& TlsAcceptor::ticket_key() {
   const Instant now = loop_.now();
   if (now - current_.made > terms_.ticket_turn || current_.epoch != epoch_) {
     previous_ = current_;
@@ -526,9 +529,9 @@
   return current_;
 }
 
-int TlsDoor::ticket(SSL* ssl, unsigned char* name, unsigned char* iv, EVP_CIPHER_CTX* cipher,
-                    EVP_MAC_CTX* mac, int sealing) {
-  auto* const door = static_cast<TlsDoor*>(SSL_CTX_get_app_data(SSL_get_SSL_CTX(ssl)));
+int TlsAcceptor::ticket(SSL* ssl, unsigned char* name, unsigned char* iv, EVP_CIPHER_CTX* cipher,
+                        EVP_MAC_CTX* mac, int sealing) {
+  auto* const door = static_cast<TlsAcceptor*>(SSL_CTX_get_app_data(SSL_get_SSL_CTX(ssl)));
   const TicketKey& current = door->ticket_key();
   const TicketKey* key = &current;
   TicketKey thrown_away;
--- a/src/transport/tls.hpp
+++ b/src/transport/tls.hpp
@@ -7,9 +7,9 @@
 #include <vector>
 
 #include "calling/handshakes.hpp"
-#include "transport/loop.hpp"
-#include "transport/tls_terms.hpp"
-#include "transport/veil.hpp"
+#include "transport/event_loop.hpp"
+#include "transport/tls_settings.hpp"
+#include "transport/tls_stream.hpp"
 
 struct ssl_st;
 struct evp_cipher_ctx_st;
@@ -20,15 +20,15 @@
 // Certificates, keys, who signs clients' certificates and what of those is revoked: read whole, then never
 // changed. Made on any thread; throws std::runtime_error, whose text begins
 // with the path of what is wrong.
-class TlsMaterial {
+class TlsCredentials {
  public:
-  TlsMaterial(const TlsTerms& terms, const TlsFiles& files);
-  ~TlsMaterial();
-  TlsMaterial(const TlsMaterial&) = delete;
-  TlsMaterial& operator=(const TlsMaterial&) = delete;
+  TlsCredentials(const TlsSettings& terms, const TlsFiles& files);
+  ~TlsCredentials();
+  TlsCredentials(const TlsCredentials&) = delete;
+  TlsCredentials& operator=(const TlsCredentials&) = delete;
 
  private:
-  friend class TlsDoor;
+  friend class TlsAcceptor;
   friend class TlsVeil;
   struct Parts;
   std::unique_ptr<Parts> parts_;
@@ -36,19 +36,19 @@
 
 class TlsVeil;
 
-class TlsDoor {
+class TlsAcceptor {
  public:
   using Note = std::function<void(std::string_view)>;
-  TlsDoor(Loop& loop, const TlsTerms& terms, std::shared_ptr<TlsMaterial> material, Note note);
-  ~TlsDoor();
-  TlsDoor(const TlsDoor&) = delete;
-  TlsDoor& operator=(const TlsDoor&) = delete;
+  TlsAcceptor(EventLoop& loop, const TlsSettings& terms, std::shared_ptr<TlsCredentials> material, Note note);
+  ~TlsAcceptor();
+  TlsAcceptor(const TlsAcceptor&) = delete;
+  TlsAcceptor& operator=(const TlsAcceptor&) = delete;
 
   // From now on: new connections have these certificates; tickets and kept connections that were proven under
   // another trust are checked again. No connection is dropped.
-  void take(const TlsTerms& terms, std::shared_ptr<TlsMaterial> material);
+  void take(const TlsSettings& terms, std::shared_ptr<TlsCredentials> material);
   // Null: there is no room for another handshake, and the connection is to be closed.
-  std::unique_ptr<Veil> veil(int fd);
+  std::unique_ptr<TlsStream> veil(int fd);
   Span handshake() const { return terms_.handshake; }
   struct Counts {
     std::uint64_t full = 0, resumed = 0, failed = 0, turned_away = 0;
@@ -65,7 +65,7 @@
   };
   static TicketKey fresh_key(Instant now, std::uint64_t epoch);
   const TicketKey& ticket_key();
-  void adopt(std::shared_ptr<TlsMaterial> material);
+  void adopt(std::shared_ptr<TlsCredentials> material);
   void over(TlsVeil* veil);
   void later();
   // One line for each kind and second.
@@ -73,9 +73,9 @@
   static int ticket(ssl_st* ssl, unsigned char* name, unsigned char* iv, evp_cipher_ctx_st* cipher,
                     evp_mac_ctx_st* mac, int sealing);
 
-  Loop& loop_;
-  TlsTerms terms_;
-  std::shared_ptr<TlsMaterial> material_;
+  EventLoop& loop_;
+  TlsSettings terms_;
+  std::shared_ptr<TlsCredentials> material_;
   Note note_;
   std::uint64_t epoch_ = 1;
   TicketKey current_, previous_;
--- a/src/transport/tls_terms.hpp
+++ b/src/transport/tls_settings.hpp
@@ -7,7 +7,7 @@
 
 namespace ashbeam {
 
-struct TlsTerms {
+struct TlsSettings {
   enum class Clients { kOff, kOptional, kRequired };  // client certificates
   std::string listen;                                 // numeric address and port
   std::string certificate, key;                       // paths of PEM files
@@ -18,7 +18,7 @@
   Span handshake = Span::s(2);  // from the connection to its end
   double handshake_cpu = 0.25;  // seconds of CPU a second
   Span ticket_turn = Span::s(3600);
-  bool operator==(const TlsTerms&) const = default;
+  bool operator==(const TlsSettings&) const = default;
 };
 
 // What stands in the files that the terms name.
--- a/src/transport/veil.hpp
+++ b/src/transport/tls_stream.hpp
@@ -4,14 +4,14 @@
 #include <functional>
 
 #include "base/time.hpp"
-#include "calling/gate.hpp"
+#include "calling/authorizer.hpp"
 
 namespace ashbeam {
 
-class Veil {
+class TlsStream {
  public:
   enum class Step { kDone, kRead, kWrite, kLater, kFailed };
-  virtual ~Veil() = default;
+  virtual ~TlsStream() = default;
   // The handshake, as far as it goes. After kLater `turn` says when to try again; `turn` may come unasked,
   // too.
   virtual Step shake() = 0;
@@ -22,13 +22,13 @@
   virtual bool holds() const = 0;  // bytes that left the socket and were not received yet
   virtual void finish() = 0;       // tells the other side that nothing more comes
 
-  struct Proof {
+  struct PeerProof {
     const calling::Certificate* certificate = nullptr;  // none was shown
     bool refused = false;                               // one was, and it does not count any more
   };
   // Who the other side has proven to be, as things stand now: what was revoked since, or has expired, is
   // refused.
-  virtual Proof proof(Instant now) = 0;  // of the loop
+  virtual PeerProof proof(Instant now) = 0;  // of the loop
 };
 
 }  // namespace ashbeam
--- a/tests/guardian_test.cpp
+++ b/tests/access_config_loader_test.cpp
@@ -1,5 +1,5 @@
 // The operator's files while the router runs: what changes, what is spoilt, and the commands that write them.
-#include "program/guardian.hpp"
+#include "program/access_config_loader.hpp"
 
 #include <sys/stat.h>
 
@@ -31,7 +31,7 @@
 class GuardianTest : public RouterTest {
  protected:
   Folder folder_;
-  std::unique_ptr<Guardian> guardian_;
+  std::unique_ptr<AccessConfigLoader> guardian_;
   Signer signer_{"k1", tokens::Algorithm::kEdDsa};
   std::atomic<unsigned> noted_ = 0;
   std::vector<std::string> told_;
@@ -47,9 +47,9 @@
   }
   void open() {
     before_start_ = [this] {
-      guardian_ =
-          std::make_unique<Guardian>(loop_, *service_, door_, terms_, folder_.at("o.cue"), 7,
-                                     [this](std::string_view line) { told_.emplace_back(line), ++noted_; });
+      guardian_ = std::make_unique<AccessConfigLoader>(
+          loop_, *service_, door_, terms_, folder_.at("o.cue"), 7,
+          [this](std::string_view line) { told_.emplace_back(line), ++noted_; });
     };
     begin(all_hosts());
   }
@@ -156,8 +156,9 @@
   service_ = std::make_unique<Service>(
       loop_, limits_, terms_, door_,
       Site{"n", "127.0.0.1:0", discovery_.address(), desk_.address(), 7, "", ""}, [](std::string_view) {});
-  EXPECT_THROW(Guardian(loop_, *service_, door_, terms_, folder_.at("o.cue"), 7, [](std::string_view) {}),
-               OperatorsError);
+  EXPECT_THROW(
+      AccessConfigLoader(loop_, *service_, door_, terms_, folder_.at("o.cue"), 7, [](std::string_view) {}),
+      OperatorsError);
   service_.reset();
 }
 
@@ -247,7 +248,7 @@
 }
 
 TEST(Worker, LeavesAJobBehindThatDoesNotEnd) {
-  Loop loop;
+  EventLoop loop;
   std::promise<void> never;
   const auto begin = loop.now();
   {
--- a/tests/calling_door_test.cpp
+++ b/tests/calling_door_test.cpp
@@ -9,13 +9,13 @@
 
 class CallingDoorTest : public RouterTest {
  protected:
-  CallingTerms calling_ = shop_terms();
+  CallingSettings calling_ = shop_terms();
   Signer signer_{"k1", tokens::Algorithm::kEdDsa};
   bool token_goes_on_ = false;
 
   void open(std::vector<tokens::Listed> keys) {
     before_start_ = [this, keys] {
-      auto gate = std::make_unique<Gate>(calling_, 7, loop_.now());
+      auto gate = std::make_unique<Authorizer>(calling_, 7, loop_.now());
       gate->keys(keys, loop_.now());
       service_->guard(std::move(gate), token_goes_on_);
     };
--- a/tests/calling_helpers.hpp
+++ b/tests/calling_helpers.hpp
@@ -3,7 +3,7 @@
 #include <cmath>
 #include <string>
 
-#include "calling/gate.hpp"
+#include "calling/authorizer.hpp"
 #include "protocol/json.hpp"
 #include "tokens/jws.hpp"
 
@@ -32,13 +32,13 @@
   }
 };
 
-inline calling::CallingTerms shop_terms() {
-  calling::CallingTerms t;
+inline calling::CallingSettings shop_terms() {
+  calling::CallingSettings t;
   t.required = true;
   t.audience = "ashbeam";
   t.path_groups = {"look", "book", "pay"};
   t.customers = {"shop"};
-  calling::TenantTerms shop;
+  calling::TenantSettings shop;
   shop.name = "shop";
   t.tenants = {shop};
   return t;
--- a/tests/calling_test.cpp
+++ b/tests/calling_test.cpp
@@ -192,10 +192,10 @@
 // ---- Tokens at the gate ----
 
 struct Asking {
-  CallingTerms terms = shop_terms();
+  CallingSettings terms = shop_terms();
   Signer signer{"k1", tokens::Algorithm::kEs256};
   Instant now = kBegin;
-  Gate gate{terms, 7, kBegin};
+  Authorizer gate{terms, 7, kBegin};
   Presence presence;
   Identity who;
   Asking() { gate.keys(std::vector{signer.listed()}, now); }
@@ -218,7 +218,7 @@
   return input + "." + tokens::to_base64url(signature.empty() ? s.key.sign(input) : signature);
 }
 
-TEST(Gate, EachFaultOfATokenHasItsWord) {
+TEST(Authorizer, EachFaultOfATokenHasItsWord) {
   Asking a;
   const std::string claims =
       R"({"aud":"ashbeam","tenant":"shop","sub":"r","iat":1700000000,"exp":1700000060})";
@@ -277,7 +277,7 @@
   }
 }
 
-TEST(Gate, WhateverIsWrongOneVerificationIsComputedAndNoneForTheSameAgain) {
+TEST(Authorizer, WhateverIsWrongOneVerificationIsComputedAndNoneForTheSameAgain) {
   Asking a;
   for (const std::string& token :
        {a.token(), std::string("x.y.z"), with_header(a.signer, R"({"alg":"none"})", "{}"),
@@ -288,7 +288,7 @@
   }
 }
 
-TEST(Gate, ClocksTwoMinutesApart) {
+TEST(Authorizer, ClocksTwoMinutesApart) {
   for (const bool ahead : {false, true}) {
     for (const bool wide : {false, true}) {
       Asking a;
@@ -301,7 +301,7 @@
   }
 }
 
-TEST(Gate, AClockThatIsSetWhileItRuns) {
+TEST(Authorizer, AClockThatIsSetWhileItRuns) {
   Asking a;
   const std::string token = a.token();
   EXPECT_EQ(a.ask(token), Refusal::kNone);
@@ -313,7 +313,7 @@
   EXPECT_EQ(a.ask(fresh), Refusal::kEarly);
 }
 
-TEST(Gate, TwoKeysWithOneNameBothVerify) {
+TEST(Authorizer, TwoKeysWithOneNameBothVerify) {
   Asking a;
   const Signer twin("k1", tokens::Algorithm::kEs256);
   a.gate.keys(std::vector{a.signer.listed(), twin.listed()}, a.now);
@@ -323,9 +323,9 @@
             Refusal::kSignature);
 }
 
-TEST(Gate, ATokenIsBoundToItsCertificateAndTenantsDoNotMix) {
+TEST(Authorizer, ATokenIsBoundToItsCertificateAndTenantsDoNotMix) {
   Asking a;
-  calling::TenantTerms other;
+  calling::TenantSettings other;
   other.name = "other";
   a.terms.tenants.push_back(other);
   a.gate.terms(a.terms, a.now);
@@ -341,7 +341,7 @@
   EXPECT_EQ(a.ask(a.token(), &mine), Refusal::kNone);
 }
 
-TEST(Gate, ACertificateAloneSaysWhoItIs) {
+TEST(Authorizer, ACertificateAloneSaysWhoItIs) {
   Asking a;
   Certificate c{"shop", "van 3", {}, kBegin - Span::s(9), kBegin + Span::s(9)};
   Asked asked;
@@ -355,12 +355,12 @@
   EXPECT_EQ(a.gate.identify(asked, a.presence, a.now, who, wait), Refusal::kTenant);
 }
 
-TEST(Gate, RightsToldAnewCountForTokensKnownBefore) {
+TEST(Authorizer, RightsToldAnewCountForTokensKnownBefore) {
   Asking a;
   a.terms.tenants[0].each = {10, 2, 0};
   a.gate.terms(a.terms, a.now);
   const std::string token = a.token();
-  Ticket t;
+  AdmissionToken t;
   Span wait;
   const auto let_in = [&](unsigned group) {
     EXPECT_EQ(a.ask(token), Refusal::kNone);
@@ -384,12 +384,12 @@
   EXPECT_EQ(a.ask(token), Refusal::kTenant);
 }
 
-TEST(Gate, AFloodOfBadTokensLeavesThoseWhoWereProvenAlone) {
+TEST(Authorizer, AFloodOfBadTokensLeavesThoseWhoWereProvenAlone) {
   Asking a;
   Presence unknown;
   unsigned busy = 0, bad = 0;
   EXPECT_EQ(a.ask(a.token()), Refusal::kNone);
-  Ticket t;
+  AdmissionToken t;
   Span wait;
   EXPECT_EQ(a.gate.let_in(a.who, 0, a.now, t, wait), Refusal::kNone);
   const Signer liar("k1", tokens::Algorithm::kEs256);
@@ -420,13 +420,13 @@
   EXPECT_LE(bad, 620U);  // 0.2 s at 2000 a second, and the burst
 }
 
-TEST(Gate, TenThousandSubjectsWithinASecondAndWhatIsKeptStaysBounded) {
+TEST(Authorizer, TenThousandSubjectsWithinASecondAndWhatIsKeptStaysBounded) {
   Asking a;
   a.terms.cached_tokens = 256;
   a.terms.subjects = 1024;
   a.terms.tenants[0].each = {1, 1, 0};
   a.terms.verifications_per_s = 100000;
-  Gate gate(a.terms, 7, a.now);
+  Authorizer gate(a.terms, 7, a.now);
   gate.keys(std::vector{a.signer.listed()}, a.now);
   unsigned in = 0, again = 0;
   Presence presence{true};
@@ -436,7 +436,7 @@
     Asked asked;
     asked.authorization = field;
     Identity who;
-    Ticket t;
+    AdmissionToken t;
     Span wait;
     ASSERT_EQ(gate.identify(asked, presence, a.now, who, wait), Refusal::kNone);
     if (gate.let_in(who, 0, a.now, t, wait) == Refusal::kNone) gate.ended(t), ++in;
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -39,8 +39,8 @@
 // ---- The list ----
 
 TEST_F(CrossingTest, AWatchThatFallsSilentIsBegunAnewAtOnceAndOnceMoreIfThatOneIsSilent) {
-  limits_.discovery_silence = Span::ms(200);
-  limits_.discovery_first_line = Span::ms(150);
+  limits_.watch_silence_timeout = Span::ms(200);
+  limits_.replacement_watch_timeout = Span::ms(150);
   begin(all_hosts());
   Stream d = discovery_.take();
   d.say(kWatch + "\n");
@@ -61,7 +61,7 @@
 }
 
 TEST_F(CrossingTest, AListThatDripsAndNeverEndsALineIsNoSignOfLife) {
-  limits_.discovery_silence = Span::ms(200);
+  limits_.watch_silence_timeout = Span::ms(200);
   begin(all_hosts());
   Stream d = discovery_.take();
   d.say(kWatch + "\n");
@@ -116,7 +116,7 @@
 }
 
 TEST_F(CrossingTest, ItIsReadyOnceItHasTheListAsItStands) {
-  limits_.first_list = Span::s(30);
+  limits_.ready_without_list_after = Span::s(30);
   begin(all_hosts());
   EXPECT_EQ(status_of(ask(kReady)), 503U);
   Stream d = discovery_.take();
@@ -131,12 +131,12 @@
   for (const unsigned routers : {1U, 51U, 300U}) {
     terms_.router_count = routers;
     const Limits limits = limits_for(1024, door_, terms_);
-    EXPECT_EQ(limits.first_ask, routers == 1 ? Span() : Span::s(4));
-    EXPECT_LT(limits.first_ask, limits.first_list);
+    EXPECT_EQ(limits.max_initial_poll_delay, routers == 1 ? Span() : Span::s(4));
+    EXPECT_LT(limits.max_initial_poll_delay, limits.ready_without_list_after);
   }
-  limits_.first_ask = Span::s(1);
-  limits_.first_list = Span::s(30);
-  const Span wait = limits_.first_ask * Pcg(7).unit();
+  limits_.max_initial_poll_delay = Span::s(1);
+  limits_.ready_without_list_after = Span::s(30);
+  const Span wait = limits_.max_initial_poll_delay * Pcg(7).unit();
   begin(all_hosts());
   const Instant from = loop_.now();
   Stream d = discovery_.take(2000);
@@ -146,7 +146,7 @@
 }
 
 TEST_F(CrossingTest, ItIsReadyAfterAWhileWithNoList) {
-  limits_.first_list = Span::ms(300);
+  limits_.ready_without_list_after = Span::ms(300);
   begin(all_hosts());
   Stream d = discovery_.take();
   EXPECT_EQ(status_of(ask(kReady)), 503U);
@@ -156,8 +156,8 @@
 }
 
 TEST_F(CrossingTest, ADeskThatDripsAndNeverEndsALineIsOpenedAnew) {
-  limits_.desk_silence = Span::ms(200);
-  limits_.retry_first = Span::ms(10);
+  limits_.platform_silence_timeout = Span::ms(200);
+  limits_.platform_retry_min = Span::ms(10);
   begin(all_hosts());
   Stream s = desk_.take();
   EXPECT_FALSE(s.line().empty());
@@ -170,7 +170,7 @@
 // ---- Forwards ----
 
 TEST_F(CrossingTest, AForwardTellsTheTimeThatIsLeftWhenItsConnectionIsThere) {
-  limits_.connect = Span::s(4);
+  limits_.connect_timeout = Span::s(4);
   terms_.drain_grace = Span::s(20);
   FullDoor late;  // its connections come up once there is room, when the machine asks a second time
   begin(list(entry(0, "up", 1, late.address()), 41, true));
@@ -269,7 +269,7 @@
 
 // An idle connection that is ended is ended in order: what crosses it is read and dropped, and nothing reset.
 TEST_F(CrossingTest, ARequestThatCrossesTheEndOfAnIdleConnectionMeetsAnEndAndNoReset) {
-  limits_.client_idle = Span::ms(100);
+  limits_.client_idle_timeout = Span::ms(100);
   begin(all_hosts());
   Stream c = client();
   c.say(kReady);
@@ -336,7 +336,7 @@
 // ---- The end ----
 
 TEST_F(CrossingTest, ARequestInPiecesThatTheSignalCrossesIsAnswered) {
-  limits_.stop_accepting = Span::ms(60);
+  limits_.shutdown_accept_time = Span::ms(60);
   begin(all_hosts());
   Stream first = client(), kept = client();
   kept.say(kReady);
@@ -366,8 +366,8 @@
 }
 
 TEST_F(CrossingTest, WhoWaitsOutsideAFullTableWhenTheSignalComesIsAnswered) {
-  limits_.stop_accepting = Span::ms(60);
-  limits_.clients = 2;
+  limits_.shutdown_accept_time = Span::ms(60);
+  limits_.max_client_connections = 2;
   begin(list(entry(0), 41, true));
   Stream a = client(), b = client();
   a.say(get(2000)), b.say(get(2000));
@@ -391,7 +391,7 @@
 }
 
 TEST_F(CrossingTest, ItLeavesOnceItsLastAnswerHasBeenReadAndNotBefore) {
-  limits_.stop_accepting = Span::ms(60);
+  limits_.shutdown_accept_time = Span::ms(60);
   begin(list(entry(0), 41, true));
   Stream c = client();
   c.say(get(2000));
@@ -412,8 +412,8 @@
 }
 
 TEST_F(CrossingTest, WhatStillWaitsAtTheLatestIsAnsweredBeforeItLeaves) {
-  limits_.stop_accepting = Span::ms(60);
-  limits_.stop_at_latest = Span::ms(300);
+  limits_.shutdown_accept_time = Span::ms(60);
+  limits_.shutdown_timeout = Span::ms(300);
   begin(list(entry(0), 41, true));
   Stream c = client();
   c.say(get(60000));
@@ -426,8 +426,8 @@
 }
 
 TEST_F(CrossingTest, WhatComesAfterTheSignalHasItsAnswerBeforeTheProcessMayBeKilled) {
-  limits_.stop_accepting = Span::ms(200);
-  limits_.killed_soonest = Span::ms(700);
+  limits_.shutdown_accept_time = Span::ms(200);
+  limits_.earliest_kill = Span::ms(700);
   begin(list(entry(0), 41, true));
   stop();
   const Instant told = loop_.now();
--- a/tests/endpoint_lease_test.cpp
+++ b/tests/endpoint_lease_test.cpp
@@ -15,7 +15,7 @@
 // Of the lease's delay, 50 ms are for a first byte on its way from discovery.
 constexpr Span kGrace = Span::s(1), kSendDelay = Span::ms(450), kNotifiedWithin = Span::s(6);
 constexpr Span kLongestOnItsWay = Span::ms(50);
-EndpointLeaseTerms default_settings() { return {kNotifiedWithin, kGrace, kSendDelay}; }
+EndpointLeaseSettings default_settings() { return {kNotifiedWithin, kGrace, kSendDelay}; }
 Instant at(double seconds) { return Instant::at_us(0) + Span::s(seconds); }
 
 TEST(EndpointLease, AListThatNothingConfirmedIsExpiredFromTheStart) {
--- a/tests/local_failures_test.cpp
+++ b/tests/local_failures_test.cpp
@@ -104,9 +104,9 @@
 
 TEST_F(RestTest, WhereManyConnectionsToAServerRestTheRestIsShortUntilItSendsSomethingUnasked) {
   terms_.may_cancel = false;
-  limits_.host_settle = Span::s(2);
-  limits_.host_settle_busy = Span();
-  limits_.resting_at_once = 4;
+  limits_.endpoint_settle_time = Span::s(2);
+  limits_.busy_endpoint_settle_time = Span();
+  limits_.max_settling_connections = 4;
   begin(list(entry(0), 41, true));
   EXPECT_EQ(ask_at_once(2), 2);
   usleep(20000);
--- a/tests/warden_test.cpp
+++ b/tests/metadata_verifier_test.cpp
@@ -1,5 +1,5 @@
 // Which metadata may pass: decided by the warden, and at the router's door.
-#include "metadata/warden.hpp"
+#include "metadata/metadata_verifier.hpp"
 
 #include <gtest/gtest.h>
 
@@ -15,12 +15,12 @@
 
 struct Passing {
   Publisher repository{kNow + Span::s(86400)};
-  std::unique_ptr<Warden> warden;
+  std::unique_ptr<MetadataVerifier> warden;
   Instant now = kNow;
   explicit Passing(Span lag = Span::s(30), std::size_t clients = 100) {
     repository.contents["targets"]["app"] = "1";
-    warden =
-        std::make_unique<Warden>(std::vector<RepositoryTerms>{{"/look/u/", repository.root(), lag}}, clients);
+    warden = std::make_unique<MetadataVerifier>(
+        std::vector<RepositorySettings>{{"/look/u/", repository.root(), lag}}, clients);
   }
   void publish() {
     ++repository.versions["targets"], ++repository.versions["snapshot"], ++repository.versions["timestamp"];
@@ -34,18 +34,18 @@
   }
 };
 
-TEST(Warden, FindsTheRepositoryOfTheLongestPrefix) {
+TEST(MetadataVerifier, FindsTheRepositoryOfTheLongestPrefix) {
   const Publisher a(kNow + Span::s(9));
-  const Warden w({{"/look/", a.root(), {}}, {"/look/u/", a.root(), {}}}, 10);
+  const MetadataVerifier w({{"/look/", a.root(), {}}, {"/look/u/", a.root(), {}}}, 10);
   std::string_view file;
   EXPECT_EQ(w.repository_of("/look/u/timestamp.json", file), 1U);
   EXPECT_EQ(file, "timestamp.json");
   EXPECT_EQ(w.repository_of("/look/x", file), 0U);
-  EXPECT_EQ(w.repository_of("/book/u/", file), Warden::kNone);
-  EXPECT_THROW(Warden({{"/look/", "{}", {}}}, 10), std::runtime_error);
+  EXPECT_EQ(w.repository_of("/book/u/", file), MetadataVerifier::kNone);
+  EXPECT_THROW(MetadataVerifier({{"/look/", "{}", {}}}, 10), std::runtime_error);
 }
 
-TEST(Warden, AHostThatLagsIsServedForAWhileAndNeverBehindWhatAClientSaw) {
+TEST(MetadataVerifier, AHostThatLagsIsServedForAWhileAndNeverBehindWhatAClientSaw) {
   Passing p;
   const std::string old = p.repository.timestamp(), old_snapshot = p.repository.snapshot(),
                     old_targets = p.repository.targets();
@@ -67,7 +67,7 @@
   EXPECT_EQ(p.timestamp(2), "expired");  // the same bytes that passed before
 }
 
-TEST(Warden, WhatIsNotInItsPlaceYetMustBeGoodByItself) {
+TEST(MetadataVerifier, WhatIsNotInItsPlaceYetMustBeGoodByItself) {
   Passing p;
   EXPECT_EQ(p.check("1.snapshot.json", p.repository.snapshot()), "");
   EXPECT_EQ(p.check("2.snapshot.json", p.repository.snapshot()), "mismatch");
@@ -80,7 +80,7 @@
   EXPECT_EQ(p.check("1.snapshot.json", stranger.snapshot()), "mismatch");
 }
 
-TEST(Warden, RootsInTheirOrderAndTheRecoveryFromFastForward) {
+TEST(MetadataVerifier, RootsInTheirOrderAndTheRecoveryFromFastForward) {
   Passing p;
   p.repository.versions["timestamp"] = 1'000'000, p.repository.versions["snapshot"] = 1'000'000;
   EXPECT_EQ(p.timestamp(1), "");
@@ -99,7 +99,7 @@
   EXPECT_EQ(p.check("5.root.json", p.repository.root()), "root-version");  // under another name
 }
 
-TEST(Warden, ClientsAreBoundedAndForgettingNeverLetsARollbackPass) {
+TEST(MetadataVerifier, ClientsAreBoundedAndForgettingNeverLetsARollbackPass) {
   Passing p(Span::s(3600), 16);
   const std::string old = p.repository.timestamp();
   EXPECT_EQ(p.timestamp(1), "");
@@ -117,8 +117,8 @@
   Publisher repository_{loop_.now() + Span::s(86400)};
   void open() {
     before_start_ = [this] {
-      service_->watch_metadata(std::make_unique<Warden>(
-          std::vector<RepositoryTerms>{{"/look/u/", repository_.root(), Span()}}, 100));
+      service_->watch_metadata(std::make_unique<MetadataVerifier>(
+          std::vector<RepositorySettings>{{"/look/u/", repository_.root(), Span()}}, 100));
     };
     begin(all_hosts());
   }
--- a/tests/router_test.cpp
+++ b/tests/router_test.cpp
@@ -107,7 +107,7 @@
 }
 
 TEST_F(RouterTest, AForwardThatWaitsForItsConnectionIsNotWrittenToADrainingHost) {
-  limits_.connect = Span::s(5);
+  limits_.connect_timeout = Span::s(5);
   terms_.drain_grace = Span::s(20);
   const FullDoor full;
   begin(list(entry(0, "up", 1, full.address()), 41, true));
@@ -191,8 +191,8 @@
 }
 
 TEST_F(RouterTest, WhoSaysNothingOrHalfIsClosedSoonAndWhoStaysIdleLater) {
-  limits_.first_request = limits_.request_read = Span::ms(200);
-  limits_.client_idle = Span::ms(500);
+  limits_.first_request_timeout = limits_.request_read_timeout = Span::ms(200);
+  limits_.client_idle_timeout = Span::ms(500);
   begin(all_hosts());
   Stream silent = client(), half = client(), blank = client(), kept = client(), later = client(),
          odd = client();
@@ -236,7 +236,7 @@
 }
 
 TEST_F(RouterTest, MoreThanAnAnswerIsNeverTakenForTheNext) {
-  limits_.host_settle = Span::ms(100);
+  limits_.endpoint_settle_time = Span::ms(100);
   begin(list(entry(0), 41, true));
   Stream c = client();
   c.say(get());
@@ -254,7 +254,7 @@
 }
 
 TEST_F(RouterTest, PlacesOfHostsThatAreGoneAreUsedAgainOnceNothingNamesThem) {
-  limits_.host_forgotten = Span();
+  limits_.removed_endpoint_retention = Span();
   begin(list(entry(0), 41, true));
   Stream d = discovery_.take(), c = client();
   d.say("HTTP/1.1 200 OK\r\n\r\n");
@@ -325,7 +325,7 @@
 TEST_F(RouterTest, AForwardNotYetWrittenIsRecalledWhenANewerBuildAnswersForItsKey) {
   terms_.sticky_keys = true;
   terms_.drain_grace = Span::s(6);
-  limits_.connect = Span::s(3);
+  limits_.connect_timeout = Span::s(3);
   FullDoor slow;
   begin(list(entry(1, "up", 2), 41, true));
   Stream d = discovery_.take(), first = client(), second = client();
@@ -349,7 +349,7 @@
 TEST_F(RouterTest, AForwardRecalledAndCalledOffAtOnceEndsOnce) {
   terms_.sticky_keys = terms_.may_hedge = true;
   terms_.drain_grace = Span::s(6);
-  limits_.connect = Span::s(3);
+  limits_.connect_timeout = Span::s(3);
   const FullDoor slow;
   begin(list(entry(0, "up", 1, slow.address()), 41, true));
   Stream d = discovery_.take(), c = client();
@@ -376,7 +376,7 @@
 }
 
 TEST_F(RouterTest, AWatchThatFailsIsAskedForAgain) {
-  limits_.discovery_silence = limits_.discovery_call = Span::ms(150);
+  limits_.watch_silence_timeout = limits_.discovery_call_timeout = Span::ms(150);
   terms_.endpoint_poll_interval = Span::s(1);  // the longest wait is 2 s then
   begin(all_hosts());
   const std::string good = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -413,7 +413,7 @@
 }
 
 TEST_F(RouterTest, WhatIsOddInListAndNewsIsAskedForAgainAndThenPassedOver) {
-  limits_.retry_first = Span::ms(10);
+  limits_.platform_retry_min = Span::ms(10);
   begin(all_hosts());
   for (const char* since : {"since=41", "since=41", "since=42"}) {
     Stream d = discovery_.take();
@@ -462,7 +462,7 @@
 }
 
 TEST_F(RouterTest, ToldToStopItAnswersWhatComesAndEnds) {
-  limits_.stop_accepting = Span::ms(150);
+  limits_.shutdown_accept_time = Span::ms(150);
   begin(list(entry(0), 41, true));
   Stream idle = client(), busy = client();
   idle.say("GET /health/ready HTTP/1.1\r\n\r\n");
@@ -502,8 +502,8 @@
 }
 
 TEST_F(RouterTest, AtAFullTableIdleClientsMakeRoomAndHostsAreNotOverrun) {
-  limits_.clients = 4;
-  limits_.to_hosts = 2;
+  limits_.max_client_connections = 4;
+  limits_.max_endpoint_connections = 2;
   begin(all_hosts());
   std::vector<Stream> busy;
   for (int i = 0; i < 3; ++i) {
@@ -527,7 +527,7 @@
 }
 
 TEST_F(RouterTest, AFloodOfSilentAndHalfRequestsKeepsNobodyOut) {
-  limits_.clients = 8;
+  limits_.max_client_connections = 8;
   begin(all_hosts());
   std::vector<Stream> flood;
   for (int i = 0; i < 60; ++i) {
@@ -542,7 +542,7 @@
 // None is closed between its requests, which the next could cross: past the bound each answer is the last
 // one.
 TEST_F(RouterTest, OfClientsThatAskOnceAndStayOnlyAFewAreKept) {
-  limits_.idle_clients = 4;
+  limits_.max_idle_client_connections = 4;
   begin(all_hosts());
   std::vector<Stream> stay;
   for (int i = 0; i < 20; ++i) {
@@ -588,11 +588,11 @@
 struct DeskTest : testing::Test {
   Door door_;
   Limits limits_;
-  Loop loop_;
+  EventLoop loop_;
   std::vector<VoteOutcome> answers_;
   std::vector<std::string> news_;
-  void run(const std::function<void(Desk&)>& first, const std::function<bool()>& until) {
-    Desk desk(
+  void run(const std::function<void(ReleaseClient&)>& first, const std::function<bool()>& until) {
+    ReleaseClient desk(
         loop_, limits_, door_.address(), 3,
         [this](const std::string& method, const Json& params) {
           news_.push_back(method + std::string(params.raw()));
@@ -616,7 +616,7 @@
 };
 
 TEST_F(DeskTest, EachAnswerToAVoteIsTold) {
-  limits_.desk_answer = Span::ms(150);
+  limits_.platform_answer_timeout = Span::ms(150);
   std::thread desk([this] {
     Stream s = door_.take();
     std::string calls;
@@ -638,7 +638,7 @@
     usleep(50000);
   });
   run(
-      [](Desk& d) {
+      [](ReleaseClient& d) {
         for (int i = 0; i < 6; ++i) d.vote(42, 1, Vote::kPromote);
       },
       [this] { return answers_.size() >= 6; });
@@ -650,8 +650,8 @@
 }
 
 TEST_F(DeskTest, ABrokenSilentOrUnreadableDeskIsOpenedAnew) {
-  limits_.desk_silence = Span::ms(100);
-  limits_.retry_first = Span::ms(10);
+  limits_.platform_silence_timeout = Span::ms(100);
+  limits_.platform_retry_min = Span::ms(10);
   std::thread desk([this] {
     for (int i = 0; i < 4; ++i) {
       Stream s = door_.take();
@@ -663,7 +663,7 @@
       else s.say("{\"method\":\"NEWS\",\"params\":{}}\n"), usleep(20000);
     }
   });
-  run([](Desk& d) { d.vote(42, 1, Vote::kAbort); }, [this] { return !news_.empty(); });
+  run([](ReleaseClient& d) { d.vote(42, 1, Vote::kAbort); }, [this] { return !news_.empty(); });
   desk.join();
   EXPECT_EQ(answers_, std::vector<VoteOutcome>{VoteOutcome::kUnknown});  // written, then broken: it may count
   EXPECT_EQ(news_.size(), 1U);
@@ -680,7 +680,8 @@
     EXPECT_TRUE(s.ended());
     EXPECT_FALSE(door_.asked(200));
   });
-  run([&](Desk& d) { d.vote(42, 1, Vote::kAbort), d.retire([&] { over = true; }); }, [&] { return over; });
+  run([&](ReleaseClient& d) { d.vote(42, 1, Vote::kAbort), d.retire([&] { over = true; }); },
+      [&] { return over; });
   desk.join();
   EXPECT_EQ(answers_, std::vector<VoteOutcome>{VoteOutcome::kAccepted});
   EXPECT_TRUE(news_.empty());
@@ -688,7 +689,7 @@
 
 TEST_F(DeskTest, AVoteThatIsNeverWrittenHasFailed) {
   ::close(std::exchange(door_.fd, ::socket(AF_INET, SOCK_STREAM, 0)));  // nobody listens
-  run([](Desk& d) { d.vote(42, 1, Vote::kPromote); }, [this] { return !answers_.empty(); });
+  run([](ReleaseClient& d) { d.vote(42, 1, Vote::kPromote); }, [this] { return !answers_.empty(); });
   EXPECT_EQ(answers_, std::vector<VoteOutcome>{VoteOutcome::kFailed});
 }
 
--- a/tests/router_world.hpp
+++ b/tests/router_world.hpp
@@ -145,7 +145,7 @@
   RouterSettings terms_ = default_settings();
   WireSettings door_{{"look", "book", "pay"}, {"shop"},   {"a", "b"}, {"m"}, {"active"},
                      Span::ms(250),           Span::s(20)};
-  Loop loop_;
+  EventLoop loop_;
   std::unique_ptr<Service> service_;
   std::thread thread_;
   std::atomic<bool> stopping_ = false, wound_down_ = false;
@@ -172,8 +172,8 @@
     terms_.may_hedge = false;
     terms_.router_count = 1;
     // Ready, and serving, without discovery, but for the tests of that.
-    limits_.first_list = Span();
-    limits_.known_list = Span::s(600);
+    limits_.ready_without_list_after = Span();
+    limits_.configured_list_validity = Span::s(600);
   }
   void begin(const std::string& known) {
     const std::string news = R"({"image":1,"ring":0,"progress":"released","ceiling":1,"lag_ms":99000})";
