--- a/tests/tls_test.cpp
+++ b/tests/tls_test.cpp
@@ -8,39 +8,39 @@
 #include <future>
 
 #include "calling_helpers.hpp"
+#include "fakes/client.hpp"
+#include "fakes/discovery.hpp"
+#include "fakes/endpoint.hpp"
+#include "fakes/pki.hpp"
+#include "fakes/release_platform.hpp"
 #include "program/operators.hpp"
 #include "router_world.hpp"
-#include "standins/client.hpp"
-#include "standins/desk.hpp"
-#include "standins/discovery.hpp"
-#include "standins/host.hpp"
-#include "standins/pki.hpp"
 
 namespace ashbeam {
 namespace {
 
-using standins::Client;
-using standins::ClientTls;
+using fakes::Client;
+using fakes::ClientTls;
 
 class TlsTest : public testing::Test {
  protected:
-  standins::Authority authority_{"authority"};
-  standins::Identity server_ = authority_.issue("", "router", Span::s(3600), true);
-  standins::Identity van_ = authority_.issue("shop", "van", Span::s(3600));
-  TlsTerms tls_;
+  fakes::Authority authority_{"authority"};
+  fakes::Identity server_ = authority_.issue("", "router", Span::s(3600), true);
+  fakes::Identity van_ = authority_.issue("shop", "van", Span::s(3600));
+  TlsSettings tls_;
   TlsFiles files_;
-  calling::CallingTerms calling_ = shop_terms();
+  calling::CallingSettings calling_ = shop_terms();
   Limits limits_;
   // Stand-ins, on a thread of their own.
-  Loop theirs_;
+  EventLoop theirs_;
   std::string seen_;
-  std::unique_ptr<standins::Host> host_;
-  std::unique_ptr<standins::Discovery> discovery_;
-  std::unique_ptr<standins::Desk> desk_;
+  std::unique_ptr<fakes::Endpoint> host_;
+  std::unique_ptr<fakes::Discovery> discovery_;
+  std::unique_ptr<fakes::ReleasePlatform> desk_;
   std::string body_ = "ok";
   std::thread their_thread_;
   // The router, on another.
-  Loop loop_;
+  EventLoop loop_;
   std::unique_ptr<Service> service_;
   std::thread thread_;
   std::vector<std::string> notes_;  // read once both have ended
@@ -48,20 +48,20 @@
   void SetUp() override {
     std::signal(SIGPIPE, SIG_IGN);
     tls_.listen = "127.0.0.1:0";
-    tls_.clients = TlsTerms::Clients::kOptional;
+    tls_.clients = TlsSettings::Clients::kOptional;
     files_ = {server_.certificate_pem, server_.key_pem, authority_.pem(), "", ""};
   }
   void begin() {
-    host_ = std::make_unique<standins::Host>(theirs_, limits_,
-                                             [this](const http::Head& head, const std::string&) {
-                                               seen_ = std::string(head.find("X-Caller").value_or("-"));
-                                               standins::Served s;
-                                               s.body = body_;
-                                               return s;
-                                             });
-    discovery_ = std::make_unique<standins::Discovery>(theirs_, limits_);
-    desk_ = std::make_unique<standins::Desk>(theirs_, limits_, std::vector<double>{1},
-                                             [](const standins::Desk::State&) {});
+    host_ = std::make_unique<fakes::Endpoint>(theirs_, limits_,
+                                              [this](const http::Head& head, const std::string&) {
+                                                seen_ = std::string(head.find("X-Caller").value_or("-"));
+                                                fakes::Served s;
+                                                s.body = body_;
+                                                return s;
+                                              });
+    discovery_ = std::make_unique<fakes::Discovery>(theirs_, limits_);
+    desk_ = std::make_unique<fakes::ReleasePlatform>(theirs_, limits_, std::vector<double>{1},
+                                                     [](const fakes::ReleasePlatform::State&) {});
     discovery_->put({"h", host_->address(), "up", 1, Instant()});
     const WireSettings door{{"look", "book", "pay"}, {"shop"},   {"one"}, {"usual"}, {},
                             Span::ms(250),           Span::s(20)};
@@ -71,11 +71,11 @@
                                          Site{"n", "127.0.0.1:0", discovery_->address(), desk_->address(), 7,
                                               discovery_->list(), desk_->news()},
                                          [this](std::string_view line) { notes_.emplace_back(line); });
-    service_->also_listen(tls_, std::make_shared<TlsMaterial>(tls_, files_));
-    service_->guard(std::make_unique<calling::Gate>(calling_, 7, loop_.now()), false);
+    service_->also_listen(tls_, std::make_shared<TlsCredentials>(tls_, files_));
+    service_->guard(std::make_unique<calling::Authorizer>(calling_, 7, loop_.now()), false);
     service_->start();
-    theirs_.expect_hand_overs();
-    loop_.expect_hand_overs();
+    theirs_.enable_posts_from_threads();
+    loop_.enable_posts_from_threads();
     their_thread_ = std::thread([this] { theirs_.run(); });
     thread_ = std::thread([this] { loop_.run(); });
   }
@@ -92,11 +92,11 @@
     return std::any_of(notes_.begin(), notes_.end(),
                        [&](const std::string& l) { return l.find(part) != std::string::npos; });
   }
-  static void on(Loop& loop, const std::function<void()>& what) {
+  static void on(EventLoop& loop, const std::function<void()>& what) {
     // Shared: the loop may still hold it when we have gone on.
     const auto done = std::make_shared<std::promise<void>>();
     auto over = done->get_future();
-    loop.hand_over([&what, done] {
+    loop.post_from_thread([&what, done] {
       try {
         what();
       } catch (const std::exception& e) {
@@ -107,11 +107,11 @@
     over.wait();
   }
   void take() {
-    on(loop_, [this] { service_->tls()->take(tls_, std::make_shared<TlsMaterial>(tls_, files_)); });
+    on(loop_, [this] { service_->tls()->take(tls_, std::make_shared<TlsCredentials>(tls_, files_)); });
   }
   std::string address() const { return "127.0.0.1:" + std::to_string(service_->tls_port()); }
-  std::shared_ptr<ClientTls> tls(const standins::Identity* id, bool resume = false, int newest = 0x0304,
-                                 const standins::Identity* between = nullptr) {
+  std::shared_ptr<ClientTls> tls(const fakes::Identity* id, bool resume = false, int newest = 0x0304,
+                                 const fakes::Identity* between = nullptr) {
     return std::make_shared<ClientTls>(id, between, resume, newest);
   }
   struct Got {
@@ -129,7 +129,7 @@
   Got ask(Owned& c, const std::string& request = get()) {
     const auto got = std::make_shared<std::promise<Got>>();
     auto future = got->get_future();
-    theirs_.hand_over([&c, &request, got] {
+    theirs_.post_from_thread([&c, &request, got] {
       c->ask(request, [c, got](const Client::Answer& a) {
         got->set_value({a.status, a.message ? a.message->raw_body() : "", c->resumed(), !c->connected()});
       });
@@ -174,12 +174,12 @@
 }
 
 TEST_F(TlsTest, WhoIsNotBelieved) {
-  const standins::Authority stranger("authority");  // of the same name
-  const standins::Identity forged = stranger.issue("shop", "van", Span::s(3600));
-  const standins::Identity expired = authority_.issue("shop", "van", Span::s(-30));
-  const standins::Identity elsewhere = authority_.issue("elsewhere", "van", Span::s(3600));
+  const fakes::Authority stranger("authority");  // of the same name
+  const fakes::Identity forged = stranger.issue("shop", "van", Span::s(3600));
+  const fakes::Identity expired = authority_.issue("shop", "van", Span::s(-30));
+  const fakes::Identity elsewhere = authority_.issue("elsewhere", "van", Span::s(3600));
   begin();
-  const auto status = [&](const standins::Identity* id) {
+  const auto status = [&](const fakes::Identity* id) {
     Owned c = client(tls(id));
     const unsigned s = ask(c).status;
     drop(c);
@@ -191,17 +191,17 @@
   EXPECT_EQ(status(&forged), 0U);
   EXPECT_EQ(status(&expired), 0U);
   EXPECT_EQ(status(&server_), 0U);  // not meant for clients
-  tls_.clients = TlsTerms::Clients::kRequired;
+  tls_.clients = TlsSettings::Clients::kRequired;
   take();
   EXPECT_EQ(status(nullptr), 0U);
   EXPECT_EQ(status(&van_), 200U);
 }
 
 TEST_F(TlsTest, ARevokedCertificateIsServedNoMoreByAnyWay) {
-  const standins::Identity other = authority_.issue("shop", "other", Span::s(3600));
+  const fakes::Identity other = authority_.issue("shop", "other", Span::s(3600));
   begin();
   for (const auto& how : std::vector<std::string>{"serial", "key", "list"}) {
-    const standins::Identity gone = authority_.issue("shop", "gone", Span::s(3600));
+    const fakes::Identity gone = authority_.issue("shop", "gone", Span::s(3600));
     Owned kept = client(tls(&gone)), resuming = client(tls(&gone, true)), late = client(tls(&gone)),
           innocent = client(tls(&other, true));
     EXPECT_EQ(ask(kept).status, 200U);
@@ -267,9 +267,9 @@
 }
 
 TEST_F(TlsTest, CertificatesAreRenewedWithoutDroppingAnybody) {
-  const standins::Authority between = authority_.intermediate("between");
-  const standins::Identity led = authority_.issue("shop", "led", Span::s(3600), false, &between);
-  const standins::Identity step = between.self();
+  const fakes::Authority between = authority_.intermediate("between");
+  const fakes::Identity led = authority_.issue("shop", "led", Span::s(3600), false, &between);
+  const fakes::Identity step = between.self();
   begin();
   Owned plain = client(tls(&van_, true)), through = client(tls(&led, true, 0x0304, &step)),
         resumed = client(tls(&led, true, 0x0304, &step));
@@ -382,9 +382,9 @@
 }
 
 TEST_F(TlsTest, WhatCannotBeUsedIsNamed) {
-  const auto complaint = [&](const TlsTerms& terms, const TlsFiles& files) -> std::string {
+  const auto complaint = [&](const TlsSettings& terms, const TlsFiles& files) -> std::string {
     try {
-      TlsMaterial all(terms, files);
+      TlsCredentials all(terms, files);
     } catch (const std::exception& e) {
       return e.what();
     }
