--- /dev/null
+++ b/src/policy/admission.cpp
@@ -0,0 +1,60 @@
+#include "policy/admission.hpp"
+
+#include <algorithm>
+
+namespace ashbeam::policy {
+
+namespace {
+
+// So many of all routers together send a request to an idle endpoint that is predicted late.
+constexpr double kExploringRouters = 4;
+
+// Patience grows from the first of these, by the second for the best weight.
+constexpr double kMinPatience = 0.25;
+constexpr double kPatienceRange = 0.5;
+
+constexpr double kBestWeightDecay = 0.999;  // a request
+constexpr double kMeanWeightWeight = 0.01;
+constexpr double kMinMeanWeight = 1e-9;
+
+}  // namespace
+
+Admission::Admission(const RouterSettings& settings)
+    : settings_(settings), exploration_part_(kExploringRouters / settings.router_count) {
+  for (const double quota_per_s : settings.tenant_quota_per_s) {
+    const double own_quota_per_s = quota_per_s / settings.router_count;
+    tenants_.push_back({own_quota_per_s, own_quota_per_s});
+  }
+}
+
+void Admission::on_request(Request& request, unsigned tenant, double class_mean_ms) {
+  const double weight = weight_per_ms(request, tenant, class_mean_ms);
+  mean_weight_ += kMeanWeightWeight * (weight * class_mean_ms - mean_weight_);
+  request.weight = weight * class_mean_ms / std::max(mean_weight_, kMinMeanWeight);
+  request.patience =
+      (kMinPatience + kPatienceRange * weight / best_weight_per_ms_) * (2 - std::min(1.0, exploration_part_));
+}
+
+double Admission::weight_per_ms(const Request& request, unsigned tenant, double class_mean_ms) {
+  const double weight = settings_.request_classes[request.request_class].priority_weight / class_mean_ms;
+  best_weight_per_ms_ = std::max(best_weight_per_ms_ * kBestWeightDecay, weight);
+  if (tenant >= tenants_.size()) return weight;
+  if (tenants_[tenant].tokens < 1) return weight * settings_.over_quota_weight;
+  tenants_[tenant].tokens -= 1;
+  return weight;
+}
+
+void Admission::on_tick(Span elapsed) {
+  for (Tenant& tenant : tenants_) {
+    tenant.tokens =
+        std::min(tenant.tokens + tenant.quota_per_s * elapsed.s(), std::max(tenant.quota_per_s, 1.0));
+  }
+}
+
+bool Admission::admits(const Request& request, const Selection& selection, bool endpoint_is_idle, Instant now,
+                       Pcg& random) const {
+  if (endpoint_is_idle && random.unit() < exploration_part_) return true;
+  return selection.predicted_ms <= request.ms_to_objective(now) * request.patience;
+}
+
+}  // namespace ashbeam::policy
--- /dev/null
+++ b/src/policy/endpoint_monitor.cpp
@@ -0,0 +1,86 @@
+#include "policy/endpoint_monitor.hpp"
+
+#include <algorithm>
+
+namespace ashbeam::policy {
+
+namespace {
+
+// An endpoint with attempts in flight that is silent for the longer of these counts as failed once.
+constexpr Span kMinSilence = Span::ms(800);
+constexpr double kUsualSilenceFactor = 4;
+
+// With fewer endpoints of its role ready than this, one has no peers.
+constexpr std::size_t kMinPeers = 2;
+
+}  // namespace
+
+void EndpointMonitor::scan(Instant now) {
+  const RouterSettings& settings = parts_.settings;
+  parts_.latency.age_estimates(now);
+  parts_.capacity.begin_scan();
+  parts_.slow_start.begin_scan(now);
+  parts_.balancer.clear_jittered();
+  in_service_ = {};
+  ready_capacity_ = 0;
+  const Span window = std::max(settings.exposure_window, settings.slow_start_window);
+  const double arrivals = parts_.arrivals.sum_of_classes_since(now - window + settings.clock_tick);
+  EndpointIndex index = 0;
+  for (Endpoint& endpoint : parts_.endpoints) {
+    if (endpoint.state == EndpointState::kReady) scan_endpoint(index, endpoint, now);
+    ++index;
+  }
+  parts_.capacity.end_scan();
+  parts_.slow_start.end_scan(arrivals * (settings.slow_start_window / window), ready_capacity_);
+}
+
+void EndpointMonitor::scan_endpoint(EndpointIndex index, Endpoint& endpoint, Instant now) {
+  const double limit = parts_.slow_start.limit(endpoint, now);
+  const bool jittered = limit < 1;
+  if (jittered && endpoint.zone == parts_.settings.zone && endpoint.slow_start.jitter < limit)
+    parts_.balancer.add_jittered(index);
+  if (endpoint.attempts_in_flight > 0) count_silence(index, endpoint, now);
+  if (endpoint.outlier.ejected) parts_.outliers.readmit_if_recovered(index, endpoint, now);
+
+  const ReleaseRole role = parts_.release.role(endpoint.version);
+  const double capacity = parts_.slow_start.capacity(endpoint, now);
+  ready_capacity_ += capacity;
+  parts_.capacity.add(endpoint, role, jittered ? 0 : usual_attempts(endpoint, capacity));
+  if (endpoint.outlier.ejected) return;
+
+  in_service_.endpoints[role] += 1;
+  in_service_.capacity += capacity;
+  in_service_.outcomes[role].merge(endpoint.outcomes_by_class.back());
+  const bool stable = !parts_.release.is_canary(endpoint.version);
+  if (stable && parts_.slow_start.is_surely_warm(endpoint, now))
+    parts_.slow_start.add_warm_stable(endpoint, now);
+}
+
+void EndpointMonitor::count_silence(EndpointIndex index, Endpoint& endpoint, Instant now) {
+  const Span silence = now - std::max(endpoint.last_heard_at, endpoint.unanswered_since);
+  const Span usual = Span::ms(parts_.latency.usual_silence_ms(endpoint, now));
+  if (silence <= std::max(kMinSilence, usual * kUsualSilenceFactor)) return;
+  endpoint.last_heard_at = now;
+  add_outcome(index, 1, now);
+}
+
+double EndpointMonitor::usual_attempts(const Endpoint& endpoint, double capacity) const {
+  const SlowStart::UsualAttempts usual = parts_.slow_start.usual_attempts(endpoint.machine_type);
+  return capacity * (usual.attempts * parts_.latency.peers_estimate_ms(endpoint.zone, usual.machine_type) /
+                     parts_.latency.peers_estimate_ms(endpoint));
+}
+
+void EndpointMonitor::add_outcome(EndpointIndex index, double failure, Instant now) {
+  Endpoint& endpoint = parts_.endpoints[index];
+  parts_.outliers.add_outcome(index, endpoint, failure, peers_of(endpoint), now);
+}
+
+OutlierPeers EndpointMonitor::peers_of(const Endpoint& endpoint) const {
+  const ReleaseRole role = parts_.release.role(endpoint.version);
+  const std::size_t ready =
+      role == ReleaseRole::kCanary ? parts_.endpoints.canary_ready() : parts_.endpoints.stable_ready();
+  const bool only_canary = ready < kMinPeers && parts_.release.is_canary(endpoint.version);
+  return {in_service_.outcomes[role].failure_rate(), only_canary};
+}
+
+}  // namespace ashbeam::policy
--- /dev/null
+++ b/src/policy/latency_estimator.cpp
@@ -0,0 +1,84 @@
+#include "policy/latency_estimator.hpp"
+
+#include <algorithm>
+
+namespace ashbeam::policy {
+
+namespace {
+
+// The first guess of a class's mean latency, as a part of its objective.
+constexpr double kInitialObjectiveDivisor = 6;
+
+// Least weights of a new latency in an estimate or a mean; the longer nothing was heard, the more it weighs.
+constexpr double kMinPeersWeight = 0.02;
+constexpr double kMinEndpointWeight = 0.1;
+constexpr double kMaxWeight = 0.3;
+constexpr double kClassWeight = 0.02;
+constexpr double kUsualWeight = 0.01;
+constexpr double kRecentWeight = 0.03;
+
+// One latency counts as at most so many times the estimate that it goes into.
+constexpr double kMaxOutlierRatio = 10;
+
+constexpr Span kUnheardAfter = Span::s(1);
+constexpr double kUnheardDecay = 0.995;  // a tick
+
+}  // namespace
+
+LatencyEstimator::LatencyEstimator(const RouterSettings& settings)
+    : machine_type_count_(settings.machine_type_count) {
+  for (const RequestClass& request_class : settings.request_classes)
+    class_mean_ms_.push_back(request_class.latency_objective.ms() / kInitialObjectiveDivisor);
+  for (const double class_mean_ms : class_mean_ms_)
+    mean_ms_ += class_mean_ms / static_cast<double>(class_mean_ms_.size());
+  usual_.mean = mean_ms_ / kOwnLoad;
+  recent_.mean = usual_.mean;
+  peers_.resize(settings.zone_count * machine_type_count_, {usual_.mean, {}});
+}
+
+void LatencyEstimator::ensure_zone(unsigned zone) {
+  const std::size_t needed = std::size_t{zone + 1} * machine_type_count_;
+  if (needed > peers_.size()) peers_.resize(needed, {usual_.mean, {}});
+}
+
+double LatencyEstimator::normalized_ms(double latency_ms, unsigned request_class, double load,
+                                       double capacity) const {
+  return latency_ms * capacity * mean_ms_ / class_mean_ms_[request_class] / (kOwnLoad + load);
+}
+
+void LatencyEstimator::learn_peers(const Endpoint& endpoint, double normalized_ms, Instant now) {
+  update(peers_[endpoint.zone * machine_type_count_ + endpoint.machine_type], normalized_ms, kMinPeersWeight,
+         now);
+}
+
+void LatencyEstimator::learn_endpoint(Endpoint& endpoint, double normalized_ms, Instant now) const {
+  endpoint.latency.ms_per_load = estimate_ms(endpoint, now);
+  update(endpoint.latency, normalized_ms, kMinEndpointWeight, now);
+}
+
+void LatencyEstimator::learn_means(unsigned request_class, double latency_ms, double normalized_ms) {
+  recent_.add(std::min(normalized_ms, recent_.mean * kMaxOutlierRatio), kRecentWeight);
+  usual_.add(std::min(normalized_ms, usual_.mean * kMaxOutlierRatio), kUsualWeight);
+  double& class_mean_ms = class_mean_ms_[request_class];
+  class_mean_ms += kClassWeight * (std::min(latency_ms, class_mean_ms * kMaxOutlierRatio) - class_mean_ms);
+  mean_ms_ += kClassWeight * (std::min(latency_ms, mean_ms_ * kMaxOutlierRatio) - mean_ms_);
+}
+
+void LatencyEstimator::age_estimates(Instant now) {
+  double best = peers_.front().ms_per_load;
+  for (const LatencyEstimate& estimate : peers_) best = std::min(best, estimate.ms_per_load);
+  for (LatencyEstimate& estimate : peers_) {
+    if (now - estimate.updated_at > kUnheardAfter)
+      estimate.ms_per_load = std::max(estimate.ms_per_load * kUnheardDecay, best);
+  }
+}
+
+void LatencyEstimator::update(LatencyEstimate& estimate, double normalized_ms, double min_weight,
+                              Instant now) {
+  const double weight = std::clamp((now - estimate.updated_at) / kEstimateLifetime, min_weight, kMaxWeight);
+  estimate.ms_per_load +=
+      weight * (std::min(normalized_ms, estimate.ms_per_load * kMaxOutlierRatio) - estimate.ms_per_load);
+  estimate.updated_at = now;
+}
+
+}  // namespace ashbeam::policy
--- /dev/null
+++ b/src/policy/request_router.cpp
@@ -0,0 +1,309 @@
+#include "policy/request_router.hpp"
+
+#include <algorithm>
+
+namespace ashbeam::policy {
+
+namespace {
+
+constexpr Span kTick = Span::ms(20);
+constexpr Span kMaxEndpointPollInterval = Span::s(3);
+// The final answer is given this long before the client's deadline, so that it arrives in time.
+constexpr Span kAnswerMargin = Span::ms(26);
+
+// Tokens of schedule_wakeup().
+constexpr std::uint64_t kTickToken = 1;
+constexpr std::uint64_t kWatchToken = 2;
+
+// A request waits for an endpoint while so many times its class's mean latency is left.
+constexpr double kWaitWorthMeans = 1.5;
+// A retry is worth while while so many times the mean latency is left before the deadline.
+constexpr double kRetryWorthMeans = 0.5;
+
+// An attempt is hedged after so many times its predicted latency, within these parts of the objective.
+constexpr double kHedgeAfterPredictions = 3;
+constexpr double kMinHedgeDelayPart = 0.35;
+constexpr double kMaxHedgeDelayPart = 0.65;
+
+constexpr double kMinRetryAfterMs = 150;
+constexpr double kRetryAfterRangeMs = 300;
+
+}  // namespace
+
+RequestRouter::RequestRouter(const RouterSettings& settings, std::uint64_t seed, RouterActions& actions)
+    : settings_(settings), actions_(actions), log_(actions), random_(seed),
+      endpoints_(settings_.request_classes.size(), settings_.machine_type_count),
+      arrivals_(settings_.request_classes.size()), latency_(settings_), slow_start_(settings_),
+      capacity_(settings_), exposure_(settings_, arrivals_), sticky_keys_(settings_.sticky_keys),
+      guards_(settings_, endpoints_, release_, exposure_, slow_start_, sticky_keys_),
+      balancer_({settings_, endpoints_, release_, latency_, slow_start_, capacity_, sticky_keys_}, guards_,
+                random_),
+      admission_(settings_), retry_budget_(settings_.router_count), outliers_(log_, random_),
+      monitor_({settings_, endpoints_, release_, arrivals_, latency_, slow_start_, capacity_, balancer_,
+                outliers_}),
+      regression_({settings_, endpoints_, release_, latency_, arrivals_, log_}),
+      outcomes_({endpoints_, release_, monitor_, latency_, slow_start_, regression_}),
+      controller_({settings_, endpoints_, monitor_, release_, regression_, log_, actions_, random_}),
+      endpoint_watch_pacing_(std::min(settings_.endpoint_poll_interval, kMaxEndpointPollInterval)) {}
+
+void RequestRouter::start() {
+  controller_.start(now_);
+  slow_start_.start(now_);
+  actions_.schedule_wakeup(kTick, kTickToken);
+  if (settings_.must_watch_endpoints) actions_.watch_endpoints();
+}
+
+// ---- The endpoint list ----
+
+void RequestRouter::begin_endpoint_update(bool complete) {
+  endpoint_watch_pacing_.succeeded();
+  endpoints_.begin_update(complete);
+}
+
+void RequestRouter::update_endpoint(const EndpointUpdate& update) {
+  endpoints_.update(update, now_, random_);
+  latency_.ensure_zone(update.zone);
+  slow_start_.ensure_zone(update.zone);
+  capacity_.ensure_zone(update.zone);
+}
+
+void RequestRouter::end_endpoint_update() {
+  if (const auto lowest_version = endpoints_.end_update()) release_.assume_released(*lowest_version);
+  slow_start_.set_endpoint_count(endpoints_.max_ready(), now_);
+  endpoints_.count_roles(release_);
+}
+
+// The list as it was stands for as long as its lease runs.
+void RequestRouter::on_endpoint_watch_failed() {
+  actions_.schedule_wakeup(endpoint_watch_pacing_.wait_after_failure(random_.unit()), kWatchToken);
+}
+
+void RequestRouter::set_endpoint_list_validity(const EndpointListValidity& validity) {
+  guards_.set_list_validity(validity);
+}
+
+void RequestRouter::extend_endpoint_validity(EndpointIndex index, Instant until) {
+  if (!endpoints_.contains(index)) return;
+  Endpoint& endpoint = endpoints_[index];
+  endpoint.valid_until = std::max(endpoint.valid_until, until);
+}
+
+// ---- The release ----
+
+void RequestRouter::on_release_state(const ReleaseState& state) {
+  if (controller_.on_release_state(state, now_)) end_endpoint_update();
+}
+
+void RequestRouter::on_vote_refused(VoteOutcome outcome) { controller_.on_vote_refused(outcome, now_); }
+
+void RequestRouter::on_outcome_sample(const OutcomeSample& sample) { regression_.add_sample(sample); }
+
+void RequestRouter::on_disputed_answer(const DisputedAnswer& disputed) {
+  regression_.add_disputed_answer(disputed, now_);
+}
+
+// ---- A request's steps ----
+
+void RequestRouter::on_request(const RequestArrival& arrival) {
+  if (arrival.request_class >= settings_.request_classes.size()) return actions_.fail(arrival.request);
+  const std::uint32_t slot = requests_.take();
+  request_slots_.put(arrival.request, slot);
+  Request& request = requests_[slot];
+  request.id = arrival.request;
+  request.live = true;
+  request.request_class = arrival.request_class;
+  request.sticky_key = arrival.sticky_key;
+  request.deadline = arrival.deadline - kAnswerMargin;
+  request.objective_at = std::min(now_ + class_of(request).latency_objective, request.deadline);
+  admission_.on_request(request, arrival.tenant, latency_.class_mean_ms(request.request_class));
+  arrivals_.add(request.request_class, now_);
+  retry_budget_.on_request();
+  route(request);
+}
+
+// Sends the request, lets it wait a little for an endpoint, or gives it up at once.
+void RequestRouter::route(Request& request) {
+  const auto selection = choose(request);
+  if (!selection) return wait_for_endpoint(request);
+  const bool endpoint_is_idle = endpoints_[selection->endpoint].attempts_in_flight == 0;
+  const bool admitted = admission_.admits(request, *selection, endpoint_is_idle, now_, random_);
+  if (!admitted && guards_.may_reject(request)) return give_up(request);
+  send(request, *selection, false);
+}
+
+// No endpoint may have the request now. It waits only while an answer could still be in time.
+void RequestRouter::wait_for_endpoint(Request& request) {
+  const bool may_be_sent =
+      class_of(request).idempotency == Idempotency::kIdempotent || !request.may_have_run();
+  const double min_left_ms = latency_.class_mean_ms(request.request_class) * kWaitWorthMeans;
+  const bool worth_waiting = may_be_sent && request.ms_to_objective(now_) > min_left_ms &&
+                             endpoints_.ready() > 0 && guards_.list_is_valid(now_);
+  if (!worth_waiting) return give_up(request);
+  request.schedule(NextStep::kRoute, now_ + kTick);
+}
+
+void RequestRouter::send(Request& request, const Selection& selection, bool hedged) {
+  Endpoint& endpoint = endpoints_[selection.endpoint];
+  Attempt& attempt = request.attempts[request.attempt_count++];
+  attempt.endpoint = selection.endpoint;
+  attempt.version = endpoint.version;
+  attempt.sent_at = now_;
+  attempt.predicted_ms = selection.predicted_ms;
+  attempt.load = endpoint.attempts_in_flight;
+  attempt.in_flight = true;
+  attempt.may_have_run = true;
+  ++endpoint.attempts_in_flight;
+  if (endpoint.unanswered_since <= endpoint.last_heard_at) endpoint.unanswered_since = now_;
+  endpoint.slow_start.attempts.add(now_);
+  if (release_.is_canary(endpoint.version)) exposure_.add_canary_attempt(request.request_class, now_);
+  actions_.send_attempt(request.id, selection.endpoint);
+  request.schedule(NextStep::kGiveUp, request.deadline);
+  if (!hedged) schedule_hedge(request, selection);
+}
+
+void RequestRouter::schedule_hedge(Request& request, const Selection& selection) {
+  const RequestClass& request_class = class_of(request);
+  if (request_class.idempotency == Idempotency::kUnsafe) return;
+  if (request.attempt_count >= guards_.max_attempts()) return;
+  if (!settings_.may_hedge && !settings_.may_cancel) return;
+  const double objective_ms = request_class.latency_objective.ms();
+  const Span delay =
+      Span::ms(std::clamp(kHedgeAfterPredictions * selection.predicted_ms, kMinHedgeDelayPart * objective_ms,
+                          kMaxHedgeDelayPart * objective_ms));
+  if (now_ + delay + kTick < request.deadline) request.schedule(NextStep::kHedge, now_ + delay);
+}
+
+// An attempt has taken much longer than predicted: another one beside it where that is allowed, else it is
+// cancelled, and retried once it has ended.
+void RequestRouter::hedge(Request& request) {
+  request.schedule(NextStep::kGiveUp, request.deadline);
+  if (!retry_budget_.allows_hedge() || request.attempt_count >= guards_.max_attempts()) return;
+  if (now_ >= request.objective_at) return;
+  const auto selection = choose(request);
+  if (!selection || selection->predicted_ms > request.ms_to_objective(now_)) return;
+  retry_budget_.take_hedge();
+  if (!settings_.may_hedge) return actions_.cancel_attempt(request.id, request.attempt_count - 1);
+  send(request, *selection, true);
+}
+
+// An attempt has ended without an answer for the client.
+void RequestRouter::after_attempt(Request& request, AttemptResult result) {
+  if (request.any_attempt_in_flight()) return;
+  const Span least_left = Span::ms(latency_.class_mean_ms(request.request_class) * kRetryWorthMeans);
+  const bool time_left = now_ + least_left < request.deadline;
+  const bool attempts_left = request.attempt_count < guards_.max_attempts();
+  if (result == AttemptResult::kLocalFailure && time_left && attempts_left) {
+    // Nothing was sent: no part of the retry budget, and a moment for this machine to recover.
+    const auto backoff = static_cast<double>(1U << request.attempt_count);
+    return request.schedule(NextStep::kRoute, now_ + kTick * backoff);
+  }
+  const bool request_at_fault = request.error.state == UnsettledError::State::kRequestAtFault;
+  if (!time_left || !attempts_left || !retry_budget_.allows_retry() || request_at_fault)
+    return give_up(request);
+  retry_budget_.take_retry();
+  route(request);
+}
+
+// The final answer of a request that no endpoint will answer.
+void RequestRouter::give_up(Request& request) {
+  if (guards_.may_reject(request) && now_ < request.deadline) actions_.reject(request.id, draw_retry_after());
+  else actions_.fail(request.id);
+  finish(request, false);
+}
+
+// Nothing is sent for this request any more; its slot is kept until its last attempt has ended.
+void RequestRouter::finish(Request& request, bool served) {
+  outcomes_.on_request_end(request, served, now_);
+  request.answered = true;
+  request.schedule(NextStep::kNone, Instant::never());
+  for (unsigned i = 0; i < request.attempt_count; ++i) {
+    if (request.attempts[i].in_flight && settings_.may_cancel) actions_.cancel_attempt(request.id, i);
+  }
+  release_if_over(request);
+}
+
+void RequestRouter::release_if_over(Request& request) {
+  if (request.any_attempt_in_flight()) return;
+  const std::uint32_t slot = request_slots_.find(request.id);
+  request_slots_.erase(request.id);
+  request.live = false;
+  requests_.give_back(slot);
+}
+
+void RequestRouter::on_attempt_end(const AttemptEnd& end) {
+  Request* const request = find_request(end.request);
+  if (!request || !endpoints_.contains(end.endpoint)) return;
+  if (end.attempt >= request->attempt_count || !request->attempts[end.attempt].in_flight) return;
+  Attempt& attempt = request->attempts[end.attempt];
+  end_attempt(attempt, endpoints_[end.endpoint], end.result);
+  outcomes_.on_attempt_end(*request, attempt, end.result, end.duration, now_);
+  if (end.result == AttemptResult::kOk && attempt.version >= release_.version())
+    sticky_keys_.bind(*request, attempt.version);
+  if (request->answered) release_if_over(*request);
+  else if (end.answered_client) finish(*request, end.result == AttemptResult::kOk);
+  else after_attempt(*request, end.result);
+}
+
+void RequestRouter::end_attempt(Attempt& attempt, Endpoint& endpoint, AttemptResult result) const {
+  attempt.in_flight = false;
+  attempt.may_have_run = may_have_run(result);
+  if (endpoint.attempts_in_flight > 0) --endpoint.attempts_in_flight;
+  if (endpoint_answered(result)) endpoint.last_heard_at = now_;
+}
+
+void RequestRouter::on_client_disconnect(RequestId id) {
+  Request* const request = find_request(id);
+  if (request && !request->answered) finish(*request, false);
+}
+
+Request* RequestRouter::find_request(RequestId id) {
+  const std::uint32_t slot = request_slots_.find(id);
+  return slot == IndexMap::kNone ? nullptr : &requests_[slot];
+}
+
+Span RequestRouter::draw_retry_after() {
+  const Span drawn = Span::ms(kMinRetryAfterMs + kRetryAfterRangeMs * random_.unit());
+  return settings_.may_send_retry_after ? std::min(settings_.max_retry_after, drawn) : Span();
+}
+
+// ---- Time ----
+
+void RequestRouter::on_wakeup(std::uint64_t token) {
+  if (token == kWatchToken) return actions_.watch_endpoints();
+  if (token == kTickToken) on_tick();
+}
+
+void RequestRouter::on_tick() {
+  actions_.schedule_wakeup(kTick, kTickToken);
+  admission_.on_tick(kTick);
+  monitor_.scan(now_);
+  for (std::uint32_t slot = 0; slot < requests_.places(); ++slot) {
+    Request& request = requests_[slot];
+    if (request.live && !request.answered && request.next_step_at <= now_) take_due_step(request);
+  }
+  controller_.on_tick(now_);
+}
+
+void RequestRouter::take_due_step(Request& request) {
+  switch (request.next_step) {
+    case NextStep::kNone:
+      return;
+    case NextStep::kRoute:
+      return route(request);
+    case NextStep::kHedge:
+      return hedge(request);
+    case NextStep::kGiveUp:
+      return give_up(request);
+  }
+}
+
+}  // namespace ashbeam::policy
+
+namespace ashbeam {
+
+std::unique_ptr<RouterPolicy> make_router_policy(const RouterSettings& settings, std::uint64_t seed,
+                                                 RouterActions& actions) {
+  return std::make_unique<policy::RequestRouter>(settings, seed, actions);
+}
+
+}  // namespace ashbeam
--- /dev/null
+++ b/src/policy/rule_guards.cpp
@@ -0,0 +1,72 @@
+#include "policy/rule_guards.hpp"
+
+#include <algorithm>
+
+namespace ashbeam::policy {
+
+namespace {
+
+// With more ready endpoints than this a retry goes elsewhere.
+constexpr std::size_t kFewEndpoints = 2;
+
+}  // namespace
+
+RuleGuards::RuleGuards(const RouterSettings& settings, EndpointTable& endpoints,
+                       const ReleaseTracker& release, ExposureCap& exposure, const SlowStart& slow_start,
+                       const StickyKeys& sticky_keys)
+    : settings_(settings), endpoints_(endpoints), release_(release), exposure_(exposure),
+      slow_start_(slow_start), sticky_keys_(sticky_keys),
+      max_attempts_(std::min<unsigned>(settings.max_attempts, Request::kMaxAttempts)) {}
+
+bool RuleGuards::may_send(const Request& request, EndpointIndex index, double traffic_weight, Instant now) {
+  Endpoint& endpoint = endpoints_[index];
+  if (request.answered || endpoint.state != EndpointState::kReady) return false;
+  if (now >= request.deadline || request.attempt_count >= max_attempts_) return false;
+  if (!list_allows(endpoint, now)) return false;
+  if (request.attempt_count > 0 && !former_attempts_allow(request, index, now)) return false;
+  if (!sticky_keys_.allows(request, endpoint.version, release_)) return false;
+  if (release_.is_canary(endpoint.version) &&
+      !exposure_.allows(request, endpoint.version, release_, traffic_weight, now))
+    return false;
+  return slow_start_.allows(endpoint, now);
+}
+
+bool RuleGuards::may_reject(const Request& request) const {
+  const RequestClass& request_class = settings_.request_classes[request.request_class];
+  if (request_class.idempotency == Idempotency::kIdempotent || !request.may_have_run()) return true;
+  return request_class.idempotency == Idempotency::kKeyed && request_class.scope == IdempotencyScope::kAll;
+}
+
+// A drain counts as notified some time after discovery had it, whether or not it has arrived here.
+bool RuleGuards::list_allows(const Endpoint& endpoint, Instant now) const {
+  return now < list_validity_.no_endpoint &&
+         now < std::max(list_validity_.any_endpoint, endpoint.valid_until);
+}
+
+bool RuleGuards::former_attempts_allow(const Request& request, EndpointIndex index, Instant now) const {
+  const RequestClass& request_class = settings_.request_classes[request.request_class];
+  for (unsigned i = 0; i < request.attempt_count; ++i) {
+    const Attempt& former = request.attempts[i];
+    if (former.endpoint == index && (former.in_flight || endpoints_.ready() > kFewEndpoints)) return false;
+    if (!former.in_flight && !former.may_have_run) continue;
+    if (request_class.idempotency == Idempotency::kUnsafe) return false;
+    if (request_class.idempotency == Idempotency::kIdempotent) continue;
+    if (now - former.sent_at >= request_class.key_retention - settings_.clock_tick) return false;
+    if (!same_scope(request_class.scope, endpoints_[former.endpoint], endpoints_[index])) return false;
+  }
+  return true;
+}
+
+bool RuleGuards::same_scope(IdempotencyScope scope, const Endpoint& former, const Endpoint& next) const {
+  switch (scope) {
+    case IdempotencyScope::kAll:
+      return true;
+    case IdempotencyScope::kZone:
+      return former.zone == next.zone;
+    case IdempotencyScope::kCell:
+      return former.zone == next.zone && former.cell == next.cell;
+  }
+  return false;
+}
+
+}  // namespace ashbeam::policy
--- a/tests/local_failures_test.cpp
+++ b/tests/local_failures_test.cpp
@@ -36,7 +36,7 @@
       w.end(w.sink.sent.back(), AttemptResult::kOk);
     }
     EXPECT_TRUE(w.sink.bounced.empty() && w.sink.errored.empty());
-    EXPECT_FALSE(w.sink.logged(" out for "));
+    EXPECT_FALSE(w.sink.logged(" ejected for "));
   }
 }
 
@@ -51,7 +51,7 @@
   EXPECT_GE(w.sink.bounced.size(), 190U);
   EXPECT_TRUE(w.sink.errored.empty());
   EXPECT_LE(w.sink.sent.size(), 200U * default_settings().max_attempts + 50U);
-  EXPECT_FALSE(w.sink.logged(" out for "));
+  EXPECT_FALSE(w.sink.logged(" ejected for "));
 }
 
 constexpr Instant kNow = Instant::at_us(0) + Span::s(1e6);
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -24,7 +24,7 @@
   w.run(Span::s(1), 200);
   const std::size_t early = w.sent_to(2, from);
   w.run(Span::ms(2900), 200);
-  EXPECT_TRUE(w.sink.logged("full share"));  // three steps and a half of a quiet second each
+  EXPECT_TRUE(w.sink.logged("full traffic weight"));  // three steps and a half of a quiet second each
   w.run(Span::ms(2100), 200);
   const std::size_t later = w.sink.sent.size();
   w.run(Span::s(1), 200);
@@ -40,7 +40,7 @@
     return Outcome{b == 2 && ++n % 28 == 0 ? AttemptResult::kError : AttemptResult::kOk};
   };
   w.run(Span::s(7), 300);
-  EXPECT_TRUE(w.sink.logged("step back"));
+  EXPECT_TRUE(w.sink.logged("stepped back"));
   EXPECT_FALSE(w.sink.voted(Vote::kAbort));
 }
 
@@ -80,7 +80,7 @@
   };
   w.run(Span::s(6), 200);
   EXPECT_FALSE(w.sink.voted(Vote::kAbort));
-  EXPECT_TRUE(w.sink.logged("host 9 out"));
+  EXPECT_TRUE(w.sink.logged("endpoint 9 ejected"));
 }
 
 TEST(Judging, ALoneSickTrialHostIsHeldWhileEarlierHostsAreSickToo) {
@@ -147,7 +147,7 @@
     return Outcome{AttemptResult::kOk, Span::ms(b == 2 ? 130 : 50)};
   };
   w.run(Span::s(10), 200);
-  EXPECT_TRUE(w.sink.logged("step back"));
+  EXPECT_TRUE(w.sink.logged("stepped back"));
   EXPECT_TRUE(w.sink.voted(Vote::kAbort));
 }
 
@@ -163,7 +163,7 @@
                };
     w.run(Span::ms(9500), burst ? 300 : 60);
     EXPECT_EQ(w.sink.voted(Vote::kAbort), !lost && !burst);
-    EXPECT_EQ(w.sink.logged("step back"), !lost && !burst);  // 8 s from the burst's end, not from its start
+    EXPECT_EQ(w.sink.logged("stepped back"), !lost && !burst);  // 8 s from the burst's end, not from its start
   }
 }
 
@@ -432,7 +432,7 @@
       return Outcome{AttemptResult::kOk, Span::ms(50), h == 3};
     };
     w.run(Span::s(6), 100);
-    EXPECT_TRUE(w.sink.logged("host 3 out"));
+    EXPECT_TRUE(w.sink.logged("endpoint 3 ejected"));
     std::size_t late = 0;
     for (std::size_t i = w.sink.sent.size() - 100; i < w.sink.sent.size(); ++i)
       late += w.sink.sent[i].host == 3;
@@ -441,7 +441,7 @@
     World few(terms);  // so few hits that all there are called off in time
     few.serve = w.serve;
     few.run(Span::s(6), 50);
-    EXPECT_TRUE(few.sink.logged("host 3 out")) << copies;
+    EXPECT_TRUE(few.sink.logged("endpoint 3 ejected")) << copies;
   }
 }
 
@@ -495,7 +495,7 @@
   const auto sent = w.sink.sent;  // more follows as these end
   ASSERT_GE(sent.size(), 12u);
   for (const auto& s : sent) w.end(s, AttemptResult::kReset);
-  EXPECT_FALSE(w.sink.logged("out for"));
+  EXPECT_FALSE(w.sink.logged("ejected for"));
 }
 
 TEST(Hosts, OneThatWasGoneComesBackAsNew) {
@@ -504,7 +504,7 @@
     return World::Outcome{h == 0 ? AttemptResult::kReset : AttemptResult::kOk};
   };
   w.run(Span::s(2), 200);
-  ASSERT_TRUE(w.sink.logged("host 0 out for"));
+  ASSERT_TRUE(w.sink.logged("endpoint 0 ejected for"));
   w.serve = [](ReleaseVersion, EndpointIndex) { return World::Outcome{}; };
   for (const EndpointState state : {EndpointState::kRemoved, EndpointState::kReady}) {
     w.router->begin_endpoint_update(false);
@@ -767,7 +767,7 @@
   w.run(Span::s(5), 8);
   w.stage(2, 0, ReleasePhase::kCanary, 0.1);
   w.run(Span::s(10), 8);
-  EXPECT_FALSE(w.sink.logged("step back"));
+  EXPECT_FALSE(w.sink.logged("stepped back"));
 }
 
 }  // namespace
--- a/tests/router_test.cpp
+++ b/tests/router_test.cpp
@@ -454,8 +454,8 @@
     return std::any_of(notes_.begin(), notes_.end(),
                        [&](const auto& n) { return n.find(line) != std::string::npos; });
   };
-  EXPECT_TRUE(noted("build 2 stage 1 phase 0 cap 0.280"));
-  EXPECT_TRUE(noted("build 2 stage 1 phase 1 cap 0.000"));
+  EXPECT_TRUE(noted("release 2: stage 1, phase canary, exposure cap 0.280"));
+  EXPECT_TRUE(noted("release 2: stage 1, phase rolling back, exposure cap 0.000"));
   EXPECT_TRUE(noted("desk: a state that can't be read"));
   EXPECT_TRUE(noted("desk: news that can't be used is passed over: NEW"));
   EXPECT_TRUE(noted("list: an entry with no id or an unknown state"));
