--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -163,7 +163,8 @@
                };
     w.run(Span::ms(9500), burst ? 300 : 60);
     EXPECT_EQ(w.sink.voted(Vote::kAbort), !lost && !burst);
-    EXPECT_EQ(w.sink.logged("stepped back"), !lost && !burst);  // 8 s from the burst's end, not from its start
+    EXPECT_EQ(w.sink.logged("stepped back"),
+              !lost && !burst);  // 8 s from the burst's end, not from its start
   }
 }
 
