--- a/tests/local_failures_test.cpp
+++ b/tests/local_failures_test.cpp
@@ -20,38 +20,36 @@
 
 // An unsafe request as well: it provably never ran.
 TEST(Failures, AnAttemptThatNeverLeftThisMachineIsMadeAgainAndCountsAgainstNobody) {
-  for (const unsigned group : {0U, 2U}) {
-    World w(default_settings());
+  for (const unsigned request_class : {0U, 2U}) {
+    SimulatedRouter router(default_settings());
     for (int request = 0; request < 60; ++request) {
-      const std::size_t before = w.sink.sent.size();
-      w.take(group);
-      ASSERT_EQ(w.sink.sent.size(), before + 1);
-      w.end(w.sink.sent.back(), AttemptResult::kLocalFailure, Span());
+      const std::size_t before = router.actions.attempts.size();
+      router.request(request_class);
+      ASSERT_EQ(router.actions.attempts.size(), before + 1);
+      router.end_attempt(router.actions.attempts.back(), AttemptResult::kLocalFailure, Span());
       for (int tick = 0; tick < 5; ++tick) {
-        w.now = w.now + Span::ms(20);
-        w.router->set_time(w.now);
-        w.router->on_wakeup(1);
+        router.now = router.now + Span::ms(20);
+        router.policy->set_time(router.now);
+        router.policy->on_wakeup(1);
       }
-      ASSERT_EQ(w.sink.sent.size(), before + 2) << "request " << request;
-      w.end(w.sink.sent.back(), AttemptResult::kOk);
+      ASSERT_EQ(router.actions.attempts.size(), before + 2) << "request " << request;
+      router.end_attempt(router.actions.attempts.back(), AttemptResult::kOk);
     }
-    EXPECT_TRUE(w.sink.bounced.empty() && w.sink.errored.empty());
-    EXPECT_FALSE(w.sink.logged(" ejected for "));
+    EXPECT_TRUE(router.actions.rejected.empty() && router.actions.failed.empty());
+    EXPECT_FALSE(router.actions.logged(" ejected for "));
   }
 }
 
 TEST(Failures, OneThatLastsIsAnsweredInTimeAfterAFewAttempts) {
-  World w(default_settings());
-  w.serve = [](ReleaseVersion, EndpointIndex) {
-    return World::Outcome{AttemptResult::kLocalFailure, Span()};
-  };
-  w.run(Span::s(10), 20);
-  w.serve = [](ReleaseVersion, EndpointIndex) { return World::Outcome{}; };
-  w.run(Span::s(2), 20);
-  EXPECT_GE(w.sink.bounced.size(), 190U);
-  EXPECT_TRUE(w.sink.errored.empty());
-  EXPECT_LE(w.sink.sent.size(), 200U * default_settings().max_attempts + 50U);
-  EXPECT_FALSE(w.sink.logged(" ejected for "));
+  SimulatedRouter router(default_settings());
+  router.serve = [](ReleaseVersion, EndpointIndex) { return Outcome{AttemptResult::kLocalFailure, Span()}; };
+  router.run(Span::s(10), 20);
+  router.serve = [](ReleaseVersion, EndpointIndex) { return Outcome{}; };
+  router.run(Span::s(2), 20);
+  EXPECT_GE(router.actions.rejected.size(), 190U);
+  EXPECT_TRUE(router.actions.failed.empty());
+  EXPECT_LE(router.actions.attempts.size(), 200U * default_settings().max_attempts + 50U);
+  EXPECT_FALSE(router.actions.logged(" ejected for "));
 }
 
 constexpr Instant kNow = Instant::at_us(0) + Span::s(1e6);
--- /dev/null
+++ b/tests/policy/sticky_keys_test.cpp
@@ -0,0 +1,53 @@
+// Keys that stay with the version that answered them.
+#include <algorithm>
+#include <array>
+
+#include "policy_fixture.hpp"
+
+namespace ashbeam {
+namespace {
+
+TEST(StickyKeys, AKeyAnsweredByTheCanaryStaysWithIt) {
+  RouterSettings settings = default_settings();
+  settings.sticky_keys = true;
+  SimulatedRouter router(settings, 4, 4);
+  router.set_release(2, 1, ReleasePhase::kCanary, 0.9);
+  std::map<std::uint64_t, bool> bound;
+  for (int i = 0; i < 4000; ++i) {
+    const std::uint64_t key = 1 + static_cast<std::uint64_t>(i % 100) * 7919;
+    const std::size_t before = router.actions.attempts.size();
+    router.request(0, key);
+    router.now = router.now + Span::ms(5);
+    for (std::size_t sent = before; sent < router.actions.attempts.size(); ++sent) {
+      const bool blue = router.versions[router.actions.attempts[sent].endpoint] == 2;
+      EXPECT_TRUE(blue || !bound[key] || router.actions.attempts[sent].request != router.next_request - 1);
+      if (blue) bound[key] = true;
+      router.end_attempt(router.actions.attempts[sent], AttemptResult::kOk);
+    }
+    router.tick();
+  }
+  EXPECT_GT(std::count_if(bound.begin(), bound.end(), [](const auto& b) { return b.second; }), 10);
+}
+
+// The state of a version gone back may come once more while endpoints of the next one answer already.
+TEST(StickyKeys, KeysStayWithTheNextVersionWhenTheOneBeforeIsRolledBack) {
+  RouterSettings settings = default_settings();
+  settings.sticky_keys = true;
+  SimulatedRouter router(settings, 0, 4);
+  for (EndpointIndex endpoint = 0; endpoint < 4; ++endpoint)
+    router.policy->update_endpoint({endpoint, EndpointState::kReady, 3, 0, endpoint, 0, Instant()});
+  router.policy->end_endpoint_update();
+  router.set_release(2, 0, ReleasePhase::kWithdrawn, 0);
+  router.request(0, 77);
+  ASSERT_EQ(router.actions.attempts.size(), 1u);
+  router.end_attempt(router.actions.attempts[0], AttemptResult::kOk);
+  router.set_release(2, 0, ReleasePhase::kWithdrawn, 0);
+  router.set_endpoints(4, 0);
+  router.request(0, 77);
+  EXPECT_EQ(router.actions.attempts.size(), 1u);
+  router.request(0, 78);
+  EXPECT_EQ(router.actions.attempts.size(), 2u);
+}
+
+}  // namespace
+}  // namespace ashbeam
--- a/tests/router_world.hpp
+++ b/tests/router_world.hpp
@@ -10,7 +10,7 @@
 #include <ctime>
 #include <thread>
 
-#include "helpers.hpp"
+#include "policy_fixture.hpp"
 #include "program/environment.hpp"
 #include "routing/service.hpp"
 
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -3,7 +3,7 @@
 #include <random>
 #include <set>
 
-#include "helpers.hpp"
+#include "policy_fixture.hpp"
 
 namespace ashbeam {
 namespace {
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -1,30 +1,31 @@
-// Each deployment, path group and customer is decided by its own settings alone: names and neighbours change
-// nothing.
+// Each deployment, path request_class and customer is decided by its own settings alone: names and neighbours
+// change nothing.
 #include <gtest/gtest.h>
 
-#include "helpers.hpp"
+#include "policy_fixture.hpp"
 
 namespace ashbeam {
 namespace {
 
 using Sent = std::vector<std::pair<RequestId, EndpointIndex>>;
 
-Sent played(const RouterSettings& terms, const std::vector<unsigned>& groups) {
-  World w(terms, 6, 2);
-  w.stage(2, 0, ReleasePhase::kCanary, terms.exposure_caps[0]);
-  w.serve = [](ReleaseVersion, EndpointIndex h) {
-    return World::Outcome{h % 5 == 4 ? AttemptResult::kError : AttemptResult::kOk, Span::ms(60)};
+Sent played(const RouterSettings& settings, const std::vector<unsigned>& request_classes) {
+  SimulatedRouter router(settings, 6, 2);
+  router.set_release(2, 0, ReleasePhase::kCanary, settings.exposure_caps[0]);
+  router.serve = [](ReleaseVersion, EndpointIndex endpoint) {
+    return Outcome{endpoint % 5 == 4 ? AttemptResult::kError : AttemptResult::kOk, Span::ms(60)};
   };
-  w.run(Span::s(8), 60, groups);
+  router.run(Span::s(8), 60, request_classes);
   Sent all;
-  for (const Noted::Sent& s : w.sink.sent) all.emplace_back(s.hit, s.host);
+  for (const SentAttempt& attempt : router.actions.attempts)
+    all.emplace_back(attempt.request, attempt.endpoint);
   return all;
 }
 
 TEST(Settings, TwoDeploymentsInTurnAreDecidedAsEachAlone) {
   const RouterSettings one = default_settings();
   RouterSettings
-      other;  // fewer path groups in another order, one zone, other limits, more kinds, more stages
+      other;  // fewer path request_classes in another order, one zone, other limits, more kinds, more stages
   other = default_settings();
   other.request_classes = {other.request_classes[2], other.request_classes[0]};
   other.request_classes[0].client_timeout = Span::s(6),
@@ -38,18 +39,18 @@
   EXPECT_EQ(played(other, {0, 1}), others);
 }
 
-// Of hits that may be late those over their customer's share are given up first, whoever that is.
+// Of requests that may be late those over their customer's share are given up first, whoever that is.
 TEST(Settings, CustomersSideBySideAreHeldToTheirOwnShares) {
   const auto bounced = [](const std::vector<double>& shares) {
-    RouterSettings terms = default_settings();
-    terms.tenant_quota_per_s = shares;
-    terms.over_quota_weight = 0.05;
-    World w(terms, 4);
-    w.customers = static_cast<unsigned>(shares.size());
-    w.serve = [](ReleaseVersion, EndpointIndex) { return World::Outcome{AttemptResult::kOk, Span::ms(200)}; };
-    w.run(Span::s(20), 60);
+    RouterSettings settings = default_settings();
+    settings.tenant_quota_per_s = shares;
+    settings.over_quota_weight = 0.05;
+    SimulatedRouter router(settings, 4);
+    router.tenant_count = static_cast<unsigned>(shares.size());
+    router.serve = [](ReleaseVersion, EndpointIndex) { return Outcome{AttemptResult::kOk, Span::ms(200)}; };
+    router.run(Span::s(20), 60);
     std::vector<std::size_t> by(shares.size());
-    for (const RequestId hit : w.sink.bounced) ++by[hit % by.size()];
+    for (const RequestId request : router.actions.rejected) ++by[request % by.size()];
     return by;
   };
   const auto by = bounced({400, 2}), swapped = bounced({2, 400}), stranger = bounced({400, 400, 0});
--- a/tests/simhost_test.cpp
+++ b/tests/simhost_test.cpp
@@ -1,5 +1,5 @@
 // The wire's odd cases: what is malformed is named, what is merely unknown is ignored.
-#include "helpers.hpp"
+#include "policy_fixture.hpp"
 #include "simhost/fleet.hpp"
 #include "terms/terms.hpp"
 
