--- a/src/policy/latency_estimator.cpp
+++ b/src/policy/latency_estimator.cpp
@@ -33,7 +33,7 @@
     mean_ms_ += class_mean_ms / static_cast<double>(class_mean_ms_.size());
   usual_.mean = mean_ms_ / kOwnLoad;
   recent_.mean = usual_.mean;
-  peers_.resize(settings.zone_count * machine_type_count_, {usual_.mean, {}});
+  peers_.resize(std::size_t{settings.zone_count} * machine_type_count_, {usual_.mean, {}});
 }
 
 void LatencyEstimator::ensure_zone(unsigned zone) {
