--- a/Makefile
+++ b/Makefile
@@ -6,10 +6,12 @@
 	cmake -B build -DCMAKE_BUILD_TYPE=Release -DASHBEAM_STRICT=$${ASHBEAM_STRICT:-ON} && cmake --build build -j4
 test: build
 	tools/run_tests build
-# Formatting, who may include whom (tools/layers.txt), and the decision module's size.
-lint: setup
+# Formatting, who may include whom (tools/layers.txt), length of files, withdrawn words, clang-tidy (.clang-tidy).
+lint: build
 	clang-format --dry-run -Werror $(shell find src tests proofs benches -name '*.?pp')
 	tools/lint_layers
+	tools/lint_words
+	tools/lint_tidy build
 # With docs/example.json unless the variables say otherwise.
 run: build
 	PROXY_NAME=$${PROXY_NAME:-n0} PROXY_LISTEN=$${PROXY_LISTEN:-127.0.0.1:9000} \
--- a/src/policy/endpoint_lease.hpp
+++ b/src/policy/endpoint_lease.hpp
@@ -38,8 +38,8 @@
   void line_begun(Instant now);
   // The watch ended, fell silent or was given up.
   void watch_lost();
-  // Discovery's machine refuses connections, so that it can have told nothing: a lease that still runs starts
-  // anew.
+  // Discovery's machine refuses connections, so that it can have announced nothing: a lease that still runs
+  // starts anew.
   void unreachable(Instant now);
 
   LeaseState state(Instant now) const;
--- a/src/policy/exposure_cap.hpp
+++ b/src/policy/exposure_cap.hpp
@@ -1,7 +1,7 @@
 // The exposure rule: within a window, no more than the cap's part of requests goes to the canary.
 //
 // Job: count attempts to canary endpoints against requests that arrived, and say whether one more is within
-// the cap. A version that the platform has not told of counts as stage 0 of a release. The two counts use
+// the cap. A version that the platform has not announced counts as stage 0 of a release. The two counts use
 // windows that differ by a clock tick to each side, so that the cap holds however the windows are laid.
 // Units: counts in RouterSettings::exposure_window. No I/O. Errors: none.
 #pragma once
--- a/src/policy/promotion.cpp
+++ b/src/policy/promotion.cpp
@@ -8,7 +8,7 @@
 
 constexpr Span kQuietAtFullWeight = Span::s(2);
 constexpr Span kNewestCanaryAge = Span::s(3);
-constexpr Span kStageMargin = Span::s(1);  // the stage is told some time after the endpoints
+constexpr Span kStageMargin = Span::s(1);  // the stage is announced some time after the endpoints
 constexpr Span kLongestWaitForEndpoints = Span::s(11);
 
 // Of the stage's endpoints, the part that has to be there, less a rounding of half an endpoint.
--- a/src/policy/release_role.hpp
+++ b/src/policy/release_role.hpp
@@ -6,7 +6,7 @@
 
 enum class ReleaseRole : std::uint8_t {
   kStable,  // runs a version before the newest
-  kCanary,  // runs the newest version, or one that the platform has not told of yet
+  kCanary,  // runs the newest version, or one that the platform has not announced yet
 };
 
 template <class T>
--- a/src/policy/release_tracker.hpp
+++ b/src/policy/release_tracker.hpp
@@ -1,8 +1,8 @@
-// The state of the newest release, as the platform has told it.
+// The state of the newest release, as the platform announces it.
 //
-// Job: keep the newest release state, and say which versions count as canary. Until the platform has told
-// anything, the lowest version in the endpoint list counts as released. Units: instants. No I/O. Errors:
-// none; states of older versions are to be dropped by the caller, see is_outdated().
+// Job: keep the newest release state, and say which versions count as canary. Until the platform has
+// announced anything, the lowest version in the endpoint list counts as released. Units: instants. No I/O.
+// Errors: none; states of older versions are to be dropped by the caller, see is_outdated().
 #pragma once
 #include "policy/release_role.hpp"
 #include "policy/router_policy.hpp"
@@ -13,7 +13,7 @@
  public:
   void start(Instant now) { stage_since_ = now; }
 
-  // The lowest version in the endpoint list, of use only until the platform has told anything.
+  // The lowest version in the endpoint list, of use only until the platform has announced one.
   void assume_released(ReleaseVersion lowest_listed) {
     if (!known_) version_ = lowest_listed;
   }
@@ -34,7 +34,7 @@
     exposure_cap_ = state.exposure_cap;
   }
 
-  // Has the platform told a state yet?
+  // Has the platform announced a state yet?
   bool known() const { return known_; }
   ReleaseVersion version() const { return version_; }
   unsigned stage() const { return stage_; }
@@ -45,7 +45,7 @@
   ReleaseVersion rolled_back() const { return rolled_back_; }
 
   // May requests go to this version within the exposure cap only? Also true of a version that is newer than
-  // the newest told.
+  // the newest announced.
   bool is_canary(ReleaseVersion version) const {
     return version > version_ || (version == version_ && phase_ != ReleasePhase::kReleased);
   }
--- a/src/policy/router_policy.hpp
+++ b/src/policy/router_policy.hpp
@@ -1,6 +1,6 @@
 // The interface between the decisions and whoever carries them out (sockets, or the simulator's wire).
 //
-// Job: RouterPolicy is told each event, as plain decoded values, in the order in which they happen; it
+// Job: RouterPolicy is handed each event, as plain decoded values, in the order in which they happen; it
 // decides and answers through RouterActions. Order of calls: set_time() before each event, start() once and
 // first. Units: instants of the router's own clock, spans of real time. Errors: none; events that name an
 // unknown request, attempt or endpoint are ignored.
--- a/src/policy/router_settings.hpp
+++ b/src/policy/router_settings.hpp
@@ -1,4 +1,4 @@
-// What a router is told once, at its start: what requests are, what the platform allows, and the rules'
+// What a router is configured with at its start: what requests are, what the platform allows, and the rules'
 // figures. Read from the deployment's settings by terms/, which names the keys.
 #pragma once
 #include <cstdint>
--- a/src/policy/slow_start.hpp
+++ b/src/policy/slow_start.hpp
@@ -55,7 +55,7 @@
   bool is_warm(const Endpoint& endpoint, Instant now) const {
     return now - endpoint.started_at >= settings_.slow_start_duration;
   }
-  // The same, counted from its last sign of a start that the list may not have told yet.
+  // The same, counted from its last sign of a start that the list may not show yet.
   bool is_surely_warm(const Endpoint& endpoint, Instant now) const {
     return now - may_have_started_at(endpoint) >= settings_.slow_start_duration;
   }
--- a/tests/policy/endpoint_watch_test.cpp
+++ b/tests/policy/endpoint_watch_test.cpp
@@ -14,10 +14,10 @@
   settings.endpoint_poll_interval = Span::s(20);
   settings.must_watch_endpoints = true;
   SimulatedRouter router(settings);
-  for (int i = 0; i < 40; ++i) {
+  for (unsigned i = 0; i < 40; ++i) {
     router.policy->on_endpoint_watch_failed();
     router.policy->on_wakeup(2);
-    EXPECT_EQ(router.actions.watches, i + 2u);
+    EXPECT_EQ(router.actions.watches, i + 2U);
     const Span mean = i < 1 ? Span::ms(300) : i < 3 ? Span::s(3) : Span::s(6);
     EXPECT_GE(router.actions.wakeups[2], mean * 0.5);
     EXPECT_LE(router.actions.wakeups[2], mean * 1.5);
--- a/tests/policy/failure_comparison_test.cpp
+++ b/tests/policy/failure_comparison_test.cpp
@@ -102,7 +102,7 @@
       if (router.actions.attempts[sent].request == id)
         router.end_attempt(router.actions.attempts[sent], bad ? AttemptResult::kError : AttemptResult::kOk);
     }
-    EXPECT_LE(router.actions.attempt_counts[id], 2u);  // two endpoints have told
+    EXPECT_LE(router.actions.attempt_counts[id], 2u);  // two endpoints have failed it
     router.now = router.now + Span::ms(5);
     router.tick();
   }
--- a/tests/policy/vote_scheduler_test.cpp
+++ b/tests/policy/vote_scheduler_test.cpp
@@ -68,7 +68,7 @@
         }
         const Instant now = fleet.front().now;
         const auto live = [&](Instant at) { return now - at < settings.vote_ttl; };
-        most = std::max<std::size_t>(most, std::count_if(stands.begin(), stands.end(), live));
+        most = std::max(most, static_cast<std::size_t>(std::count_if(stands.begin(), stands.end(), live)));
       }
     }
     EXPECT_GE(most, bad ? 45u : 118u) << (bad ? "back" : "on");
--- a/tests/policy_fixture.hpp
+++ b/tests/policy_fixture.hpp
@@ -196,7 +196,7 @@
   std::size_t sent_to(ReleaseVersion version, std::size_t from = 0) const {
     std::size_t count = 0;
     for (std::size_t i = from; i < actions.attempts.size(); ++i)
-      count += versions.at(actions.attempts[i].endpoint) == version ? 1 : 0;
+      if (versions.at(actions.attempts[i].endpoint) == version) ++count;
     return count;
   }
 
