--- a/proofs/metadata.cpp
+++ b/proofs/metadata.cpp
@@ -47,13 +47,14 @@
 void core(Proof& proof, std::uint64_t tries) {
   const Instant now = Instant::at_us(1'800'000'000'000'000);
   Publisher p(now + Span::s(86400));
-  p.with_hashes = false;  // or the hash above would meet most of it before the signature does
+  p.list_hashes = false;  // or the hash above would meet most of it before the signature does
   p.contents["targets"]["app"] = "1";
-  Trust before = pin(p.root()).trust;
-  const Trust pinned = before;
+  TrustedMetadata before = pin_root(p.root()).trust;
+  const TrustedMetadata pinned = before;
   const std::string files[] = {p.timestamp(), p.snapshot(), p.targets()};
-  const Trust at[] = {pinned, take_timestamp(pinned, files[0], now).trust,
-                      take_snapshot(take_timestamp(pinned, files[0], now).trust, files[1], now).trust};
+  const TrustedMetadata at[] = {
+      pinned, update_timestamp(pinned, files[0], now).trust,
+      update_snapshot(update_timestamp(pinned, files[0], now).trust, files[1], now).trust};
   Pcg chance(proof.seed);
   std::uint64_t taken = 0, harmless = 0;
   for (std::uint64_t i = 0; i < tries; ++i) {
@@ -81,13 +82,13 @@
         break;
     }
     if (bytes == files[which]) continue;
-    const Step s = which == 0   ? take_timestamp(at[0], bytes, now)
-                   : which == 1 ? take_snapshot(at[1], bytes, now)
-                                : take_targets(at[2], bytes, now);
+    const TrustUpdate s = which == 0   ? update_timestamp(at[0], bytes, now)
+                          : which == 1 ? update_snapshot(at[1], bytes, now)
+                                       : update_targets(at[2], bytes, now);
     if (s.refusal) continue;
     // What is outside the signed part may change: only that it says the same counts.
     std::string problem;
-    const auto a = read(bytes, {}, problem), b = read(files[which], {}, problem);
+    const auto a = parse_json(bytes, {}, problem), b = parse_json(files[which], {}, problem);
     const bool same = a && b && a->find("signed")->canonical() == b->find("signed")->canonical();
     ++(same ? harmless : taken);
   }
@@ -168,7 +169,7 @@
     begin_ = loop_.now();
     for (unsigned i = 0; i < kClients; ++i) {
       auto c = std::make_unique<One>(*this, i);
-      c->trust = pin(first_root_).trust;
+      c->trust = pin_root(first_root_).trust;
       c->timer.in(Span::ms(20 + 7 * i));
       all_.push_back(std::move(c));
     }
@@ -189,7 +190,7 @@
           number(i), timer(field.loop_, [this, &field] { field.next(*this); }) {}
     std::unique_ptr<fakes::Client> client;
     unsigned number, step = 0;  // root, timestamp, snapshot, targets
-    Trust trust;
+    TrustedMetadata trust;
     Instant asked_at;
     bool again = false;
     std::string file;
@@ -208,7 +209,7 @@
     const bool turn = counts_.published % 5 == 0;
     if (turn) {
       auto& keys = repository_.roles[counts_.published % 10 == 0 ? "timestamp" : "root"].keys;
-      keys = {SigningKey::fresh(SigningKey::Kind::kEd25519)};
+      keys = {SigningKey::generate(SigningKey::Kind::kEd25519)};
       ++repository_.versions["root"];
       ++counts_.roots;
     }
@@ -310,13 +311,13 @@
     }
     const std::string bytes = a.message->raw_body();
     const Instant now = loop_.now();
-    const Step s = c.step == 0   ? take_root(c.trust, bytes)
-                   : c.step == 1 ? take_timestamp(c.trust, bytes, now)
-                   : c.step == 2 ? take_snapshot(c.trust, bytes, now)
-                                 : take_targets(c.trust, bytes, now);
+    const TrustUpdate s = c.step == 0   ? update_root(c.trust, bytes)
+                          : c.step == 1 ? update_timestamp(c.trust, bytes, now)
+                          : c.step == 2 ? update_snapshot(c.trust, bytes, now)
+                                        : update_targets(c.trust, bytes, now);
     if (s.refusal) {
       // Its keys turned between its root and its timestamp: it asks for the root again. No fault of the file.
-      const bool turned = c.step == 1 && s.refusal.why == Why::kThreshold;
+      const bool turned = c.step == 1 && s.refusal.reason == RefusalReason::kThreshold;
       if (!turned) {
         ++counts_.bad_served;
         if (counts_.bad_served <= 5) std::printf("# bad %s: %s\n", c.file.c_str(), s.refusal.line().c_str());
--- a/src/metadata/json.cpp
+++ b/src/metadata/json.cpp
@@ -7,45 +7,42 @@
 
 namespace {
 
-// nlohmann's parser is not recursive and checks UTF-8; what it would let pass (members twice, fractions,
-// depth) is refused here as it comes by.
-class Builder : public nlohmann::json_sax<nlohmann::json> {
+constexpr std::size_t kMaxNameInError = 40;
+
+bool name_less(const JsonMember& a, const JsonMember& b) { return a.name < b.name; }
+bool name_equal(const JsonMember& a, const JsonMember& b) { return a.name == b.name; }
+
+// Receives the parser's events. nlohmann's parser is not recursive and checks UTF-8; what it accepts beyond
+// canonical JSON (repeated members, fractions, any depth) is refused here.
+class NodeBuilder : public nlohmann::json_sax<nlohmann::json> {
  public:
-  Builder(const Bounds& bounds, std::string& problem) : bounds_(bounds), problem_(problem) {}
-  Node root;
-
-  bool null() override { return add(Node{}); }
-  bool boolean(bool v) override {
-    Node n;
-    n.kind = Node::Kind::kBool, n.truth = v;
-    return add(std::move(n));
-  }
-  bool number_integer(number_integer_t v) override { return number(v); }
-  bool number_unsigned(number_unsigned_t v) override {
-    if (v > static_cast<number_unsigned_t>(INT64_MAX)) return fail("a number over 2^63");
-    return number(static_cast<std::int64_t>(v));
+  NodeBuilder(const JsonLimits& limits, std::string& problem) : limits_(limits), problem_(problem) {}
+
+  JsonNode take_root() { return std::move(root_); }
+
+  bool null() override { return add(JsonNode{}) != nullptr; }
+  bool boolean(bool value) override { return add(json_bool(value)) != nullptr; }
+  bool number_integer(number_integer_t value) override { return add(json_number(value)) != nullptr; }
+  bool number_unsigned(number_unsigned_t value) override {
+    if (value > static_cast<number_unsigned_t>(INT64_MAX)) return fail("a number over 2^63");
+    return add(json_number(static_cast<std::int64_t>(value))) != nullptr;
   }
-  // Guards against 1e0 and 1.0, which some would read as 1 and sign as something else.
+  // 1e0 and 1.0 have more than one reading, so that their signed form would be ambiguous.
   bool number_float(number_float_t, const string_t&) override { return fail("a number that is not whole"); }
-  bool string(string_t& v) override {
-    Node n;
-    n.kind = Node::Kind::kString, n.text = std::move(v);
-    return add(std::move(n));
-  }
+  bool string(string_t& value) override { return add(json_string(std::move(value))) != nullptr; }
   bool binary(binary_t&) override { return fail("binary"); }
-  bool start_object(std::size_t) override { return open(Node::Kind::kObject); }
-  bool start_array(std::size_t) override { return open(Node::Kind::kList); }
-  bool key(string_t& v) override {
-    names_.push_back(std::move(v));
+  bool start_object(std::size_t) override { return open(JsonNode::Kind::kObject); }
+  bool start_array(std::size_t) override { return open(JsonNode::Kind::kList); }
+  bool key(string_t& value) override {
+    names_.push_back(std::move(value));
     return true;
   }
   bool end_object() override {
     auto& members = open_.back()->members;
-    std::stable_sort(members.begin(), members.end(),
-                     [](const auto& a, const auto& b) { return a.first < b.first; });
-    const auto twice = std::adjacent_find(members.begin(), members.end(),
-                                          [](const auto& a, const auto& b) { return a.first == b.first; });
-    if (twice != members.end()) return fail("the member '" + twice->first.substr(0, 40) + "' twice");
+    std::stable_sort(members.begin(), members.end(), name_less);
+    const auto repeated = std::adjacent_find(members.begin(), members.end(), name_equal);
+    if (repeated != members.end())
+      return fail("the member '" + repeated->name.substr(0, kMaxNameInError) + "' twice");
     open_.pop_back();
     return true;
   }
@@ -58,129 +55,174 @@
   }
 
  private:
-  bool fail(const std::string& why) {
-    if (problem_.empty()) problem_ = why;
+  bool fail(const std::string& problem) {
+    if (problem_.empty()) problem_ = problem;
     return false;
   }
-  bool number(std::int64_t v) {
-    Node n;
-    n.kind = Node::Kind::kNumber, n.number = v;
-    return add(std::move(n));
-  }
-  Node* place(Node n) {
-    if (open_.empty()) return &(root = std::move(n));
-    Node& into = *open_.back();
-    if (into.kind == Node::Kind::kList) return &into.items.emplace_back(std::move(n));
-    into.members.emplace_back(std::move(names_.back()), std::move(n));
+  // Null where there are too many.
+  JsonNode* add(JsonNode node) {
+    if (++nodes_ > limits_.nodes) {
+      fail("more than " + std::to_string(limits_.nodes) + " values");
+      return nullptr;
+    }
+    if (open_.empty()) return &(root_ = std::move(node));
+    JsonNode& parent = *open_.back();
+    if (parent.kind == JsonNode::Kind::kList) return &parent.items.emplace_back(std::move(node));
+    parent.members.push_back({std::move(names_.back()), std::move(node)});
     names_.pop_back();
-    return &into.members.back().second;
+    return &parent.members.back().value;
   }
-  bool add(Node n) {
-    if (++nodes_ > bounds_.nodes) return fail("more than " + std::to_string(bounds_.nodes) + " values");
-    place(std::move(n));
-    return true;
-  }
-  // The pointers stand: a container grows only while it is the innermost that is open.
-  bool open(Node::Kind kind) {
-    if (open_.size() >= bounds_.depth)
-      return fail("deeper than " + std::to_string(bounds_.depth) + " levels");
-    if (++nodes_ > bounds_.nodes) return fail("more than " + std::to_string(bounds_.nodes) + " values");
-    Node n;
-    n.kind = kind;
-    open_.push_back(place(std::move(n)));
-    return true;
+  bool open(JsonNode::Kind kind) {
+    if (open_.size() >= limits_.depth)
+      return fail("deeper than " + std::to_string(limits_.depth) + " levels");
+    JsonNode node;
+    node.kind = kind;
+    JsonNode* const added = add(std::move(node));
+    if (added) open_.push_back(added);
+    return added != nullptr;
   }
-  const Bounds& bounds_;
+
+  const JsonLimits& limits_;
   std::string& problem_;
-  std::vector<Node*> open_;
-  std::vector<std::string> names_;
+  JsonNode root_;
+  std::vector<JsonNode*> open_;     // stay valid: a container grows only while it is the innermost open one
+  std::vector<std::string> names_;  // of members whose value has not come yet
   std::size_t nodes_ = 0;
 };
 
-void write_text(std::string& to, const std::string& text, bool escaped) {
-  to += '"';
+void write_string(std::string& output, const std::string& text, bool escape_control) {
+  constexpr char kHexDigits[] = "0123456789abcdef";
+  output += '"';
   for (const char c : text) {
-    if (escaped && static_cast<unsigned char>(c) < ' ') {
-      constexpr char kHex[] = "0123456789abcdef";
-      to.append("\\u00").append(
-          {kHex[static_cast<unsigned char>(c) >> 4U], kHex[static_cast<unsigned char>(c) & 15U]});
+    const auto byte = static_cast<unsigned char>(c);
+    if (escape_control && byte < ' ') {
+      output.append("\\u00").append({kHexDigits[byte >> 4U], kHexDigits[byte & 15U]});
       continue;
     }
-    if (c == '"' || c == '\\') to += '\\';
-    to += c;
+    if (c == '"' || c == '\\') output += '\\';
+    output += c;
   }
-  to += '"';
+  output += '"';
 }
 
 }  // namespace
 
-const Node* Node::find(std::string_view name) const {
-  const auto at = std::lower_bound(members.begin(), members.end(), name,
-                                   [](const auto& m, std::string_view n) { return m.first < n; });
-  return at != members.end() && at->first == name ? &at->second : nullptr;
+const JsonNode* JsonNode::find(std::string_view name) const {
+  const auto found = std::lower_bound(
+      members.begin(), members.end(), name,
+      [](const JsonMember& member, std::string_view wanted) { return member.name < wanted; });
+  return found != members.end() && found->name == name ? &found->value : nullptr;
 }
 
-const Node* Node::find(std::string_view name, Kind wanted) const {
-  const Node* const n = find(name);
-  return n && n->kind == wanted ? n : nullptr;
+const JsonNode* JsonNode::find(std::string_view name, Kind wanted) const {
+  const JsonNode* const node = find(name);
+  return node && node->kind == wanted ? node : nullptr;
 }
 
-std::string Node::canonical() const {
-  std::string all;
-  write(all, false);
-  return all;
+JsonNode* JsonNode::find(std::string_view name, Kind wanted) {
+  return const_cast<JsonNode*>(std::as_const(*this).find(name, wanted));
 }
 
-std::string Node::json() const {
-  std::string all;
-  write(all, true);
-  return all;
+std::string JsonNode::canonical() const {
+  std::string output;
+  write(output, false);
+  return output;
 }
 
-void Node::write(std::string& to, bool escaped) const {
+std::string JsonNode::json() const {
+  std::string output;
+  write(output, true);
+  return output;
+}
+
+void JsonNode::write(std::string& output, bool escape_control) const {
   switch (kind) {
     case Kind::kNull:
-      to += "null";
+      output += "null";
       break;
     case Kind::kBool:
-      to += truth ? "true" : "false";
+      output += boolean ? "true" : "false";
       break;
     case Kind::kNumber:
-      to += std::to_string(number);
+      output += std::to_string(number);
       break;
     case Kind::kString:
-      write_text(to, text, escaped);
+      write_string(output, text, escape_control);
       break;
     case Kind::kList:
-      to += '[';
-      for (std::size_t i = 0; i < items.size(); ++i) {
-        if (i > 0) to += ',';
-        items[i].write(to, escaped);
-      }
-      to += ']';
+      write_list(output, escape_control);
       break;
     case Kind::kObject:
-      to += '{';
-      for (std::size_t i = 0; i < members.size(); ++i) {
-        if (i > 0) to += ',';
-        write_text(to, members[i].first, escaped);
-        to += ':';
-        members[i].second.write(to, escaped);
-      }
-      to += '}';
+      write_object(output, escape_control);
       break;
   }
 }
 
-std::optional<Node> read(std::string_view text, const Bounds& bounds, std::string& problem) {
+void JsonNode::write_list(std::string& output, bool escape_control) const {
+  output += '[';
+  for (std::size_t i = 0; i < items.size(); ++i) {
+    if (i > 0) output += ',';
+    items[i].write(output, escape_control);
+  }
+  output += ']';
+}
+
+void JsonNode::write_object(std::string& output, bool escape_control) const {
+  output += '{';
+  for (std::size_t i = 0; i < members.size(); ++i) {
+    if (i > 0) output += ',';
+    write_string(output, members[i].name, escape_control);
+    output += ':';
+    members[i].value.write(output, escape_control);
+  }
+  output += '}';
+}
+
+JsonNode json_string(std::string text) {
+  JsonNode node;
+  node.kind = JsonNode::Kind::kString;
+  node.text = std::move(text);
+  return node;
+}
+
+JsonNode json_number(std::int64_t number) {
+  JsonNode node;
+  node.kind = JsonNode::Kind::kNumber;
+  node.number = number;
+  return node;
+}
+
+JsonNode json_bool(bool boolean) {
+  JsonNode node;
+  node.kind = JsonNode::Kind::kBool;
+  node.boolean = boolean;
+  return node;
+}
+
+JsonNode json_list(std::vector<JsonNode> items) {
+  JsonNode node;
+  node.kind = JsonNode::Kind::kList;
+  node.items = std::move(items);
+  return node;
+}
+
+JsonNode json_object(std::vector<JsonMember> members) {
+  JsonNode node;
+  node.kind = JsonNode::Kind::kObject;
+  node.members = std::move(members);
+  std::sort(node.members.begin(), node.members.end(), name_less);
+  return node;
+}
+
+std::optional<JsonNode> parse_json(std::string_view text, const JsonLimits& limits, std::string& problem) {
   problem.clear();
-  if (text.size() > bounds.bytes) {
-    problem = std::to_string(text.size()) + " bytes, at most " + std::to_string(bounds.bytes);
+  if (text.size() > limits.bytes) {
+    problem = std::to_string(text.size()) + " bytes, at most " + std::to_string(limits.bytes);
     return std::nullopt;
   }
-  Builder builder(bounds, problem);
+  NodeBuilder builder(limits, problem);
   const bool good = nlohmann::json::sax_parse(text, &builder, nlohmann::json::input_format_t::json, true);
-  if (good && problem.empty()) return std::move(builder.root);
+  if (good && problem.empty()) return builder.take_root();
   if (problem.empty()) problem = "no JSON";
   return std::nullopt;
 }
--- a/src/metadata/json.hpp
+++ b/src/metadata/json.hpp
@@ -1,42 +1,62 @@
 // JSON as signed metadata has it: read strictly, and written back in the canonical form that is signed (OLPC
-// canonical JSON, as TUF 1.0, section 4.2, uses it). Whole numbers only; each member once; UTF-8; nothing
-// behind.
+// canonical JSON, as TUF 1.0, section 4.2, uses it). Integers only; each member once; UTF-8; nothing may
+// follow the value. Errors: a text that says what was met first, and nothing is returned.
 #pragma once
 #include <cstdint>
-#include <memory>
 #include <optional>
 #include <string>
 #include <string_view>
-#include <utility>
 #include <vector>
 
 namespace ashbeam::metadata {
 
-class Node {
+struct JsonMember;
+
+class JsonNode {
  public:
   enum class Kind : std::uint8_t { kNull, kBool, kNumber, kString, kList, kObject };
   Kind kind = Kind::kNull;
-  bool truth = false;
+  bool boolean = false;
   std::int64_t number = 0;
   std::string text;
-  std::vector<Node> items;                            // of a list
-  std::vector<std::pair<std::string, Node>> members;  // of an object, sorted by name
+  std::vector<JsonNode> items;      // of a list
+  std::vector<JsonMember> members;  // of an object, sorted by name
 
-  const Node* find(std::string_view name) const;  // of an object; null where there is none
-  const Node* find(std::string_view name, Kind kind) const;
-  std::string canonical() const;  // what is signed; no JSON where a string holds control characters
-  std::string json() const;       // the same as JSON
+  // The member of that name (and kind); null where there is none.
+  const JsonNode* find(std::string_view name) const;
+  const JsonNode* find(std::string_view name, Kind wanted) const;
+  JsonNode* find(std::string_view name, Kind wanted);
+  // The form that is signed; not valid JSON where a string holds control characters, which it leaves as they
+  // are.
+  std::string canonical() const;
+  // The same with control characters escaped: valid JSON.
+  std::string json() const;
 
  private:
-  void write(std::string& to, bool escaped) const;
+  void write(std::string& output, bool escape_control) const;
+  void write_list(std::string& output, bool escape_control) const;
+  void write_object(std::string& output, bool escape_control) const;
+};
+
+struct JsonMember {
+  std::string name;
+  JsonNode value;
 };
 
-struct Bounds {
-  std::size_t bytes = 512 * 1024, nodes = 200'000;
+JsonNode json_string(std::string text);
+JsonNode json_number(std::int64_t number);
+JsonNode json_bool(bool boolean);
+JsonNode json_list(std::vector<JsonNode> items);
+// The members may come in any order.
+JsonNode json_object(std::vector<JsonMember> members);
+
+struct JsonLimits {
+  std::size_t bytes = std::size_t{512} * 1024;
+  std::size_t nodes = 200'000;
   unsigned depth = 16;
 };
 
-// `problem` is set where nothing is returned.
-std::optional<Node> read(std::string_view text, const Bounds& bounds, std::string& problem);
+// `problem` is set where nothing is returned, and empty otherwise.
+std::optional<JsonNode> parse_json(std::string_view text, const JsonLimits& limits, std::string& problem);
 
 }  // namespace ashbeam::metadata
--- a/src/metadata/keys.cpp
+++ b/src/metadata/keys.cpp
@@ -13,164 +13,221 @@
 
 namespace {
 
-std::string hex_of(const unsigned char* bytes, std::size_t size) {
-  constexpr char kHex[] = "0123456789abcdef";
-  std::string all;
-  all.reserve(size * 2);
-  for (std::size_t i = 0; i < size; ++i) all += kHex[bytes[i] >> 4U], all += kHex[bytes[i] & 15U];
-  return all;
+constexpr std::size_t kMaxKeyText = 8192;
+constexpr std::size_t kEd25519KeyBytes = 32;
+constexpr int kMinRsaBits = 2048;
+constexpr int kMaxRsaBits = 8192;
+
+struct KeyDeleter {
+  void operator()(EVP_PKEY* key) const { EVP_PKEY_free(key); }
+};
+using OwnedKey = std::unique_ptr<EVP_PKEY, KeyDeleter>;
+
+std::string_view as_text(const unsigned char* bytes, std::size_t size) {
+  return {reinterpret_cast<const char*>(bytes), size};
 }
 
-std::string digest_hex(std::string_view bytes, const EVP_MD* kind) {
-  unsigned char out[EVP_MAX_MD_SIZE];
-  unsigned size = 0;
-  EVP_Digest(bytes.data(), bytes.size(), out, &size, kind, nullptr);
-  return hex_of(out, size);
+const unsigned char* as_bytes(std::string_view text) {
+  return reinterpret_cast<const unsigned char*>(text.data());
 }
 
-const unsigned char* bytes_of(std::string_view s) { return reinterpret_cast<const unsigned char*>(s.data()); }
+std::string digest_hex(std::string_view bytes, const EVP_MD* algorithm) {
+  unsigned char digest[EVP_MAX_MD_SIZE];
+  unsigned size = 0;
+  EVP_Digest(bytes.data(), bytes.size(), digest, &size, algorithm, nullptr);
+  return to_hex(as_text(digest, size));
+}
 
-EVP_PKEY* from_pem(const std::string& pem) {
-  BIO* const bio = BIO_new_mem_buf(pem.data(), static_cast<int>(pem.size()));
-  EVP_PKEY* const key = PEM_read_bio_PUBKEY(
-      bio, nullptr, [](char*, int, int, void*) { return -1; }, nullptr);
-  BIO_free(bio);
+OwnedKey key_from_pem(const std::string& pem) {
+  const std::unique_ptr<BIO, decltype(&BIO_free)> source(
+      BIO_new_mem_buf(pem.data(), static_cast<int>(pem.size())), BIO_free);
+  const auto no_password = [](char*, int, int, void*) { return -1; };
+  OwnedKey key(PEM_read_bio_PUBKEY(source.get(), nullptr, no_password, nullptr));
   ERR_clear_error();
   return key;
 }
 
+OwnedKey ed25519_key(const std::string& hex) {
+  const auto bytes = from_hex(hex);
+  if (!bytes || bytes->size() != kEd25519KeyBytes) return nullptr;
+  return OwnedKey(EVP_PKEY_new_raw_public_key(EVP_PKEY_ED25519, nullptr, as_bytes(*bytes), bytes->size()));
+}
+
+// Null where the key is not on P-256.
+OwnedKey ecdsa_key(const std::string& pem) {
+  OwnedKey key = key_from_pem(pem);
+  if (!key || EVP_PKEY_get_base_id(key.get()) != EVP_PKEY_EC) return nullptr;
+  char curve[32] = "";
+  std::size_t size = 0;
+  if (EVP_PKEY_get_group_name(key.get(), curve, sizeof curve, &size) != 1) return nullptr;
+  return std::string_view(curve) == "prime256v1" ? std::move(key) : nullptr;
+}
+
+OwnedKey rsa_key(const std::string& pem) {
+  OwnedKey key = key_from_pem(pem);
+  if (!key || EVP_PKEY_get_base_id(key.get()) != EVP_PKEY_RSA) return nullptr;
+  const int bits = EVP_PKEY_get_bits(key.get());
+  return bits >= kMinRsaBits && bits <= kMaxRsaBits ? std::move(key) : nullptr;
+}
+
+// SHA-256 of the key's DER form; empty where it has none.
+std::string identity_of(EVP_PKEY* key) {
+  unsigned char* der = nullptr;
+  const int size = i2d_PUBKEY(key, &der);
+  if (size <= 0) return "";
+  std::string identity = sha256_hex(as_text(der, static_cast<std::size_t>(size)));
+  OPENSSL_free(der);
+  return identity;
+}
+
+int hex_digit(char c) {
+  if (c >= '0' && c <= '9') return c - '0';
+  if (c >= 'a' && c <= 'f') return c - 'a' + 10;
+  if (c >= 'A' && c <= 'F') return c - 'A' + 10;
+  return -1;
+}
+
+// How many distinct public keys of the role have signed. Each is counted once, and no key that has counted is
+// verified again.
+std::size_t count_signing_keys(const Role& role, const Keys& keys, const SignedEnvelope& envelope,
+                               std::uint64_t& verifications) {
+  std::set<std::string> identities;
+  for (const Signature& signature : envelope.signatures) {
+    if (!std::binary_search(role.keyids.begin(), role.keyids.end(), signature.keyid)) continue;
+    const auto key = keys.find(signature.keyid);
+    if (key == keys.end() || identities.contains(key->second->identity())) continue;
+    ++verifications;
+    if (key->second->verify(envelope.signed_bytes, signature.bytes))
+      identities.insert(key->second->identity());
+  }
+  return identities.size();
+}
+
 }  // namespace
 
 std::string sha256_hex(std::string_view bytes) { return digest_hex(bytes, EVP_sha256()); }
 std::string sha512_hex(std::string_view bytes) { return digest_hex(bytes, EVP_sha512()); }
 
+std::string to_hex(std::string_view bytes) {
+  constexpr char kHexDigits[] = "0123456789abcdef";
+  std::string hex;
+  hex.reserve(bytes.size() * 2);
+  for (const char c : bytes) {
+    const auto byte = static_cast<unsigned char>(c);
+    hex += kHexDigits[byte >> 4U];
+    hex += kHexDigits[byte & 15U];
+  }
+  return hex;
+}
+
 std::optional<std::string> from_hex(std::string_view text) {
   if (text.size() % 2 != 0) return std::nullopt;
-  std::string all;
-  all.reserve(text.size() / 2);
-  const auto digit = [](char c) {
-    return c >= '0' && c <= '9'   ? c - '0'
-           : c >= 'a' && c <= 'f' ? c - 'a' + 10
-           : c >= 'A' && c <= 'F' ? c - 'A' + 10
-                                  : -1;
-  };
+  std::string bytes;
+  bytes.reserve(text.size() / 2);
   for (std::size_t i = 0; i < text.size(); i += 2) {
-    const int high = digit(text[i]), low = digit(text[i + 1]);
+    const int high = hex_digit(text[i]);
+    const int low = hex_digit(text[i + 1]);
     if (high < 0 || low < 0) return std::nullopt;
-    all += static_cast<char>(high * 16 + low);
+    bytes += static_cast<char>(high * 16 + low);
   }
-  return all;
+  return bytes;
 }
 
-std::shared_ptr<const PublicKey> PublicKey::of(const Node& object) {
-  const Node* const type = object.find("keytype", Node::Kind::kString);
-  const Node* const scheme = object.find("scheme", Node::Kind::kString);
-  const Node* const value = object.find("keyval", Node::Kind::kObject);
-  const Node* const text = value ? value->find("public", Node::Kind::kString) : nullptr;
-  if (!type || !scheme || !text || text->text.size() > 8192) return nullptr;
+std::shared_ptr<const PublicKey> PublicKey::from_json(const JsonNode& object) {
+  using Kind = JsonNode::Kind;
+  const JsonNode* const type = object.find("keytype", Kind::kString);
+  const JsonNode* const scheme = object.find("scheme", Kind::kString);
+  const JsonNode* const value = object.find("keyval", Kind::kObject);
+  const JsonNode* const text = value ? value->find("public", Kind::kString) : nullptr;
+  if (!type || !scheme || !text || text->text.size() > kMaxKeyText) return nullptr;
+
   auto key = std::make_shared<PublicKey>();
-  EVP_PKEY* made = nullptr;
+  OwnedKey owned;
   if (type->text == "ed25519" && scheme->text == "ed25519") {
-    const auto bytes = from_hex(text->text);
-    if (!bytes || bytes->size() != 32) return nullptr;
     key->scheme_ = Scheme::kEd25519;
-    made = EVP_PKEY_new_raw_public_key(EVP_PKEY_ED25519, nullptr, bytes_of(*bytes), bytes->size());
+    owned = ed25519_key(text->text);
   } else if ((type->text == "ecdsa" || type->text == "ecdsa-sha2-nistp256") &&
              scheme->text == "ecdsa-sha2-nistp256") {
     key->scheme_ = Scheme::kEcdsa;
-    made = from_pem(text->text);
-    char curve[32] = "";
-    std::size_t size = 0;
-    const bool right = made && EVP_PKEY_get_base_id(made) == EVP_PKEY_EC &&
-                       EVP_PKEY_get_group_name(made, curve, sizeof curve, &size) == 1 &&
-                       std::string_view(curve) == "prime256v1";
-    if (!right) return EVP_PKEY_free(made), nullptr;
+    owned = ecdsa_key(text->text);
   } else if (type->text == "rsa" && scheme->text == "rsassa-pss-sha256") {
     key->scheme_ = Scheme::kRsaPss;
-    made = from_pem(text->text);
-    const bool right = made && EVP_PKEY_get_base_id(made) == EVP_PKEY_RSA &&
-                       EVP_PKEY_get_bits(made) >= 2048 && EVP_PKEY_get_bits(made) <= 8192;
-    if (!right) return EVP_PKEY_free(made), nullptr;
+    owned = rsa_key(text->text);
   }
-  if (!made) return nullptr;
-  key->key_.reset(made, EVP_PKEY_free);
-  unsigned char* der = nullptr;
-  const int size = i2d_PUBKEY(made, &der);
-  if (size <= 0) return nullptr;
-  key->identity_ = digest_hex({reinterpret_cast<char*>(der), static_cast<std::size_t>(size)}, EVP_sha256());
-  OPENSSL_free(der);
+  if (!owned) return nullptr;
+  key->identity_ = identity_of(owned.get());
+  if (key->identity_.empty()) return nullptr;
+  key->key_ = std::move(owned);
   return key;
 }
 
-bool PublicKey::verifies(std::string_view bytes, std::string_view signature) const {
-  const std::unique_ptr<EVP_MD_CTX, decltype(&EVP_MD_CTX_free)> ctx(EVP_MD_CTX_new(), EVP_MD_CTX_free);
-  EVP_PKEY_CTX* how = nullptr;
+bool PublicKey::verify(std::string_view bytes, std::string_view signature) const {
+  const std::unique_ptr<EVP_MD_CTX, decltype(&EVP_MD_CTX_free)> context(EVP_MD_CTX_new(), EVP_MD_CTX_free);
+  EVP_PKEY_CTX* options = nullptr;  // owned by `context`
   const EVP_MD* const digest = scheme_ == Scheme::kEd25519 ? nullptr : EVP_sha256();
-  if (EVP_DigestVerifyInit(ctx.get(), &how, digest, nullptr, key_.get()) != 1) return false;
-  if (scheme_ == Scheme::kRsaPss && (EVP_PKEY_CTX_set_rsa_padding(how, RSA_PKCS1_PSS_PADDING) != 1 ||
-                                     EVP_PKEY_CTX_set_rsa_pss_saltlen(how, RSA_PSS_SALTLEN_AUTO) != 1))
-    return false;
-  const bool good =
-      EVP_DigestVerify(ctx.get(), bytes_of(signature), signature.size(), bytes_of(bytes), bytes.size()) == 1;
+  if (EVP_DigestVerifyInit(context.get(), &options, digest, nullptr, key_.get()) != 1) return false;
+  if (scheme_ == Scheme::kRsaPss) {
+    if (EVP_PKEY_CTX_set_rsa_padding(options, RSA_PKCS1_PSS_PADDING) != 1) return false;
+    if (EVP_PKEY_CTX_set_rsa_pss_saltlen(options, RSA_PSS_SALTLEN_AUTO) != 1) return false;
+  }
+  const bool valid = EVP_DigestVerify(context.get(), as_bytes(signature), signature.size(), as_bytes(bytes),
+                                      bytes.size()) == 1;
   ERR_clear_error();
-  return good;
+  return valid;
 }
 
-Refusal read_keys(const Node& objects, Keys& into) {
-  if (objects.kind != Node::Kind::kObject || objects.members.size() > kMostKeys)
-    return {Why::kUnreadable, "keys: wanted an object of at most 128", "TUF 4.3"};
+Refusal read_keys(const JsonNode& objects, Keys& keys) {
+  if (objects.kind != JsonNode::Kind::kObject || objects.members.size() > kMaxKeys)
+    return Refusal::unreadable("keys: wanted an object of at most 128", "TUF 4.3");
   for (const auto& [keyid, object] : objects.members) {
-    if (object.kind != Node::Kind::kObject) return {Why::kUnreadable, "keys: no object", "TUF 4.3"};
-    const std::string own = sha256_hex(object.canonical());
-    if (own != keyid)
-      return {Why::kKey, "key id " + keyid.substr(0, 12) + " is of " + own.substr(0, 12), "TUF 4.2"};
-    auto key = PublicKey::of(object);
-    // A key of a kind that we don't know counts for nothing, and spoils nothing.
-    if (key) into.emplace(keyid, std::move(key));
+    if (object.kind != JsonNode::Kind::kObject) return Refusal::unreadable("keys: no object", "TUF 4.3");
+    const std::string computed = sha256_hex(object.canonical());
+    if (computed != keyid) {
+      std::string detail = "key id ";
+      detail.append(abbreviate_hash(keyid)).append(" is of ").append(abbreviate_hash(computed));
+      return {RefusalReason::kKey, std::move(detail), "TUF 4.2"};
+    }
+    auto key = PublicKey::from_json(object);
+    if (key) keys.emplace(keyid, std::move(key));
   }
   return {};
 }
 
-Refusal read_signatures(const Node& list, std::vector<Signature>& into) {
-  if (list.kind != Node::Kind::kList || list.items.size() > kMostSignatures)
-    return {Why::kUnreadable, "signatures: wanted a list of at most 128", "TUF 4.2"};
-  for (const Node& one : list.items) {
-    const Node* const keyid = one.find("keyid", Node::Kind::kString);
-    const Node* const sig = one.find("sig", Node::Kind::kString);
-    const auto bytes = sig ? from_hex(sig->text) : std::nullopt;
-    if (!keyid || !bytes) return {Why::kUnreadable, "signatures: wanted keyid and sig in hex", "TUF 4.2"};
-    into.push_back({keyid->text, *bytes});
+Refusal read_signatures(const JsonNode& list, std::vector<Signature>& signatures) {
+  if (list.kind != JsonNode::Kind::kList || list.items.size() > kMaxSignatures)
+    return Refusal::unreadable("signatures: wanted a list of at most 128", "TUF 4.2");
+  for (const JsonNode& item : list.items) {
+    const JsonNode* const keyid = item.find("keyid", JsonNode::Kind::kString);
+    const JsonNode* const sig = item.find("sig", JsonNode::Kind::kString);
+    auto bytes = sig ? from_hex(sig->text) : std::nullopt;
+    if (!keyid || !bytes) return Refusal::unreadable("signatures: wanted keyid and sig in hex", "TUF 4.2");
+    signatures.push_back({keyid->text, std::move(*bytes)});
   }
   return {};
 }
 
-Refusal read_role(const Node& object, Role& into) {
-  const Node* const keyids = object.find("keyids", Node::Kind::kList);
-  const Node* const threshold = object.find("threshold", Node::Kind::kNumber);
-  if (!keyids || !threshold || threshold->number < 1 || keyids->items.size() > kMostKeys)
-    return {Why::kUnreadable, "role: wanted keyids and a threshold of 1 or more", "TUF 4.3"};
-  into.threshold = threshold->number;
-  for (const Node& id : keyids->items) {
-    if (id.kind != Node::Kind::kString) return {Why::kUnreadable, "role: a key id is no text", "TUF 4.3"};
-    into.keyids.push_back(id.text);
+Refusal read_role(const JsonNode& object, Role& role) {
+  const JsonNode* const keyids = object.find("keyids", JsonNode::Kind::kList);
+  const JsonNode* const threshold = object.find("threshold", JsonNode::Kind::kNumber);
+  if (!keyids || !threshold || threshold->number < 1 || keyids->items.size() > kMaxKeys)
+    return Refusal::unreadable("role: wanted keyids and a threshold of 1 or more", "TUF 4.3");
+  role.threshold = threshold->number;
+  for (const JsonNode& keyid : keyids->items) {
+    if (keyid.kind != JsonNode::Kind::kString)
+      return Refusal::unreadable("role: a key id is no text", "TUF 4.3");
+    role.keyids.push_back(keyid.text);
   }
-  std::sort(into.keyids.begin(), into.keyids.end());
-  if (std::adjacent_find(into.keyids.begin(), into.keyids.end()) != into.keyids.end())
-    return {Why::kUnreadable, "role: a key id twice", "TUF 4.3"};
+  std::sort(role.keyids.begin(), role.keyids.end());
+  if (std::adjacent_find(role.keyids.begin(), role.keyids.end()) != role.keyids.end())
+    return Refusal::unreadable("role: a key id twice", "TUF 4.3");
   return {};
 }
 
-unsigned signers(const Role& role, const Keys& keys, const std::vector<Signature>& signatures,
-                 std::string_view bytes, std::uint64_t& verifications) {
-  std::set<std::string> distinct;
-  for (const Signature& s : signatures) {
-    if (!std::binary_search(role.keyids.begin(), role.keyids.end(), s.keyid)) continue;
-    const auto key = keys.find(s.keyid);
-    if (key == keys.end() || distinct.contains(key->second->identity())) continue;
-    ++verifications;
-    if (key->second->verifies(bytes, s.bytes)) distinct.insert(key->second->identity());
-  }
-  return static_cast<unsigned>(distinct.size());
+Refusal check_threshold(std::string_view what, const Role& role, const Keys& keys,
+                        const SignedEnvelope& envelope, const char* section, std::uint64_t& verifications) {
+  const auto valid = static_cast<std::int64_t>(count_signing_keys(role, keys, envelope, verifications));
+  if (valid >= role.threshold) return {};
+  return Refusal::threshold(what, valid, role.threshold, section);
 }
 
 }  // namespace ashbeam::metadata
--- a/src/metadata/keys.hpp
+++ b/src/metadata/keys.hpp
@@ -1,7 +1,9 @@
 // Keys and signatures of metadata (TUF 1.0, section 4.2): Ed25519, ECDSA on P-256, RSA-PSS with SHA-256.
 #pragma once
+#include <cstdint>
 #include <map>
 #include <memory>
+#include <optional>
 #include <string>
 #include <string_view>
 #include <vector>
@@ -15,16 +17,18 @@
 
 std::string sha256_hex(std::string_view bytes);
 std::string sha512_hex(std::string_view bytes);
-// Nothing where a character is none, or their number is odd.
+// In lower case.
+std::string to_hex(std::string_view bytes);
+// Nothing where a character is no hex digit, or their number is odd.
 std::optional<std::string> from_hex(std::string_view text);
 
 class PublicKey {
  public:
   // Of a key object: {"keytype", "scheme", "keyval": {"public"}}. Null where it can't be used.
-  static std::shared_ptr<const PublicKey> of(const Node& object);
-  // As the key's own bytes say, whatever its id or its object's other members: what a threshold counts by.
+  static std::shared_ptr<const PublicKey> from_json(const JsonNode& object);
+  // SHA-256 of the key itself (DER), whatever its id or its object's other members: what a threshold counts.
   const std::string& identity() const { return identity_; }
-  bool verifies(std::string_view bytes, std::string_view signature) const;
+  bool verify(std::string_view bytes, std::string_view signature) const;
 
  private:
   enum class Scheme { kEd25519, kEcdsa, kRsaPss };
@@ -33,27 +37,38 @@
   std::string identity_;
 };
 
-// Keys by their id, which is recomputed from the object (SHA-256 of its canonical form) and never believed.
+constexpr std::size_t kMaxKeys = 128;
+constexpr std::size_t kMaxSignatures = 128;
+
+// Keys by their id. An id is the SHA-256 of the key object's canonical form; it is always computed, and a
+// file that has another one is refused. Keys of unknown kinds are left out.
 using Keys = std::map<std::string, std::shared_ptr<const PublicKey>, std::less<>>;
-constexpr std::size_t kMostKeys = 128, kMostSignatures = 128;
-Refusal read_keys(const Node& objects, Keys& into);
+Refusal read_keys(const JsonNode& objects, Keys& keys);
 
 struct Signature {
-  std::string keyid, bytes;
+  std::string keyid;
+  std::string bytes;
+};
+Refusal read_signatures(const JsonNode& list, std::vector<Signature>& signatures);
+
+// A signed part and who claims to have signed it.
+struct SignedEnvelope {
+  std::vector<Signature> signatures;
+  std::string signed_bytes;  // canonical form of the signed part
 };
-Refusal read_signatures(const Node& list, std::vector<Signature>& into);
 
-// Which keys may speak for a role, and how many of them must.
+// Which keys may sign for a role, and how many of them must.
 struct Role {
-  std::vector<std::string> keyids;
+  std::vector<std::string> keyids;  // sorted
   std::int64_t threshold = 1;
   bool operator==(const Role&) const = default;
 };
-Refusal read_role(const Node& object, Role& into);
+Refusal read_role(const JsonNode& object, Role& role);
 
-// How many distinct public keys of the role have signed these bytes: not how many ids or signatures. Each key
-// is verified once at most; `verifications` counts them.
-unsigned signers(const Role& role, const Keys& keys, const std::vector<Signature>& signatures,
-                 std::string_view bytes, std::uint64_t& verifications);
+// Have enough distinct public keys of the role signed? Neither ids nor signatures count: one key under two
+// ids is one. `what` and `section` go into the refusal; `verifications` rises by the signatures computed, at
+// most one for each signature of the envelope.
+Refusal check_threshold(std::string_view what, const Role& role, const Keys& keys,
+                        const SignedEnvelope& envelope, const char* section, std::uint64_t& verifications);
 
 }  // namespace ashbeam::metadata
--- a/src/metadata/metadata_verifier.cpp
+++ b/src/metadata/metadata_verifier.cpp
@@ -8,268 +8,253 @@
 
 namespace {
 
-std::uint64_t client_key(std::uint32_t repository, std::uint64_t client) {
-  return (client ^ (client >> 32U)) * 0x9e3779b97f4a7c15ULL + repository;
+// A file under the name of another version: each is valid under its own name alone (section 5.6.2).
+Refusal check_named_version(const std::string& role, std::int64_t found, std::int64_t named) {
+  if (named == 0 || found == named) return {};
+  return Refusal::other_name(role, found, named, "TUF 5.6.2");
 }
 
-// "12.snapshot.json" is snapshot in version 12, "snapshot.json" in none.
-bool split_name(std::string_view file, std::string& role, std::int64_t& version) {
-  if (!file.ends_with(".json") || file.find('/') != std::string_view::npos) return false;
-  file.remove_suffix(5);
-  version = 0;
-  const std::size_t dot = file.find('.');
-  if (dot != std::string_view::npos) {
-    const auto [end, error] = std::from_chars(file.data(), file.data() + dot, version);
-    if (error == std::errc() && end == file.data() + dot) file.remove_prefix(dot + 1);
+bool is_top_level(const std::string& role) { return role == "snapshot" || role == "targets"; }
+
+// Under the first delegator that trusts the file; the refusal of the last one otherwise.
+TrustUpdate update_by_any_delegator(const TrustedMetadata& trust, const std::string& role,
+                                    std::string_view bytes, Instant now) {
+  TrustUpdate last;
+  last.refusal = {RefusalReason::kOutOfOrder, role + ": nobody who delegates to it has passed here",
+                  "TUF 5.6.7"};
+  for (const auto& [delegator, targets] : trust.targets) {
+    for (const Delegation& delegation : targets->delegations) {
+      for (const DelegatedRole& delegated : delegation.roles) {
+        if (delegated.name != role) continue;
+        TrustUpdate update = update_delegated_targets(trust, delegator, role, bytes, now);
+        update.verifications += last.verifications;
+        if (!update.refusal) return update;
+        last = std::move(update);
+      }
+    }
   }
-  role = file;
-  return !role.empty();
+  return last;
+}
+
+TrustUpdate update_role(const TrustedMetadata& trust, const std::string& role, std::string_view bytes,
+                        Instant now) {
+  if (role == "snapshot") return update_snapshot(trust, bytes, now);
+  if (role == "targets") return update_targets(trust, bytes, now);
+  return update_by_any_delegator(trust, role, bytes, now);
+}
+
+std::int64_t version_of(const TrustedMetadata& trust, const std::string& role) {
+  return role == "snapshot" ? trust.snapshot->version : trust.targets.find(role)->second->version;
 }
 
 }  // namespace
 
-MetadataVerifier::MetadataVerifier(std::vector<RepositorySettings> repositories, std::size_t clients)
-    : most_clients_(std::max<std::size_t>(1, clients)) {
-  for (auto& terms : repositories) {
-    Repository r;
-    const Step step = pin(terms.root);
-    if (step.refusal) throw std::runtime_error(terms.prefix + ": pinned root: " + step.refusal.line());
-    r.trust = step.trust;
-    r.roots[r.trust.root->version] = {r.trust.root->digest, 0};
-    r.terms = std::move(terms);
-    by_length_.push_back(static_cast<std::uint32_t>(all_.size()));
-    all_.push_back(std::move(r));
+MetadataVerifier::MetadataVerifier(std::vector<RepositorySettings> repositories, std::size_t max_clients)
+    : clients_(repositories.size(), max_clients) {
+  for (auto& settings : repositories) {
+    TrustUpdate pinned = pin_root(settings.root);
+    if (pinned.refusal) throw std::runtime_error(settings.prefix + ": pinned root: " + pinned.refusal.line());
+    Repository repository;
+    repository.index = static_cast<std::uint32_t>(repositories_.size());
+    repository.trust = std::move(pinned.trust);
+    const Root& root = *repository.trust.root;
+    repository.roots[root.version] = {root.digest, 0};
+    repository.settings = std::move(settings);
+    by_prefix_length_.push_back(repository.index);
+    repositories_.push_back(std::move(repository));
   }
-  std::stable_sort(by_length_.begin(), by_length_.end(), [this](std::uint32_t a, std::uint32_t b) {
-    return all_[a].terms.prefix.size() > all_[b].terms.prefix.size();
-  });
+  const auto prefix_length = [this](std::uint32_t index) {
+    return repositories_[index].settings.prefix.size();
+  };
+  std::stable_sort(by_prefix_length_.begin(), by_prefix_length_.end(),
+                   [&](std::uint32_t a, std::uint32_t b) { return prefix_length(a) > prefix_length(b); });
 }
 
 std::uint32_t MetadataVerifier::repository_of(std::string_view path, std::string_view& file) const {
-  for (const std::uint32_t i : by_length_) {
-    if (!path.starts_with(all_[i].terms.prefix)) continue;
-    file = path.substr(all_[i].terms.prefix.size());
-    return i;
+  for (const std::uint32_t index : by_prefix_length_) {
+    const std::string& prefix = repositories_[index].settings.prefix;
+    if (!path.starts_with(prefix)) continue;
+    file = path.substr(prefix.size());
+    return index;
   }
-  return kNone;
+  return kNoRepository;
 }
 
-Refusal MetadataVerifier::check(std::uint32_t repository, std::string_view file, std::string_view bytes,
-                                std::uint64_t client, Instant now) {
-  Repository& r = all_[repository];
-  std::string role;
-  std::int64_t version = 0;
-  if (!split_name(file, role, version)) return {};
-  const std::uint64_t key = client_key(repository, client);
-  Refusal why;
-  if (role == "root") why = root(r, version, bytes, key, now);
-  else if (role == "timestamp") why = timestamp(r, bytes, key, now);
-  else why = below(r, role, version, bytes, now);
-  if (why) ++refused_[static_cast<std::size_t>(why.why)];
-  return why;
+// "12.snapshot.json" is the role snapshot in version 12, "snapshot.json" without one. False: no metadata.
+bool MetadataVerifier::parse_file_name(std::string_view name, ServedFile& file) {
+  constexpr std::string_view kExtension = ".json";
+  if (!name.ends_with(kExtension) || name.find('/') != std::string_view::npos) return false;
+  name.remove_suffix(kExtension.size());
+  const std::size_t dot = name.find('.');
+  if (dot != std::string_view::npos) {
+    const char* const end = name.data() + dot;
+    const auto [parsed_end, error] = std::from_chars(name.data(), end, file.named_version);
+    if (error == std::errc() && parsed_end == end) name.remove_prefix(dot + 1);
+  }
+  file.role = name;
+  return !file.role.empty();
 }
 
-Refusal MetadataVerifier::note(Step step, Trust& into) {
-  verifications_ += step.verifications;
-  if (!step.refusal) into = std::move(step.trust);
-  return std::move(step.refusal);
+Refusal MetadataVerifier::check(std::uint32_t repository_index, std::string_view name, std::string_view bytes,
+                                std::uint64_t client, Instant now) {
+  Repository& repository = repositories_[repository_index];
+  ServedFile file;
+  if (!parse_file_name(name, file)) return {};
+  file.bytes = bytes;
+  file.client = client;
+  file.now = now;
+  Refusal refusal;
+  if (file.role == "root") refusal = check_root(repository, file);
+  else if (file.role == "timestamp") refusal = check_timestamp(repository, file);
+  else refusal = check_listed(repository, file);
+  if (refusal) ++refused_[static_cast<std::size_t>(refusal.reason)];
+  return refusal;
 }
 
-Refusal MetadataVerifier::root(Repository& r, std::int64_t named, std::string_view bytes, std::uint64_t key,
-                               Instant now) {
-  const std::int64_t trusted = r.trust.root->version;
-  const std::string digest = sha256_hex(bytes);
-  const auto known = r.roots.find(named == 0 ? trusted : named);
-  if (known != r.roots.end() && known->second.digest == digest) {
-    served(r, key, {known->second.turn, 0});
+// ---- Root (section 5.3) ----
+
+Refusal MetadataVerifier::check_root(Repository& repository, const ServedFile& file) {
+  const std::int64_t named = file.named_version;
+  const std::int64_t trusted = repository.trust.root->version;
+  std::string digest = sha256_hex(file.bytes);
+  const auto known = repository.roots.find(named == 0 ? trusted : named);
+  if (known != repository.roots.end() && known->second.digest == digest) {
+    clients_.record(repository.index, file.client, {known->second.key_generation, 0});
     return {};
   }
-  Trust next = r.trust;
-  if (Refusal why = note(take_root(r.trust, bytes), next)) {
-    // Roots between may have passed elsewhere: one that the trusted keys have signed may pass, and moves
-    // nothing.
-    if (why.why != Why::kRootVersion || named <= trusted) return why;
-    File file;
-    if (Refusal bad = read_file_of("root", bytes, file)) return bad;
-    return file.version == named ? Refusal{} : why;
-  }
-  if (named != 0 && next.root->version != named)
-    return {Why::kMismatch,
-            "root " + std::to_string(next.root->version) + " under the name of " + std::to_string(named),
-            "TUF 5.3.3"};
-  const Root& old = *r.trust.root;
-  const auto turned = [&](const char* role) {
-    return !(old.roles.find(role)->second == next.root->roles.find(role)->second);
-  };
-  if (turned("timestamp") || turned("snapshot")) {
-    ++r.turn;
-    for (Passed& p : r.passed) p.until = std::min(p.until, now + r.terms.lag);
+  TrustUpdate update = update_root(repository.trust, file.bytes);
+  verifications_ += update.verifications;
+  if (update.refusal) {
+    // The roots between may have come to the client another way: a later one that the trusted keys have
+    // signed may be served, and changes no trust.
+    if (update.refusal.reason != RefusalReason::kRootVersion || named <= trusted) return update.refusal;
+    MetadataFile later;
+    if (Refusal refusal = read_metadata_file("root", file.bytes, later)) return refusal;
+    return later.version == named ? Refusal{} : update.refusal;
   }
-  r.trust = std::move(next);
-  // The newest timestamp goes on under the new root: what it leads to must not bring the old one back.
-  if (!r.passed.empty() && r.passed.back().until == Instant::never()) r.passed.back().at = r.trust;
-  r.roots[r.trust.root->version] = {digest, r.turn};
-  if (r.roots.size() > kMostRoots) r.roots.erase(r.roots.begin());
-  served(r, key, {r.turn, 0});
+  const std::int64_t version = update.trust.root->version;
+  if (named != 0 && version != named) return Refusal::other_name("root", version, named, "TUF 5.3.3");
+  accept_root(repository, std::move(update.trust), std::move(digest), file.now);
+  clients_.record(repository.index, file.client, {repository.key_generation, 0});
   return {};
 }
 
-Refusal MetadataVerifier::timestamp(Repository& r, std::string_view bytes, std::uint64_t key, Instant now) {
-  std::erase_if(r.passed, [&](const Passed& p) { return p.until <= now; });
-  const std::string digest = sha256_hex(bytes);
-  const Floor floor = floor_of(r, key);
-  const auto pass = [&](std::int64_t turn, std::int64_t version) -> Refusal {
-    if (Floor{turn, version} < floor) {
-      const std::string seen =
-          turn < floor.turn ? "keys that a root has turned" : std::to_string(floor.version);
-      return {Why::kRollback,
-              "timestamp " + std::to_string(version) + " < " + seen + " that this client was served",
-              "TUF 5.4.3.1"};
-    }
-    served(r, key, {turn, version});
-    return {};
-  };
-  for (const Passed& p : r.passed) {
-    if (p.timestamp->digest != digest) continue;
-    if (now >= p.timestamp->expires)
-      return {
-          Why::kExpired,
-          "timestamp " + std::to_string(p.timestamp->version) + " expired " + date_text(p.timestamp->expires),
-          "TUF 5.4.4"};
-    return pass(p.turn, p.timestamp->version);  // the very bytes that passed before: no signature is computed
+void MetadataVerifier::accept_root(Repository& repository, TrustedMetadata next, std::string digest,
+                                   Instant now) {
+  if (recovers_from_fast_forward(*repository.trust.root, *next.root)) {
+    ++repository.key_generation;
+    retire_timestamps(repository, now);
   }
-  Trust next = r.trust;
-  if (Refusal why = note(take_timestamp(r.trust, bytes, now), next)) return why;
-  if (Refusal why = pass(r.turn, next.timestamp->version)) return why;
-  for (Passed& p : r.passed) p.until = std::min(p.until, now + r.terms.lag);
-  if (r.passed.size() >= kMostVersions) r.passed.erase(r.passed.begin());
-  r.trust = std::move(next);
-  r.passed.push_back({r.trust.timestamp, Instant::never(), r.trust, r.turn});
-  return {};
+  repository.trust = std::move(next);
+  // The newest timestamp goes on under the new root: files that it leads to must not bring the old one back.
+  auto& timestamps = repository.timestamps;
+  if (!timestamps.empty() && timestamps.back().servable_until == Instant::never())
+    timestamps.back().trust = repository.trust;
+  auto& roots = repository.roots;
+  roots[repository.trust.root->version] = {std::move(digest), repository.key_generation};
+  if (roots.size() > kMaxKnownRoots) roots.erase(roots.begin());
 }
 
-namespace {
+// ---- Timestamp (section 5.4) ----
 
-// Guards against one version's file under another's name: each is good in its place alone (section 5.6.2).
-Refusal named_so(const std::string& role, std::int64_t found, std::int64_t named) {
-  if (named == 0 || found == named) return {};
-  return {Why::kMismatch, role + " " + std::to_string(found) + " under the name of " + std::to_string(named),
-          "TUF 5.6.2"};
+void MetadataVerifier::expire_timestamps(Repository& repository, Instant now) {
+  std::erase_if(repository.timestamps,
+                [&](const AcceptedTimestamp& accepted) { return accepted.servable_until <= now; });
 }
 
-}  // namespace
+// None of them is the newest any more.
+void MetadataVerifier::retire_timestamps(Repository& repository, Instant now) {
+  for (AcceptedTimestamp& accepted : repository.timestamps)
+    accepted.servable_until = std::min(accepted.servable_until, now + repository.settings.lag);
+}
 
-Refusal MetadataVerifier::below(Repository& r, const std::string& role, std::int64_t named,
-                                std::string_view bytes, Instant now) {
-  std::erase_if(r.passed, [&](const Passed& p) { return p.until <= now; });
-  const auto step = [&](const Trust& trust) {
-    if (role == "snapshot") return take_snapshot(trust, bytes, now);
-    if (role == "targets") return take_targets(trust, bytes, now);
-    Step none{trust,
-              {Why::kOutOfOrder, role + ": nobody who delegates to it has passed here", "TUF 5.6.7"},
-              false,
-              0};
-    for (const auto& [delegator, targets] : trust.targets) {
-      for (const Delegation& d : targets->delegations) {
-        for (const auto& [delegated, by] : d.roles) {
-          if (delegated != role) continue;
-          Step one = take_delegated(trust, delegator, role, bytes, now);
-          one.verifications += none.verifications;
-          if (!one.refusal) return one;
-          none = std::move(one);
-          none.trust = trust;
-        }
-      }
-    }
-    return none;
-  };
-  const bool top = role == "snapshot" || role == "targets";
-  // Under the newest timestamp first, then under those that may still pass: a client between two versions.
-  Refusal first{Why::kOutOfOrder, role + " before a timestamp", "TUF 5.5"};
-  for (std::size_t i = r.passed.size(); i-- > 0;) {
-    Passed& p = r.passed[i];
-    const bool newest = p.until == Instant::never();
-    Trust next = p.at;
-    Refusal why = note(step(p.at), next);
-    if (!why) {
-      const std::int64_t found =
-          role == "snapshot" ? next.snapshot->version : next.targets.find(role)->second->version;
-      why = named_so(role, found, named);
-    }
-    if (!why) {
-      p.at = next;
-      if (newest) r.trust = std::move(next);
-      return {};
-    }
-    if (i + 1 == r.passed.size()) first = std::move(why);
-    if (first.why == Why::kOutOfOrder && top) break;
+Refusal MetadataVerifier::check_timestamp(Repository& repository, const ServedFile& file) {
+  expire_timestamps(repository, file.now);
+  const std::string digest = sha256_hex(file.bytes);
+  for (const AcceptedTimestamp& accepted : repository.timestamps) {
+    if (accepted.timestamp->digest != digest) continue;
+    // The very bytes that were accepted before: no signature is computed.
+    if (Refusal refusal = check_expiry("timestamp", *accepted.timestamp, file.now, "TUF 5.4.4"))
+      return refusal;
+    return serve_timestamp(repository, file, {accepted.key_generation, accepted.timestamp->version});
   }
-  // Where what it hangs on has not passed here, it must at least be good by itself.
-  if (top && first.why == Why::kOutOfOrder) return alone(r, role, named, bytes, now);
-  return first;
+  TrustUpdate update = update_timestamp(repository.trust, file.bytes, file.now);
+  verifications_ += update.verifications;
+  if (update.refusal) return update.refusal;
+  const ServedVersion offered{repository.key_generation, update.trust.timestamp->version};
+  if (Refusal refusal = serve_timestamp(repository, file, offered)) return refusal;
+  accept_timestamp(repository, std::move(update.trust), file.now);
+  return {};
 }
 
-Refusal MetadataVerifier::alone(const Repository& r, const std::string& role, std::int64_t named,
-                                std::string_view bytes, Instant now) {
-  File file;
-  if (Refusal why = read_file_of(role, bytes, file)) return why;
-  const Root& root = *r.trust.root;
-  const unsigned got =
-      signers(root.roles.find(role)->second, root.keys, file.signatures, file.signed_bytes, verifications_);
-  const std::int64_t wanted = root.roles.find(role)->second.threshold;
-  if (got < wanted)
-    return {Why::kThreshold,
-            role + ": " + std::to_string(got) + " of " + std::to_string(wanted) + " distinct keys",
-            "TUF 5.5.3"};
-  if (now >= file.expires)
-    return {Why::kExpired, role + " " + std::to_string(file.version) + " expired " + date_text(file.expires),
-            "TUF 5.5.6"};
-  return named_so(role, file.version, named);
+void MetadataVerifier::accept_timestamp(Repository& repository, TrustedMetadata next, Instant now) {
+  retire_timestamps(repository, now);
+  auto& timestamps = repository.timestamps;
+  if (timestamps.size() >= kMaxServableTimestamps) timestamps.erase(timestamps.begin());
+  repository.trust = std::move(next);
+  timestamps.push_back(
+      {repository.trust.timestamp, Instant::never(), repository.trust, repository.key_generation});
 }
 
-// ---- Clients ----
-
-void MetadataVerifier::unlink(std::uint32_t at) {
-  Client& c = clients_[at];
-  (c.older == kNone ? oldest_ : clients_[c.older].newer) = c.newer;
-  (c.newer == kNone ? newest_ : clients_[c.newer].older) = c.older;
+// No client may be served an older timestamp than before (rollback, section 5.4.3.1).
+Refusal MetadataVerifier::serve_timestamp(const Repository& repository, const ServedFile& file,
+                                          ServedVersion offered) {
+  const ServedVersion newest = clients_.newest_served(repository.index, file.client);
+  if (offered < newest) {
+    const std::string seen = offered.key_generation < newest.key_generation ? "keys that a root has turned"
+                                                                            : std::to_string(newest.version);
+    return {RefusalReason::kRollback,
+            "timestamp " + std::to_string(offered.version) + " < " + seen + " that this client was served",
+            "TUF 5.4.3.1"};
+  }
+  clients_.record(repository.index, file.client, offered);
+  return {};
 }
 
-void MetadataVerifier::link_newest(std::uint32_t at) {
-  Client& c = clients_[at];
-  c.older = newest_, c.newer = kNone;
-  (newest_ == kNone ? oldest_ : clients_[newest_].newer) = at;
-  newest_ = at;
+// ---- Snapshot, targets and delegated roles (sections 5.5 and 5.6) ----
+
+Refusal MetadataVerifier::check_listed(Repository& repository, const ServedFile& file) {
+  expire_timestamps(repository, file.now);
+  auto& timestamps = repository.timestamps;
+  const bool top_level = is_top_level(file.role);
+  // Under the newest timestamp first, then under older ones: a client may be between two versions. The newest
+  // one's refusal is returned.
+  Refusal newest_refusal{RefusalReason::kOutOfOrder, file.role + " before a timestamp", "TUF 5.5"};
+  for (std::size_t i = timestamps.size(); i-- > 0;) {
+    AcceptedTimestamp& accepted = timestamps[i];
+    Refusal refusal = check_under(accepted, file);
+    if (!refusal) {
+      if (accepted.servable_until == Instant::never()) repository.trust = accepted.trust;
+      return {};
+    }
+    if (i + 1 == timestamps.size()) newest_refusal = std::move(refusal);
+    if (newest_refusal.reason == RefusalReason::kOutOfOrder && top_level) break;
+  }
+  if (newest_refusal.reason == RefusalReason::kOutOfOrder && top_level)
+    return check_without_timestamp(repository, file);
+  return newest_refusal;
 }
 
-MetadataVerifier::Floor MetadataVerifier::floor_of(const Repository& r, std::uint64_t key) const {
-  const std::uint32_t at = by_client_.find(key);
-  if (at == IndexMap::kNone) return r.forgotten_floor;
-  return const_cast<Slab<Client>&>(clients_)[at].floor;
+Refusal MetadataVerifier::check_under(AcceptedTimestamp& accepted, const ServedFile& file) {
+  TrustUpdate update = update_role(accepted.trust, file.role, file.bytes, file.now);
+  verifications_ += update.verifications;
+  if (update.refusal) return update.refusal;
+  const std::int64_t version = version_of(update.trust, file.role);
+  if (Refusal refusal = check_named_version(file.role, version, file.named_version)) return refusal;
+  accepted.trust = std::move(update.trust);
+  return {};
 }
 
-void MetadataVerifier::served(Repository& r, std::uint64_t key, Floor floor) {
-  std::uint32_t at = by_client_.find(key);
-  if (at == IndexMap::kNone) {
-    if (by_client_.size() >= most_clients_) {
-      const std::uint32_t out = oldest_;
-      Repository& its = all_[clients_[out].repository];
-      its.forgotten_floor = std::max(its.forgotten_floor, clients_[out].floor);
-      unlink(out);
-      by_client_.erase(clients_[out].key);
-      clients_.give_back(out);
-    }
-    at = clients_.take();
-    clients_[at].key = key;
-    clients_[at].repository = static_cast<std::uint32_t>(&r - all_.data());
-    clients_[at].floor = r.forgotten_floor;
-    by_client_.put(key, at);
-    link_newest(at);
-  } else if (at != newest_) {
-    unlink(at);
-    link_newest(at);
-  }
-  clients_[at].floor = std::max(clients_[at].floor, floor);
+Refusal MetadataVerifier::check_without_timestamp(const Repository& repository, const ServedFile& file) {
+  MetadataFile found;
+  if (Refusal refusal = read_metadata_file(file.role, file.bytes, found)) return refusal;
+  const Root& root = *repository.trust.root;
+  if (Refusal refusal =
+          check_threshold(file.role, root.role(file.role), root.keys, found, "TUF 5.5.3", verifications_))
+    return refusal;
+  if (file.now >= found.expires)
+    return Refusal::expired(file.role, found.version, found.expires, "TUF 5.5.6");
+  return check_named_version(file.role, found.version, file.named_version);
 }
 
 }  // namespace ashbeam::metadata
--- a/src/metadata/metadata_verifier.hpp
+++ b/src/metadata/metadata_verifier.hpp
@@ -1,21 +1,22 @@
-// Which metadata files may pass a router: trust for each repository, and what each client was served before.
-// Decides alone; no I/O, the time is an argument.
+// Which metadata files may go on to a client: trusted metadata for each repository, and what each client was
+// served before. Decides alone; no I/O, the time is an argument and never goes back. Source: TUF 1.0, section
+// 5; refusals name the section.
 //
-// A router sees files in whatever order clients ask, of hosts that take in a new version one after another:
-// - A timestamp is held against the newest that has passed here. An older one, validly signed, may pass for
-// `lag`
-//   after it was the newest (a host that lags), never to a client that was served a newer one.
-// - What hangs on a timestamp is held against those that may pass now. Where none is known yet (a fresh
-// start),
-//   it must be signed by its role, whole and in date: its place in the chain is then the client's to check.
-// - After a root that turns the timestamp's keys, timestamps of before may pass for `lag` to clients that
-// have
-//   not been given that root here.
-// - A delegated role whose delegator has not passed here can't be checked, and is refused.
-// What is remembered of clients is bounded: who is forgotten counts as having seen what the most recent of
-// the forgotten saw, so that forgetting never lets a rollback pass. Killed, all of it is lost: trust begins
-// at the pinned root again.
+// Unlike a TUF client, the verifier sees files in whatever order clients request them, from endpoints that
+// take in a new version one after another:
+// - A timestamp is checked against the newest accepted one. An older one that was accepted may be served for
+//   the repository's `lag` after it was the newest (an endpoint that lags), but never to a client that was
+//   served a newer one.
+// - Snapshot, targets and delegated roles are checked under each timestamp that may be served. Where none is
+//   accepted yet (after a start), a snapshot or targets file has to be signed by its role, in form and in
+//   date; its place in the chain is then the client's to check.
+// - After a root that rotates the timestamp's or the snapshot's keys (recovery from fast-forward, 5.3.11),
+//   former timestamps may be served for `lag` to clients that have not been served that root here.
+// - A delegated role whose delegator has not been accepted here can't be checked, and is refused.
+// Clients are bounded (client_history.hpp). All of it is lost where the program ends: trust begins at the
+// pinned root again.
 #pragma once
+#include <cstddef>
 #include <cstdint>
 #include <map>
 #include <memory>
@@ -23,10 +24,9 @@
 #include <string_view>
 #include <vector>
 
-#include "base/index_map.hpp"
-#include "base/slab.hpp"
 #include "base/time.hpp"
-#include "metadata/trust.hpp"
+#include "metadata/client_history.hpp"
+#include "metadata/trusted_metadata.hpp"
 
 namespace ashbeam::metadata {
 
@@ -38,75 +38,71 @@
 
 class MetadataVerifier {
  public:
-  static constexpr std::uint32_t kNone = UINT32_MAX;
-  static constexpr std::size_t kMostRoots = 256;    // of a repository, whose bytes are known
-  static constexpr std::size_t kMostVersions = 32;  // timestamps of a repository that may still pass
+  static constexpr std::uint32_t kNoRepository = UINT32_MAX;
+  static constexpr std::size_t kMaxKnownRoots = 256;         // of a repository
+  static constexpr std::size_t kMaxServableTimestamps = 32;  // of a repository
   // Throws std::runtime_error where a pinned root can't be used, naming its prefix.
-  MetadataVerifier(std::vector<RepositorySettings> repositories, std::size_t clients);
+  MetadataVerifier(std::vector<RepositorySettings> repositories, std::size_t max_clients);
 
   // The repository that a path (without its query) belongs to, the longest prefix first; `file` is the rest.
   std::uint32_t repository_of(std::string_view path, std::string_view& file) const;
   // May these bytes go to this client? `client` is any number that stays the client's own. Files that are no
-  // metadata (whose name does not end in .json) pass.
+  // metadata (whose name does not end in .json) may.
   Refusal check(std::uint32_t repository, std::string_view file, std::string_view bytes, std::uint64_t client,
                 Instant now);
 
-  const Trust& trust(std::uint32_t repository) const { return all_[repository].trust; }
+  const TrustedMetadata& trust(std::uint32_t repository) const { return repositories_[repository].trust; }
   std::uint64_t verifications() const { return verifications_; }
-  std::uint64_t refused(Why why) const { return refused_[static_cast<std::size_t>(why)]; }
-  std::size_t clients() const { return by_client_.size(); }
+  std::uint64_t refused(RefusalReason reason) const { return refused_[static_cast<std::size_t>(reason)]; }
+  std::size_t clients() const { return clients_.size(); }
 
  private:
-  // How far a client has come: with each root that turns the timestamp's or the snapshot's keys versions
-  // begin anew (recovery from fast-forward), so the turn goes first.
-  struct Floor {
-    std::int64_t turn = 0, version = 0;
-    auto operator<=>(const Floor&) const = default;
+  // A file that is to go to a client.
+  struct ServedFile {
+    std::string role;
+    std::int64_t named_version = 0;  // by the file's name; 0: none
+    std::string_view bytes;
+    std::uint64_t client = 0;
+    Instant now;
   };
-  struct Passed {  // a timestamp that was the newest
+  // A timestamp that is or was the newest.
+  struct AcceptedTimestamp {
     std::shared_ptr<const Timestamp> timestamp;
-    Instant until;  // from then on it may pass no more; never: it is the newest
-    Trust at;       // the trust that went with it
-    std::int64_t turn = 0;
+    Instant servable_until;  // never: it is the newest
+    TrustedMetadata trust;   // with what was accepted under it
+    std::int64_t key_generation = 0;
   };
-  struct Repository {
-    RepositorySettings terms;
-    Trust trust;
-    struct KnownRoot {
-      std::string digest;
-      std::int64_t turn = 0;
-    };
-    std::map<std::int64_t, KnownRoot> roots;  // by version
-    std::int64_t turn = 0;
-    std::vector<Passed> passed;  // the newest last
-    Floor forgotten_floor;
+  struct KnownRoot {
+    std::string digest;
+    std::int64_t key_generation = 0;
   };
-  struct Client {
-    std::uint64_t key = 0;
-    std::uint32_t repository = 0;
-    Floor floor;  // what it was served last
-    std::uint32_t older = kNone, newer = kNone;
+  struct Repository {
+    std::uint32_t index = 0;
+    RepositorySettings settings;
+    TrustedMetadata trust;
+    std::map<std::int64_t, KnownRoot> roots;    // by version
+    std::int64_t key_generation = 0;            // see ServedVersion
+    std::vector<AcceptedTimestamp> timestamps;  // the newest last
   };
-  Refusal root(Repository& r, std::int64_t named, std::string_view bytes, std::uint64_t key, Instant now);
-  Refusal timestamp(Repository& r, std::string_view bytes, std::uint64_t key, Instant now);
-  Refusal below(Repository& r, const std::string& role, std::int64_t named, std::string_view bytes,
-                Instant now);
-  Refusal alone(const Repository& r, const std::string& role, std::int64_t named, std::string_view bytes,
-                Instant now);  // no context
-  Refusal note(Step step, Trust& into);
-  Floor floor_of(const Repository& r, std::uint64_t key) const;
-  void served(Repository& r, std::uint64_t key, Floor floor);
-  void unlink(std::uint32_t at);
-  void link_newest(std::uint32_t at);
 
-  std::vector<Repository> all_;
-  std::vector<std::uint32_t> by_length_;
-  std::size_t most_clients_;
-  IndexMap by_client_{64};
-  Slab<Client> clients_;
-  std::uint32_t oldest_ = kNone, newest_ = kNone;
+  static bool parse_file_name(std::string_view name, ServedFile& file);
+  static void expire_timestamps(Repository& repository, Instant now);
+  static void retire_timestamps(Repository& repository, Instant now);
+
+  Refusal check_root(Repository& repository, const ServedFile& file);
+  void accept_root(Repository& repository, TrustedMetadata next, std::string digest, Instant now);
+  Refusal check_timestamp(Repository& repository, const ServedFile& file);
+  void accept_timestamp(Repository& repository, TrustedMetadata next, Instant now);
+  Refusal serve_timestamp(const Repository& repository, const ServedFile& file, ServedVersion offered);
+  Refusal check_listed(Repository& repository, const ServedFile& file);
+  Refusal check_under(AcceptedTimestamp& accepted, const ServedFile& file);
+  Refusal check_without_timestamp(const Repository& repository, const ServedFile& file);
+
+  std::vector<Repository> repositories_;
+  std::vector<std::uint32_t> by_prefix_length_;  // the longest first
+  ClientHistory clients_;
   std::uint64_t verifications_ = 0;
-  std::uint64_t refused_[static_cast<std::size_t>(Why::kCount)] = {};
+  std::uint64_t refused_[static_cast<std::size_t>(RefusalReason::kCount)] = {};
 };
 
 }  // namespace ashbeam::metadata
--- a/src/metadata/publisher.hpp
+++ b/src/metadata/publisher.hpp
@@ -1,82 +1,72 @@
-// Makes a repository's files: keys, roles, versions, signatures. For `ashbeam metadata`, and for stand-ins
-// that then spoil what it made. No I/O.
+// Makes a TUF repository's files: keys, roles, versions, delegations, signatures. For tests, fault tests and
+// the demo, which then change what it made. No I/O.
 #pragma once
+#include <cstdint>
 #include <map>
-#include <memory>
 #include <string>
 #include <vector>
 
 #include "base/time.hpp"
 #include "metadata/json.hpp"
-#include "metadata/roles.hpp"
+#include "metadata/signing_key.hpp"
 
 namespace ashbeam::metadata {
 
-class SigningKey {
- public:
-  enum class Kind { kEd25519, kEcdsa, kRsa };
-  static SigningKey fresh(Kind kind);
-  const std::string& id() const { return id_; }
-  const Node& object() const { return object_; }
-  // The same key as another object, so under another id: `mark` is a member that means nothing.
-  SigningKey renamed(const std::string& mark) const;
-  std::string sign(std::string_view bytes) const;  // hex
-
- private:
-  void name();
-  Kind kind_ = Kind::kEd25519;
-  std::shared_ptr<evp_pkey_st> key_;
-  Node object_;
-  std::string id_;
-};
-
-// Plain values to change as one likes, and the files that they make.
+// Plain values that may be changed at will; each function makes a file of what they are now.
 struct Publisher {
-  struct Signers {
+  struct RoleKeys {
     std::vector<SigningKey> keys;
     std::int64_t threshold = 1;
   };
-  struct Part {
-    std::string delegator, role;
-    Signers signers;
-    std::vector<std::string> paths, hash_prefixes;
+  struct Delegated {
+    std::string delegator;
+    std::string role;
+    RoleKeys keys;
+    std::vector<std::string> paths;
+    std::vector<std::string> hash_prefixes;  // in place of paths, where there are any
     bool terminating = false;
-    std::vector<std::string> with;  // TAP 3: further roles of the same entry
-    unsigned agreement = 1;
+    std::vector<std::string> agreeing_roles;  // TAP 3: further roles of the same entry
+    unsigned min_roles_in_agreement = 1;
   };
-  std::map<std::string, Signers> roles;  // root, timestamp, snapshot, targets
-  std::vector<Part> parts;               // delegations, in order
+
+  std::map<std::string, RoleKeys> roles;  // root, timestamp, snapshot, targets
+  std::vector<Delegated> delegations;     // in order
   std::map<std::string, std::int64_t> versions;
-  std::map<std::string, Instant> expires;  // by role; `usual_expiry` where not there
-  Instant usual_expiry;
+  std::map<std::string, Instant> expires;  // by role; `default_expiry` where not there
+  Instant default_expiry;
   std::map<std::string, std::map<std::string, std::string>> contents;  // by targets role: path and content
-  bool consistent_snapshot = true, with_hashes = true;
+  bool consistent_snapshot = true;
+  bool list_hashes = true;  // of files in timestamp and snapshot
 
-  explicit Publisher(Instant usual_expiry);
-  std::string root(const Signers* also = nullptr) const;  // signed by `also`, too: the former root's keys
+  // With one Ed25519 key for each role and all versions 1.
+  explicit Publisher(Instant default_expiry);
+  // Signed by `former` as well, where given: the keys of the root before.
+  std::string root(const RoleKeys* former = nullptr) const;
   std::string targets(const std::string& role = "targets") const;
   std::string snapshot() const;
   std::string timestamp() const;
-  // All of it as files by their names, as a client asks for them.
+  // All of them by the names that clients ask for.
   std::map<std::string, std::string> files() const;
 
-  // Any signed part, signed by so many of the keys.
-  static std::string signed_by(const Node& body, const std::vector<SigningKey>& keys);
-  Node body(const std::string& role) const;
+  // What is signed of a role's file. Throws std::runtime_error where it names a role that has no keys.
+  JsonNode signed_part(const std::string& role) const;
+  // A file of any signed part, signed by these keys.
+  static std::string sign_envelope(const JsonNode& signed_part, const std::vector<SigningKey>& keys);
 
  private:
-  const Signers& signers(const std::string& role) const;
-  const std::string& made(const std::string& role) const;
-  // By body and keys: two of the schemes sign the same bytes in another way each time.
-  mutable std::map<std::string, std::string> made_;
-  Node meta(const std::string& file, std::int64_t version) const;
-};
+  const RoleKeys& keys_of(const std::string& role) const;
+  std::int64_t version_of(const std::string& role) const;
+  std::string file_name(const std::string& role) const;
+  const std::string& signed_file(const std::string& role) const;
+  JsonNode file_meta(const std::string& role) const;
+  void add_root_members(std::vector<JsonMember>& members) const;
+  void add_snapshot_members(std::vector<JsonMember>& members) const;
+  void add_targets_members(const std::string& role, std::vector<JsonMember>& members) const;
+  JsonNode delegated_role(const std::string& role) const;
+  JsonNode delegation(const Delegated& delegated) const;
 
-// Short ways to build nodes.
-Node text_node(std::string text);
-Node number_node(std::int64_t number);
-Node bool_node(bool truth);
-Node list_node(std::vector<Node> items);
-Node object_node(std::vector<std::pair<std::string, Node>> members);
+  // By signed part and keys: ECDSA and RSA-PSS sign the same bytes in another way each time.
+  mutable std::map<std::string, std::string> signed_files_;
+};
 
 }  // namespace ashbeam::metadata
--- a/src/metadata/refusal.hpp
+++ b/src/metadata/refusal.hpp
@@ -1,55 +1,69 @@
-// Why a metadata file is not believed: one name for each way, and one line with what was expected and found.
+// Why metadata is not accepted: a reason that can be counted, and one line with what was expected and found.
+// All texts that more than one check gives are made here.
 #pragma once
 #include <cstdint>
 #include <string>
 #include <string_view>
 
+#include "base/time.hpp"
+
 namespace ashbeam::metadata {
 
-enum class Why : std::uint8_t {
+enum class RefusalReason : std::uint8_t {
   kNone,
-  kUnreadable,    // no strict JSON, or not in a role's form
+  kUnreadable,    // not strict JSON, or not in its role's form
   kTooLong,       // over its role's size
   kWrongRole,     // of another role than asked for
   kKey,           // a key that can't be used, or is not what its id says
   kThreshold,     // too few distinct keys have signed
-  kRootVersion,   // not the one after the trusted one
+  kRootVersion,   // not the version after the trusted root's
   kRollback,      // a version that goes backwards
   kEquivocation,  // the same version with other bytes
-  kMissing,       // what was listed before is not any more
+  kMissing,       // listed before, and not any more
   kMismatch,      // not the file that the role above lists
   kExpired,
-  kUnlisted,      // the role above does not name it
-  kOutOfOrder,    // what it hangs on is not there yet
-  kDelegation,    // too deep, too many, or in agreement with nobody
+  kUnlisted,      // the role above does not list it
+  kOutOfOrder,    // the file above it is not trusted yet
+  kDelegation,    // too deep, too many, or too few roles in agreement
   kTarget,        // length or hash of a target
-  kDisagreement,  // director and image repository do not say the same
-  kEcu,           // of another ECU, hardware or an older release
-  kManifest,      // a vehicle's report that is not good
-  kTime,          // a time attestation that is not good
+  kDisagreement,  // director and image repository list different things
+  kEcu,           // for another ECU, hardware or an older release
+  kManifest,      // an invalid vehicle version manifest
+  kTime,          // an invalid time attestation
   kCount
 };
 
-constexpr std::string_view kWhyWords[] = {
-    "none",       "unreadable",   "too-long",     "wrong-role", "key",      "threshold", "root-version",
-    "rollback",   "equivocation", "missing",      "mismatch",   "expired",  "unlisted",  "out-of-order",
-    "delegation", "target",       "disagreement", "ecu",        "manifest", "time"};
-static_assert(std::size(kWhyWords) == static_cast<std::size_t>(Why::kCount));
-constexpr std::string_view word_of(Why w) { return kWhyWords[static_cast<std::size_t>(w)]; }
+// "too-long": as in logs and in the header field X-Refused.
+std::string_view name_of(RefusalReason reason);
 
 struct Refusal {
-  Why why = Why::kNone;
-  std::string said;          // "timestamp 41 < 43"
-  const char* section = "";  // of the specification
-  explicit operator bool() const { return why != Why::kNone; }
-  // On one line, whatever names a hostile file brought.
-  std::string line() const {
-    std::string all = std::string(word_of(why)) + " " + said.substr(0, 160) + " (" + section + ")";
-    for (char& c : all) {
-      if (static_cast<unsigned char>(c) < ' ' || static_cast<unsigned char>(c) > '~') c = '?';
-    }
-    return all;
-  }
+  RefusalReason reason = RefusalReason::kNone;
+  std::string detail;        // "timestamp 41 < 43"
+  const char* section = "";  // of the specification, "TUF 5.4.3.1"
+
+  explicit operator bool() const { return reason != RefusalReason::kNone; }
+  // "rollback timestamp 41 < 43 (TUF 5.4.3.1)": one line of bounded length and printable ASCII, whatever
+  // names a hostile file has.
+  std::string line() const;
+
+  // `what` is the role or file that is refused, `section` the specification's.
+  static Refusal unreadable(std::string detail, const char* section);
+  static Refusal rollback(std::string_view what, std::int64_t found, std::int64_t trusted,
+                          const char* section);
+  static Refusal equivocation(std::string_view what, std::int64_t version, std::string_view found_digest,
+                              std::string_view trusted_digest, const char* section);
+  static Refusal expired(std::string_view what, std::int64_t version, Instant expires, const char* section);
+  static Refusal threshold(std::string_view what, std::int64_t valid_keys, std::int64_t threshold,
+                           const char* section);
+  // The role above lists another version.
+  static Refusal other_version(std::string_view what, std::int64_t found, std::int64_t listed,
+                               const char* section);
+  // The file's name has another version.
+  static Refusal other_name(std::string_view what, std::int64_t found, std::int64_t named,
+                            const char* section);
 };
 
+// Hashes are shown by their beginning.
+std::string_view abbreviate_hash(std::string_view hex);
+
 }  // namespace ashbeam::metadata
--- a/src/metadata/roles.cpp
+++ b/src/metadata/roles.cpp
@@ -1,301 +1,258 @@
 #include "metadata/roles.hpp"
 
 #include <algorithm>
-#include <cstdio>
+#include <cctype>
+
+#include "metadata/path_pattern.hpp"
 
 namespace ashbeam::metadata {
 
 namespace {
 
-using Kind = Node::Kind;
+using Kind = JsonNode::Kind;
 
-Refusal unreadable(const std::string& what, const char* section) { return {Why::kUnreadable, what, section}; }
+constexpr std::size_t kMaxHashText = 128;
+constexpr std::size_t kMaxPathText = 512;
+constexpr std::size_t kMaxRoleName = 128;
+constexpr std::size_t kMaxTypeInRefusal = 40;
 
-Refusal read_hashes(const Node& object, Hashes& into) {
+Refusal read_hashes(const JsonNode& object, Hashes& hashes) {
   for (const auto& [algorithm, hash] : object.members) {
-    if (hash.kind != Kind::kString || hash.text.size() > 128)
-      return unreadable("a hash is no text", "TUF 4.4");
+    if (hash.kind != Kind::kString || hash.text.size() > kMaxHashText)
+      return Refusal::unreadable("a hash is no text", "TUF 4.4");
     std::string hex = hash.text;
     std::transform(hex.begin(), hex.end(), hex.begin(), [](unsigned char c) { return std::tolower(c); });
-    if (algorithm == "sha256" || algorithm == "sha512") into.emplace(algorithm, hex);
+    if (algorithm == "sha256" || algorithm == "sha512") hashes.emplace(algorithm, hex);
   }
-  // Guards against hashes of kinds that nobody here can check standing for a check.
-  if (into.empty()) return unreadable("no hash that we know", "TUF 4.4");
+  // A file whose hashes can't be computed here would go unchecked.
+  if (hashes.empty()) return Refusal::unreadable("no hash that we know", "TUF 4.4");
   return {};
 }
 
-Refusal read_meta(const Node& object, FileMeta& into) {
-  const Node* const version = object.find("version", Kind::kNumber);
-  const Node* const length = object.find("length");
-  const Node* const hashes = object.find("hashes");
-  if (!version || version->number < 1) return unreadable("meta: wanted a version of 1 or more", "TUF 4.4");
-  into.version = version->number;
+Refusal read_file_meta(const JsonNode& object, FileMeta& meta) {
+  const JsonNode* const version = object.find("version", Kind::kNumber);
+  const JsonNode* const length = object.find("length");
+  const JsonNode* const hashes = object.find("hashes");
+  if (!version || version->number < 1)
+    return Refusal::unreadable("meta: wanted a version of 1 or more", "TUF 4.4");
+  meta.version = version->number;
   if (length) {
-    if (length->kind != Kind::kNumber || length->number < 1) return unreadable("meta: a length", "TUF 4.4");
-    into.length = length->number;
+    if (length->kind != Kind::kNumber || length->number < 1)
+      return Refusal::unreadable("meta: a length", "TUF 4.4");
+    meta.length = length->number;
   }
   if (!hashes) return {};
-  if (hashes->kind != Kind::kObject) return unreadable("meta: hashes", "TUF 4.4");
-  return read_hashes(*hashes, into.hashes);
+  if (hashes->kind != Kind::kObject) return Refusal::unreadable("meta: hashes", "TUF 4.4");
+  return read_hashes(*hashes, meta.hashes);
 }
 
-Refusal read_names(const Node& list, std::vector<std::string>& into) {
-  if (list.items.size() > kMostPatterns)
-    return unreadable("more than 1024 paths in a delegation", "TUF 4.5.1");
-  for (const Node& n : list.items) {
-    if (n.kind != Kind::kString || n.text.size() > 512) return unreadable("a path is no text", "TUF 4.5.1");
-    into.push_back(n.text);
+Refusal read_paths(const JsonNode& list, std::vector<std::string>& paths) {
+  if (list.items.size() > kMaxPathPatterns)
+    return Refusal::unreadable("more than 1024 paths in a delegation", "TUF 4.5.1");
+  for (const JsonNode& path : list.items) {
+    if (path.kind != Kind::kString || path.text.size() > kMaxPathText)
+      return Refusal::unreadable("a path is no text", "TUF 4.5.1");
+    paths.push_back(path.text);
   }
   return {};
 }
 
-// Names of roles become file names: nothing that leads elsewhere.
-bool good_name(std::string_view name) {
-  return !name.empty() && name.size() <= 128 && name.find('/') == std::string_view::npos && name[0] != '.' &&
-         std::none_of(name.begin(), name.end(), [](unsigned char c) { return c < ' ' || c == 0x7f; });
+// Role names become file names: none may lead to another folder.
+bool is_role_name(std::string_view name) {
+  const auto is_control = [](unsigned char c) { return c < ' ' || c == 0x7f; };
+  return !name.empty() && name.size() <= kMaxRoleName && name.find('/') == std::string_view::npos &&
+         name[0] != '.' && std::none_of(name.begin(), name.end(), is_control);
 }
 
-Refusal read_delegation(const Node& object, Delegation& into) {
-  const Node* const terminating = object.find("terminating", Kind::kBool);
-  const Node* const paths = object.find("paths", Kind::kList);
-  const Node* const prefixes = object.find("path_hash_prefixes", Kind::kList);
-  if (!terminating || (paths == nullptr) == (prefixes == nullptr))
-    return unreadable("delegation: wanted terminating, and paths or path_hash_prefixes", "TUF 4.5.1");
-  into.terminating = terminating->truth;
-  Refusal bad = read_names(paths ? *paths : *prefixes, paths ? into.paths : into.hash_prefixes);
-  if (bad) return bad;
-  const auto add = [&](const Node& one) -> Refusal {
-    const Node* const name = one.find("name", Kind::kString);
-    if (!name || !good_name(name->text)) return unreadable("delegation: a role's name", "TUF 4.5.1");
-    Role role;
-    if (Refusal r = read_role(one, role)) return r;
-    for (const auto& other : into.roles) {
-      if (other.first == name->text) return unreadable("delegation: a role twice", "TAP 3");
-    }
-    into.roles.emplace_back(name->text, std::move(role));
-    return {};
-  };
-  const Node* const several = object.find("roles", Kind::kList);
-  if (!several) return add(object);
-  const Node* const agreement = object.find("min_roles_in_agreement", Kind::kNumber);
-  if (!agreement || agreement->number < 1 || several->items.empty() || several->items.size() > 8 ||
-      agreement->number > static_cast<std::int64_t>(several->items.size()))
-    return unreadable("delegation: min_roles_in_agreement", "TAP 3");
-  into.agreement = static_cast<unsigned>(agreement->number);
-  for (const Node& one : several->items) {
-    if (Refusal r = add(one)) return r;
+Refusal add_delegated_role(const JsonNode& object, Delegation& delegation) {
+  const JsonNode* const name = object.find("name", Kind::kString);
+  if (!name || !is_role_name(name->text))
+    return Refusal::unreadable("delegation: a role's name", "TUF 4.5.1");
+  Role role;
+  if (Refusal refusal = read_role(object, role)) return refusal;
+  for (const DelegatedRole& other : delegation.roles) {
+    if (other.name == name->text) return Refusal::unreadable("delegation: a role twice", "TAP 3");
   }
+  delegation.roles.push_back({name->text, std::move(role)});
   return {};
 }
 
-Refusal read_target(const Node& object, Target& into) {
-  const Node* const length = object.find("length", Kind::kNumber);
-  const Node* const hashes = object.find("hashes", Kind::kObject);
-  if (!length || length->number < 0 || !hashes)
-    return unreadable("target: wanted length and hashes", "TUF 4.5");
-  into.length = length->number;
-  if (Refusal r = read_hashes(*hashes, into.hashes)) return r;
-  const Node* const custom = object.find("custom", Kind::kObject);
-  if (!custom) return {};
-  if (const Node* const n = custom->find("hardware_id", Kind::kString)) into.hardware_id = n->text;
-  if (const Node* const n = custom->find("ecu_id", Kind::kString)) into.ecu_id = n->text;
-  if (const Node* const n = custom->find("release_counter", Kind::kNumber)) into.release_counter = n->number;
+Refusal read_delegated_roles(const JsonNode& object, Delegation& delegation) {
+  const JsonNode* const roles = object.find("roles", Kind::kList);
+  if (!roles) return add_delegated_role(object, delegation);
+  const JsonNode* const agreement = object.find("min_roles_in_agreement", Kind::kNumber);
+  const std::size_t count = roles->items.size();
+  if (!agreement || agreement->number < 1 || count == 0 || count > kMaxRolesInAgreement ||
+      agreement->number > static_cast<std::int64_t>(count))
+    return Refusal::unreadable("delegation: min_roles_in_agreement", "TAP 3");
+  delegation.min_roles_in_agreement = static_cast<unsigned>(agreement->number);
+  for (const JsonNode& role : roles->items) {
+    if (Refusal refusal = add_delegated_role(role, delegation)) return refusal;
+  }
   return {};
 }
 
-void take_common(const File& file, Common& into) {
-  into.version = file.version;
-  into.expires = file.expires;
-  into.digest = file.digest;
+Refusal read_delegation(const JsonNode& object, Delegation& delegation) {
+  const JsonNode* const terminating = object.find("terminating", Kind::kBool);
+  const JsonNode* const paths = object.find("paths", Kind::kList);
+  const JsonNode* const prefixes = object.find("path_hash_prefixes", Kind::kList);
+  const bool has_one_kind = (paths == nullptr) != (prefixes == nullptr);
+  if (!terminating || !has_one_kind)
+    return Refusal::unreadable("delegation: wanted terminating, and paths or path_hash_prefixes",
+                               "TUF 4.5.1");
+  delegation.terminating = terminating->boolean;
+  Refusal refusal =
+      paths ? read_paths(*paths, delegation.paths) : read_paths(*prefixes, delegation.hash_prefixes);
+  if (refusal) return refusal;
+  return read_delegated_roles(object, delegation);
 }
 
-bool glob(std::string_view pattern, std::string_view text) {
-  // Iterative, with one point to come back to: a hostile pattern costs no more than its length times the
-  // text's.
-  std::size_t p = 0, t = 0, star = std::string_view::npos, from = 0;
-  while (t < text.size()) {
-    if (p < pattern.size() && pattern[p] == '*') {
-      star = p++;
-      from = t;
-    } else if (p < pattern.size() && (pattern[p] == '?' || pattern[p] == text[t])) {
-      ++p, ++t;
-    } else if (star != std::string_view::npos) {
-      p = star + 1;
-      t = ++from;
-    } else {
-      return false;
-    }
-  }
-  while (p < pattern.size() && pattern[p] == '*') ++p;
-  return p == pattern.size();
+Refusal read_target(const JsonNode& object, Target& target) {
+  const JsonNode* const length = object.find("length", Kind::kNumber);
+  const JsonNode* const hashes = object.find("hashes", Kind::kObject);
+  if (!length || length->number < 0 || !hashes)
+    return Refusal::unreadable("target: wanted length and hashes", "TUF 4.5");
+  target.length = length->number;
+  if (Refusal refusal = read_hashes(*hashes, target.hashes)) return refusal;
+  const JsonNode* const custom = object.find("custom", Kind::kObject);
+  if (!custom) return {};
+  if (const JsonNode* const id = custom->find("hardware_id", Kind::kString)) target.hardware_id = id->text;
+  if (const JsonNode* const id = custom->find("ecu_id", Kind::kString)) target.ecu_id = id->text;
+  if (const JsonNode* const counter = custom->find("release_counter", Kind::kNumber))
+    target.release_counter = counter->number;
+  return {};
 }
 
-}  // namespace
-
-bool matches(std::string_view pattern, std::string_view path) {
-  for (;;) {  // part by part: neither * nor ? goes over a '/'
-    const std::size_t a = std::min(pattern.find('/'), pattern.size()),
-                      b = std::min(path.find('/'), path.size());
-    if (!glob(pattern.substr(0, a), path.substr(0, b))) return false;
-    if (a == pattern.size() || b == path.size()) return a == pattern.size() && b == path.size();
-    pattern.remove_prefix(a + 1);
-    path.remove_prefix(b + 1);
+Refusal read_delegations(const JsonNode& object, Targets& targets) {
+  const JsonNode* const keys = object.find("keys", Kind::kObject);
+  const JsonNode* const roles = object.find("roles", Kind::kList);
+  if (!keys || !roles || roles->items.size() > kMaxDelegations)
+    return Refusal::unreadable("delegations: wanted keys and at most 256 roles", "TUF 4.5.1");
+  if (Refusal refusal = read_keys(*keys, targets.keys)) return refusal;
+  for (const JsonNode& delegation : roles->items) {
+    if (Refusal refusal = read_delegation(delegation, targets.delegations.emplace_back())) return refusal;
   }
+  return {};
 }
 
-bool Delegation::covers(std::string_view path, const std::string& path_hash) const {
-  return std::any_of(paths.begin(), paths.end(), [&](const std::string& p) { return matches(p, path); }) ||
-         std::any_of(hash_prefixes.begin(), hash_prefixes.end(),
-                     [&](const std::string& p) { return path_hash.starts_with(p); });
+void copy_header(const MetadataFile& file, MetadataHeader& header) {
+  header.version = file.version;
+  header.expires = file.expires;
+  header.digest = file.digest;
 }
 
-namespace {
-
-constexpr bool leap(int year) { return (year % 4 == 0 && year % 100 != 0) || year % 400 == 0; }
-constexpr int days_in(int year, int month) {
-  constexpr int kDays[] = {31, 28, 31, 30, 31, 30, 31, 31, 30, 31, 30, 31};
-  return month == 2 && leap(year) ? 29 : kDays[month - 1];
-}
-// Days from 1 January 1970 to 1 January of a year from 1970 on.
-constexpr std::int64_t days_before(int year) {
-  const std::int64_t y = year - 1;
-  return (y - 1969) * 365 + (y / 4 - y / 100 + y / 400) - (1969 / 4 - 1969 / 100 + 1969 / 400);
+// The members that every role's signed part has (section 4.2): type, specification, version and expiry.
+Refusal read_header(std::string_view type, const JsonNode& signed_part, MetadataFile& file) {
+  const JsonNode* const found_type = signed_part.find("_type", Kind::kString);
+  const JsonNode* const spec = signed_part.find("spec_version", Kind::kString);
+  const JsonNode* const version = signed_part.find("version", Kind::kNumber);
+  const JsonNode* const expires = signed_part.find("expires", Kind::kString);
+  if (!found_type || found_type->text != type) {
+    std::string detail = "wanted " + std::string(type) + ", found ";
+    detail += found_type ? found_type->text.substr(0, kMaxTypeInRefusal) : "none";
+    return {RefusalReason::kWrongRole, std::move(detail), "TUF 4.2"};
+  }
+  if (!spec || !(spec->text == "1.0" || spec->text.starts_with("1.0.")))
+    return Refusal::unreadable("spec_version", "TUF 4.2");
+  if (!version || version->number < 1) return Refusal::unreadable("wanted a version of 1 or more", "TUF 4.2");
+  const auto date = expires ? parse_date(expires->text) : std::nullopt;
+  if (!date) return Refusal::unreadable("expires: wanted YYYY-MM-DDTHH:MM:SSZ", "TUF 4.2.1");
+  file.version = version->number;
+  file.expires = *date;
+  return {};
 }
 
 }  // namespace
 
-std::optional<Instant> read_date(std::string_view text) {
-  constexpr std::string_view kForm = "dddd-dd-ddTdd:dd:ddZ";
-  if (text.size() != kForm.size()) return std::nullopt;
-  for (std::size_t i = 0; i < kForm.size(); ++i) {
-    const bool digit = text[i] >= '0' && text[i] <= '9';
-    if (kForm[i] == 'd' ? !digit : text[i] != kForm[i]) return std::nullopt;
-  }
-  const auto part = [&](std::size_t at, std::size_t n) {
-    int v = 0;
-    for (std::size_t i = at; i < at + n; ++i) v = v * 10 + (text[i] - '0');
-    return v;
-  };
-  const int year = part(0, 4), month = part(5, 2), day = part(8, 2), hour = part(11, 2), minute = part(14, 2),
-            second = part(17, 2);
-  if (year < 1970 || month < 1 || month > 12 || day < 1 || day > days_in(year, month) || hour > 23 ||
-      minute > 59 || second > 59)
-    return std::nullopt;
-  std::int64_t days = days_before(year) + day - 1;
-  for (int m = 1; m < month; ++m) days += days_in(year, m);
-  return Instant::at_us((((days * 24 + hour) * 60 + minute) * 60 + second) * 1'000'000);
-}
-
-std::string date_text(Instant when) {
-  const std::int64_t s = when.us() / 1'000'000, days = s / 86400;
-  int year = static_cast<int>(1970 + days / 366);
-  while (days_before(year + 1) <= days) ++year;
-  int month = 1, day = static_cast<int>(days - days_before(year));
-  while (day >= days_in(year, month)) day -= days_in(year, month++);
-  char text[64];
-  std::snprintf(text, sizeof text, "%04d-%02d-%02dT%02d:%02d:%02dZ", year, month, day + 1,
-                static_cast<int>(s / 3600 % 24), static_cast<int>(s / 60 % 60), static_cast<int>(s % 60));
-  return text;
+bool Delegation::covers(std::string_view path, const std::string& path_hash) const {
+  const auto matches = [&](const std::string& pattern) { return path_matches(pattern, path); };
+  const auto begins_hash = [&](const std::string& prefix) { return path_hash.starts_with(prefix); };
+  return std::any_of(paths.begin(), paths.end(), matches) ||
+         std::any_of(hash_prefixes.begin(), hash_prefixes.end(), begins_hash);
 }
 
-std::size_t most_bytes(std::string_view type) {
-  if (type == "timestamp") return 16 * 1024;
-  if (type == "snapshot") return 2 * 1024 * 1024;
-  return type == "root" ? 512 * 1024 : 5 * 1024 * 1024;
+std::size_t max_file_bytes(std::string_view type) {
+  constexpr std::size_t kKibibyte = 1024;
+  constexpr std::size_t kMebibyte = 1024 * kKibibyte;
+  if (type == "timestamp") return 16 * kKibibyte;
+  if (type == "snapshot") return 2 * kMebibyte;
+  if (type == "root") return 512 * kKibibyte;
+  return 5 * kMebibyte;
 }
 
-Refusal read_file_of(std::string_view type, std::string_view bytes, File& into) {
-  if (bytes.size() > most_bytes(type))
-    return {Why::kTooLong,
-            std::string(type) + " " + std::to_string(bytes.size()) + " > " + std::to_string(most_bytes(type)),
-            "TUF 5.1"};
-  Bounds bounds;
-  bounds.bytes = most_bytes(type);
+Refusal read_metadata_file(std::string_view type, std::string_view bytes, MetadataFile& file) {
+  JsonLimits limits;
+  limits.bytes = max_file_bytes(type);
+  if (bytes.size() > limits.bytes) {
+    std::string detail(type);
+    detail += " " + std::to_string(bytes.size()) + " > " + std::to_string(limits.bytes);
+    return {RefusalReason::kTooLong, std::move(detail), "TUF 5.1"};
+  }
   std::string problem;
-  auto all = read(bytes, bounds, problem);
-  if (!all) return unreadable(problem, "TUF 4.1");
-  Node* const body = const_cast<Node*>(all->find("signed", Kind::kObject));
-  const Node* const signatures = all->find("signatures", Kind::kList);
-  if (!body || !signatures) return unreadable("wanted signed and signatures", "TUF 4.2");
-  const Node* const kind = body->find("_type", Kind::kString);
-  const Node* const spec = body->find("spec_version", Kind::kString);
-  const Node* const version = body->find("version", Kind::kNumber);
-  const Node* const expires = body->find("expires", Kind::kString);
-  if (!kind || kind->text != type)
-    return {Why::kWrongRole,
-            "wanted " + std::string(type) + ", found " + (kind ? kind->text.substr(0, 40) : "none"),
-            "TUF 4.2"};
-  if (!spec || !(spec->text == "1.0" || spec->text.starts_with("1.0.")))
-    return unreadable("spec_version", "TUF 4.2");
-  if (!version || version->number < 1) return unreadable("wanted a version of 1 or more", "TUF 4.2");
-  const auto date = expires ? read_date(expires->text) : std::nullopt;
-  if (!date) return unreadable("expires: wanted YYYY-MM-DDTHH:MM:SSZ", "TUF 4.2.1");
-  if (Refusal r = read_signatures(*signatures, into.signatures)) return r;
-  into.signed_bytes = body->canonical();
-  into.digest = sha256_hex(bytes);
-  into.version = version->number;
-  into.expires = *date;
-  into.body = std::move(*body);
+  auto node = parse_json(bytes, limits, problem);
+  if (!node) return Refusal::unreadable(problem, "TUF 4.1");
+  JsonNode* const signed_part = node->find("signed", Kind::kObject);
+  const JsonNode* const signatures = node->find("signatures", Kind::kList);
+  if (!signed_part || !signatures) return Refusal::unreadable("wanted signed and signatures", "TUF 4.2");
+  if (Refusal refusal = read_header(type, *signed_part, file)) return refusal;
+  if (Refusal refusal = read_signatures(*signatures, file.signatures)) return refusal;
+  file.signed_bytes = signed_part->canonical();
+  file.digest = sha256_hex(bytes);
+  file.signed_part = std::move(*signed_part);
   return {};
 }
 
-Refusal read_root(const File& file, Root& into) {
-  take_common(file, into);
-  const Node* const keys = file.body.find("keys", Kind::kObject);
-  const Node* const roles = file.body.find("roles", Kind::kObject);
-  const Node* const consistent = file.body.find("consistent_snapshot", Kind::kBool);
-  if (!keys || !roles) return unreadable("root: wanted keys and roles", "TUF 4.3");
-  into.consistent_snapshot = consistent && consistent->truth;
-  if (Refusal r = read_keys(*keys, into.keys)) return r;
+Refusal read_root(const MetadataFile& file, Root& root) {
+  copy_header(file, root);
+  const JsonNode* const keys = file.signed_part.find("keys", Kind::kObject);
+  const JsonNode* const roles = file.signed_part.find("roles", Kind::kObject);
+  const JsonNode* const consistent = file.signed_part.find("consistent_snapshot", Kind::kBool);
+  if (!keys || !roles) return Refusal::unreadable("root: wanted keys and roles", "TUF 4.3");
+  root.consistent_snapshot = consistent && consistent->boolean;
+  if (Refusal refusal = read_keys(*keys, root.keys)) return refusal;
   for (const char* const name : {"root", "timestamp", "snapshot", "targets"}) {
-    const Node* const role = roles->find(name, Kind::kObject);
-    if (!role) return unreadable(std::string("root: no role ") + name, "TUF 4.3");
-    if (Refusal r = read_role(*role, into.roles[name])) return r;
+    const JsonNode* const role = roles->find(name, Kind::kObject);
+    if (!role) return Refusal::unreadable(std::string("root: no role ") + name, "TUF 4.3");
+    if (Refusal refusal = read_role(*role, root.roles[name])) return refusal;
   }
   return {};
 }
 
-Refusal read_timestamp(const File& file, Timestamp& into) {
-  take_common(file, into);
-  const Node* const meta = file.body.find("meta", Kind::kObject);
-  const Node* const one = meta ? meta->find("snapshot.json", Kind::kObject) : nullptr;
-  if (!one || meta->members.size() != 1)
-    return unreadable("timestamp: wanted snapshot.json alone", "TUF 4.6");
-  return read_meta(*one, into.snapshot);
+Refusal read_timestamp(const MetadataFile& file, Timestamp& timestamp) {
+  copy_header(file, timestamp);
+  const JsonNode* const meta = file.signed_part.find("meta", Kind::kObject);
+  const JsonNode* const snapshot = meta ? meta->find("snapshot.json", Kind::kObject) : nullptr;
+  if (!snapshot || meta->members.size() != 1)
+    return Refusal::unreadable("timestamp: wanted snapshot.json alone", "TUF 4.6");
+  return read_file_meta(*snapshot, timestamp.snapshot);
 }
 
-Refusal read_snapshot(const File& file, Snapshot& into) {
-  take_common(file, into);
-  const Node* const meta = file.body.find("meta", Kind::kObject);
-  if (!meta || meta->members.size() > kMostListed) return unreadable("snapshot: meta", "TUF 4.4");
-  for (const auto& [name, one] : meta->members) {
-    if (one.kind != Kind::kObject || !name.ends_with(".json"))
-      return unreadable("snapshot: an entry", "TUF 4.4");
-    if (Refusal r = read_meta(one, into.meta[name])) return r;
+Refusal read_snapshot(const MetadataFile& file, Snapshot& snapshot) {
+  copy_header(file, snapshot);
+  const JsonNode* const meta = file.signed_part.find("meta", Kind::kObject);
+  if (!meta || meta->members.size() > kMaxListedFiles)
+    return Refusal::unreadable("snapshot: meta", "TUF 4.4");
+  for (const auto& [name, entry] : meta->members) {
+    if (entry.kind != Kind::kObject || !name.ends_with(".json"))
+      return Refusal::unreadable("snapshot: an entry", "TUF 4.4");
+    if (Refusal refusal = read_file_meta(entry, snapshot.meta[name])) return refusal;
   }
-  if (!into.meta.contains("targets.json")) return unreadable("snapshot: no targets.json", "TUF 4.4");
+  if (!snapshot.meta.contains("targets.json"))
+    return Refusal::unreadable("snapshot: no targets.json", "TUF 4.4");
   return {};
 }
 
-Refusal read_targets(const File& file, Targets& into) {
-  take_common(file, into);
-  const Node* const targets = file.body.find("targets", Kind::kObject);
-  if (!targets || targets->members.size() > kMostListed) return unreadable("targets: targets", "TUF 4.5");
-  for (const auto& [path, one] : targets->members) {
-    if (one.kind != Kind::kObject) return unreadable("targets: an entry", "TUF 4.5");
-    if (Refusal r = read_target(one, into.targets[path])) return r;
-  }
-  const Node* const delegations = file.body.find("delegations");
-  if (!delegations) return {};
-  const Node* const keys = delegations->find("keys", Kind::kObject);
-  const Node* const roles = delegations->find("roles", Kind::kList);
-  if (!keys || !roles || roles->items.size() > kMostDelegations)
-    return unreadable("delegations: wanted keys and at most 256 roles", "TUF 4.5.1");
-  if (Refusal r = read_keys(*keys, into.keys)) return r;
-  for (const Node& one : roles->items) {
-    if (Refusal r = read_delegation(one, into.delegations.emplace_back())) return r;
+Refusal read_targets(const MetadataFile& file, Targets& targets) {
+  copy_header(file, targets);
+  const JsonNode* const listed = file.signed_part.find("targets", Kind::kObject);
+  if (!listed || listed->members.size() > kMaxListedFiles)
+    return Refusal::unreadable("targets: targets", "TUF 4.5");
+  for (const auto& [path, entry] : listed->members) {
+    if (entry.kind != Kind::kObject) return Refusal::unreadable("targets: an entry", "TUF 4.5");
+    if (Refusal refusal = read_target(entry, targets.targets[path])) return refusal;
   }
-  return {};
+  const JsonNode* const delegations = file.signed_part.find("delegations");
+  return delegations ? read_delegations(*delegations, targets) : Refusal{};
 }
 
 }  // namespace ashbeam::metadata
--- a/src/metadata/roles.hpp
+++ b/src/metadata/roles.hpp
@@ -1,22 +1,34 @@
-// The roles' files (TUF 1.0, section 4.3 to 4.6), read into plain values. Nothing is believed here.
+// The roles' metadata files (TUF 1.0, sections 4.3 to 4.6) as plain values. Reading checks their form alone:
+// signatures, versions and dates are checked by trusted_metadata.hpp.
+//
+// Order: read_metadata_file(), then read_root(), read_timestamp(), read_snapshot() or read_targets() with
+// what it gave.
 #pragma once
+#include <cstdint>
 #include <map>
-#include <memory>
 #include <optional>
 #include <string>
 #include <string_view>
 #include <vector>
 
 #include "base/time.hpp"
+#include "metadata/date.hpp"
 #include "metadata/json.hpp"
 #include "metadata/keys.hpp"
 #include "metadata/refusal.hpp"
 
 namespace ashbeam::metadata {
 
-using Hashes = std::map<std::string, std::string>;  // by algorithm, hex; at least one that we know
+constexpr std::size_t kMaxDelegations = 256;    // of a targets role
+constexpr std::size_t kMaxPathPatterns = 1024;  // of a delegation
+constexpr std::size_t kMaxListedFiles = 20'000;
+constexpr std::size_t kMaxRolesInAgreement = 8;
 
-struct FileMeta {  // what a role says of a file below it
+// By algorithm ("sha256", "sha512"), lower-case hex; at least one.
+using Hashes = std::map<std::string, std::string>;
+
+// What a role lists of a metadata file below it (section 4.4).
+struct FileMeta {
   std::int64_t version = 0;
   std::optional<std::int64_t> length;
   Hashes hashes;
@@ -26,72 +38,76 @@
 struct Target {
   std::int64_t length = 0;
   Hashes hashes;
-  // Uptane 5.2.3.1: of the target's custom part; empty or -1 where not said.
-  std::string hardware_id, ecu_id;
+  // Of the custom part (Uptane 5.2.3.1); empty or -1 where it says nothing.
+  std::string hardware_id;
+  std::string ecu_id;
   std::int64_t release_counter = -1;
   bool operator==(const Target&) const = default;
 };
 
-struct Common {
+// What every role's file has.
+struct MetadataHeader {
   std::int64_t version = 0;
   Instant expires;
   std::string digest;  // SHA-256 of the file's bytes, hex
 };
 
-struct Root : Common {
+struct Root : MetadataHeader {
   Keys keys;
-  std::map<std::string, Role, std::less<>> roles;
+  std::map<std::string, Role, std::less<>> roles;  // root, timestamp, snapshot, targets
   bool consistent_snapshot = false;
+
+  // One of the four top-level roles.
+  const Role& role(std::string_view name) const { return roles.find(name)->second; }
 };
 
-struct Timestamp : Common {
+struct Timestamp : MetadataHeader {
   FileMeta snapshot;
 };
 
-struct Snapshot : Common {
+struct Snapshot : MetadataHeader {
   std::map<std::string, FileMeta, std::less<>> meta;  // by file name, "targets.json"
 };
 
-// One entry of a targets role's delegations. More than one role: TAP 3, of which `agreement` must say the
-// same.
+struct DelegatedRole {
+  std::string name;
+  Role role;
+};
+
+// One entry of a targets role's delegations (section 4.5.1). Several roles: a target counts where
+// `min_roles_in_agreement` of them list the same (TAP 3).
 struct Delegation {
-  std::vector<std::pair<std::string, Role>> roles;
-  unsigned agreement = 1;
+  std::vector<DelegatedRole> roles;
+  unsigned min_roles_in_agreement = 1;
   bool terminating = false;
-  std::vector<std::string> paths, hash_prefixes;
-  bool covers(std::string_view path, const std::string& path_hash) const;  // hash: SHA-256 of the path, hex
+  std::vector<std::string> paths;  // patterns; either these or hash prefixes
+  std::vector<std::string> hash_prefixes;
+
+  // `path_hash`: SHA-256 of the path, hex.
+  bool covers(std::string_view path, const std::string& path_hash) const;
 };
 
-struct Targets : Common {
-  std::map<std::string, Target, std::less<>> targets;
-  Keys keys;
+struct Targets : MetadataHeader {
+  std::map<std::string, Target, std::less<>> targets;  // by path
+  Keys keys;                                           // of the delegated roles
   std::vector<Delegation> delegations;
 };
 
-// A file taken apart: what was signed, by whom, and what it says.
-struct File {
-  std::vector<Signature> signatures;
-  std::string signed_bytes, digest;  // canonical form of the signed part; of the whole file
-  Node body;                         // the signed part
+// A file taken apart: its signatures, and what it says.
+struct MetadataFile : SignedEnvelope {
+  std::string digest;    // SHA-256 of the file's bytes, hex
+  JsonNode signed_part;  // what `signed_bytes` is the canonical form of
   std::int64_t version = 0;
   Instant expires;
 };
 
-// Bytes by role, at most; delegated roles as targets.
-std::size_t most_bytes(std::string_view type);
-constexpr std::size_t kMostDelegations = 256, kMostPatterns = 1024, kMostListed = 20'000;
-
-Refusal read_file_of(std::string_view type, std::string_view bytes, File& into);
-Refusal read_root(const File& file, Root& into);
-Refusal read_timestamp(const File& file, Timestamp& into);
-Refusal read_snapshot(const File& file, Snapshot& into);
-Refusal read_targets(const File& file, Targets& into);
-
-// "2030-01-01T00:00:00Z" and no other form (section 4.2.1).
-std::optional<Instant> read_date(std::string_view text);
-std::string date_text(Instant when);
+// Of a file of that type, at most; delegated roles are of the type targets.
+std::size_t max_file_bytes(std::string_view type);
 
-// fnmatch as the specification has it (section 4.5.1): * and ? do not match '/'.
-bool matches(std::string_view pattern, std::string_view path);
+Refusal read_metadata_file(std::string_view type, std::string_view bytes, MetadataFile& file);
+Refusal read_root(const MetadataFile& file, Root& root);
+Refusal read_timestamp(const MetadataFile& file, Timestamp& timestamp);
+Refusal read_snapshot(const MetadataFile& file, Snapshot& snapshot);
+Refusal read_targets(const MetadataFile& file, Targets& targets);
 
 }  // namespace ashbeam::metadata
--- a/src/metadata/uptane.cpp
+++ b/src/metadata/uptane.cpp
@@ -7,223 +7,291 @@
 
 namespace {
 
-using Kind = Node::Kind;
+using Kind = JsonNode::Kind;
 
-constexpr std::size_t kLongestManifest = 256 * 1024, kLongestTime = 16 * 1024, kMostEcus = 256;
+constexpr std::size_t kMaxManifestBytes = std::size_t{256} * 1024;
+constexpr std::size_t kMaxTimeAttestationBytes = std::size_t{16} * 1024;
+constexpr std::size_t kMaxEcus = 256;
 
-Refusal for_ecu(std::string_view path, const Target& t, const Ecu& ecu, const char* section) {
-  if (t.ecu_id != ecu.id)
-    return {Why::kEcu, std::string(path) + " is for ECU " + t.ecu_id + ", not " + ecu.id, section};
-  if (t.hardware_id != ecu.hardware_id)
-    return {Why::kEcu, std::string(path) + " is for hardware " + t.hardware_id + ", not " + ecu.hardware_id,
+// ---- Targets ----
+
+Refusal check_ecu(std::string_view path, const Target& target, const Ecu& ecu, const char* section) {
+  const std::string name(path);
+  if (target.ecu_id != ecu.id)
+    return {RefusalReason::kEcu, name + " is for ECU " + target.ecu_id + ", not " + ecu.id, section};
+  if (target.hardware_id != ecu.hardware_id)
+    return {RefusalReason::kEcu, name + " is for hardware " + target.hardware_id + ", not " + ecu.hardware_id,
             section};
-  if (t.release_counter < ecu.release_counter)
-    return {Why::kRollback,
-            std::string(path) + " release " + std::to_string(t.release_counter) + " < " +
+  if (target.release_counter < ecu.release_counter)
+    return {RefusalReason::kRollback,
+            name + " release " + std::to_string(target.release_counter) + " < " +
                 std::to_string(ecu.release_counter) + " installed",
             section};
   return {};
 }
 
-Refusal agree(std::string_view path, const Target& director, const Target& image) {
-  const auto say = [&](const std::string& what) {
-    return Refusal{Why::kDisagreement, std::string(path) + ": " + what, "Uptane 5.4.4.2"};
-  };
-  if (director.length != image.length)
-    return say("length " + std::to_string(director.length) + ", image repository " +
-               std::to_string(image.length));
-  bool common = false;
-  for (const auto& [algorithm, hash] : director.hashes) {
-    const auto other = image.hashes.find(algorithm);
-    if (other == image.hashes.end()) continue;
-    common = true;
-    if (other->second != hash)
-      return say(algorithm + " " + hash.substr(0, 12) + ", image repository " + other->second.substr(0, 12));
+Refusal check_no_delegations(const Targets& director, const char* section) {
+  if (director.delegations.empty()) return {};
+  return {RefusalReason::kDelegation, "a director delegates", section};
+}
+
+Refusal two_targets_for(const std::string& ecu, const char* section) {
+  return {RefusalReason::kEcu, "two targets for ECU " + ecu, section};
+}
+
+Refusal foreign_ecu(const std::string& path, const std::string& ecu, const char* section) {
+  return {RefusalReason::kEcu, path + " is for ECU " + ecu + ", which is not of this vehicle", section};
+}
+
+// How the hashes of one file differ; empty where all common ones are equal. One must be common: files that
+// share none can't be told apart.
+std::string hash_disagreement(const Hashes& director, const Hashes& image) {
+  bool any_common = false;
+  for (const auto& [algorithm, hash] : director) {
+    const auto other = image.find(algorithm);
+    if (other == image.end()) continue;
+    any_common = true;
+    if (other->second == hash) continue;
+    std::string difference = algorithm;
+    difference.append(" ").append(abbreviate_hash(hash));
+    difference.append(", image repository ").append(abbreviate_hash(other->second));
+    return difference;
   }
-  // Guards against two files told apart by nothing: each could be another one.
-  if (!common) return say("no hash of the same kind");
+  return any_common ? "" : "no hash of the same kind";
+}
+
+// How director and image repository differ on a target; empty where they agree.
+std::string disagreement(const Target& director, const Target& image) {
+  if (director.length != image.length)
+    return "length " + std::to_string(director.length) + ", image repository " + std::to_string(image.length);
+  std::string hashes = hash_disagreement(director.hashes, image.hashes);
+  if (!hashes.empty()) return hashes;
   if (director.hardware_id != image.hardware_id)
-    return say("hardware " + director.hardware_id + ", image repository " + image.hardware_id);
+    return "hardware " + director.hardware_id + ", image repository " + image.hardware_id;
   if (director.release_counter != image.release_counter)
-    return say("release " + std::to_string(director.release_counter) + ", image repository " +
-               std::to_string(image.release_counter));
+    return "release " + std::to_string(director.release_counter) + ", image repository " +
+           std::to_string(image.release_counter);
+  return "";
+}
+
+// The target that the director lists for this ECU, in its top-level role.
+Refusal find_directed(const TrustedMetadata& director, std::string_view path, const Ecu& ecu, Instant now,
+                      const Target*& target) {
+  TargetLookup lookup = find_target(director, path, now);
+  if (lookup.refusal) return std::move(lookup.refusal);
+  if (!lookup.target || lookup.role != "targets")
+    return {RefusalReason::kUnlisted, std::string(path) + ": the director does not list it",
+            "Uptane 5.4.4.2"};
+  target = lookup.target;
+  return check_ecu(path, *target, ecu, "Uptane 5.4.4.6");
+}
+
+// ---- Signed envelopes that are no TUF role ----
+
+// How an envelope's refusals are called.
+struct EnvelopeKind {
+  RefusalReason malformed;
+  const char* section;
+};
+
+Refusal parse_envelope(std::string_view bytes, std::size_t max_bytes, const EnvelopeKind& kind,
+                       JsonNode& envelope) {
+  JsonLimits limits;
+  limits.bytes = max_bytes;
+  std::string problem;
+  auto node = parse_json(bytes, limits, problem);
+  if (!node) return {kind.malformed, problem, kind.section};
+  envelope = std::move(*node);
   return {};
 }
 
-// A signed envelope that is no TUF role.
-Refusal open(const Node& all, const Role& by, const Keys& keys, const char* what, Why why,
-             const char* section, const Node*& body) {
-  body = all.find("signed", Kind::kObject);
-  const Node* const list = all.find("signatures", Kind::kList);
-  if (!body || !list) return {why, std::string(what) + ": wanted signed and signatures", section};
-  std::vector<Signature> signatures;
-  if (Refusal r = read_signatures(*list, signatures)) return r;
+// The signed part, where enough keys of the role have signed it.
+Refusal open_envelope(const JsonNode& envelope, const Role& role, const Keys& keys, const std::string& what,
+                      const EnvelopeKind& kind, const JsonNode*& signed_part) {
+  signed_part = envelope.find("signed", Kind::kObject);
+  const JsonNode* const signatures = envelope.find("signatures", Kind::kList);
+  if (!signed_part || !signatures)
+    return {kind.malformed, what + ": wanted signed and signatures", kind.section};
+  SignedEnvelope opened;
+  if (Refusal refusal = read_signatures(*signatures, opened.signatures)) return refusal;
+  opened.signed_bytes = signed_part->canonical();
   std::uint64_t verifications = 0;
-  const unsigned got = signers(by, keys, signatures, body->canonical(), verifications);
-  if (got >= by.threshold) return {};
-  return {Why::kThreshold,
-          std::string(what) + ": " + std::to_string(got) + " of " + std::to_string(by.threshold) +
-              " distinct keys",
-          section};
+  return check_threshold(what, role, keys, opened, kind.section, verifications);
+}
+
+// ---- Vehicle version manifests ----
+
+constexpr EnvelopeKind kManifest{RefusalReason::kManifest, "Uptane 5.4.2.1"};
+
+Refusal bad_manifest(std::string detail) {
+  return {RefusalReason::kManifest, std::move(detail), kManifest.section};
+}
+
+Refusal wrong_ecu(std::string detail) { return {RefusalReason::kEcu, std::move(detail), kManifest.section}; }
+
+// Checks the manifest's own members, without the reports in it.
+Refusal check_manifest_header(const VehicleRecord& vehicle, const JsonNode& manifest,
+                              const JsonNode*& reports) {
+  const JsonNode* const vin = manifest.find("vin", Kind::kString);
+  const JsonNode* const primary = manifest.find("primary_ecu_serial", Kind::kString);
+  reports = manifest.find("ecu_version_manifests", Kind::kObject);
+  if (!vin || !primary || !reports || reports->members.size() > kMaxEcus)
+    return bad_manifest("wanted vin, primary_ecu_serial and ecu_version_manifests");
+  if (vin->text != vehicle.vin) return bad_manifest("of vehicle " + vin->text + ", not " + vehicle.vin);
+  if (primary->text != vehicle.primary)
+    return wrong_ecu("primary " + primary->text + ", not " + vehicle.primary);
+  return {};
+}
+
+// The members of an ECU's signed report; false where one is missing.
+bool read_report(const JsonNode& signed_part, EcuReport& report) {
+  const JsonNode* const serial = signed_part.find("ecu_serial", Kind::kString);
+  const JsonNode* const counter = signed_part.find("counter", Kind::kNumber);
+  const JsonNode* const image = signed_part.find("installed_image", Kind::kObject);
+  const JsonNode* const path = image ? image->find("filepath", Kind::kString) : nullptr;
+  const JsonNode* const info = image ? image->find("fileinfo", Kind::kObject) : nullptr;
+  const JsonNode* const length = info ? info->find("length", Kind::kNumber) : nullptr;
+  const JsonNode* const hashes = info ? info->find("hashes", Kind::kObject) : nullptr;
+  if (!serial || !counter || !path || !length || !hashes) return false;
+  report.ecu = serial->text;
+  report.counter = counter->number;
+  report.path = path->text;
+  report.length = length->number;
+  for (const auto& [algorithm, hash] : hashes->members) {
+    if (hash.kind == Kind::kString) report.hashes.emplace(algorithm, hash.text);
+  }
+  return true;
+}
+
+// One ECU's report, which the manifest has under `serial`.
+Refusal check_report(const VehicleRecord& vehicle, const std::string& serial, const JsonNode& envelope,
+                     EcuReport& report) {
+  const auto ecu = vehicle.ecus.find(serial);
+  if (ecu == vehicle.ecus.end()) return wrong_ecu("ECU " + serial + " is not of this vehicle");
+  const JsonNode* signed_part = nullptr;
+  if (Refusal refusal = open_envelope(envelope, ecu->second, vehicle.keys, serial, kManifest, signed_part))
+    return refusal;
+  if (!read_report(*signed_part, report))
+    return bad_manifest(serial + ": wanted ecu_serial, counter and installed_image");
+  if (report.ecu != serial) return wrong_ecu("a report of " + report.ecu + " under " + serial);
+  const auto last = vehicle.last_counters.find(serial);
+  if (last != vehicle.last_counters.end() && report.counter <= last->second)
+    return bad_manifest(serial + ": counter " + std::to_string(report.counter) +
+                        " <= " + std::to_string(last->second));
+  return {};
 }
 
 }  // namespace
 
 Refusal check_director(const Targets& director, const std::vector<Ecu>& vehicle) {
   constexpr const char* kSection = "Uptane 5.4.4.6";
-  if (!director.delegations.empty()) return {Why::kDelegation, "a director delegates", kSection};
-  std::set<std::string> named;
+  if (Refusal refusal = check_no_delegations(director, kSection)) return refusal;
+  std::set<std::string> listed_ecus;
   for (const auto& [path, target] : director.targets) {
+    const std::string& wanted = target.ecu_id;
     const auto ecu = std::find_if(vehicle.begin(), vehicle.end(),
-                                  [&, &t = target](const Ecu& e) { return e.id == t.ecu_id; });
-    if (ecu == vehicle.end())
-      return {Why::kEcu, path + " is for ECU " + target.ecu_id + ", which is not of this vehicle", kSection};
-    if (!named.insert(target.ecu_id).second)
-      return {Why::kEcu, "two targets for ECU " + target.ecu_id, kSection};
-    if (Refusal r = for_ecu(path, target, *ecu, kSection)) return r;
+                                  [&](const Ecu& candidate) { return candidate.id == wanted; });
+    if (ecu == vehicle.end()) return foreign_ecu(path, wanted, kSection);
+    if (!listed_ecus.insert(wanted).second) return two_targets_for(wanted, kSection);
+    if (Refusal refusal = check_ecu(path, target, *ecu, kSection)) return refusal;
   }
   return {};
 }
 
-Install may_install(const Trust& director, const Trust& image, std::string_view path, const Ecu& ecu,
-                    Instant now) {
-  Install all;
-  const Found told = look_up(director, path, now);
-  if (told.refusal || !told.target || told.role != "targets") {
-    all.refusal = told.refusal
-                      ? told.refusal
-                      : Refusal{Why::kUnlisted, std::string(path) + ": the director does not list it",
-                                "Uptane 5.4.4.2"};
-    return all;
-  }
-  if ((all.refusal = for_ecu(path, *told.target, ecu, "Uptane 5.4.4.6"))) return all;
-  const Found listed = look_up(image, path, now);
-  if (!listed.wants.empty()) {
-    all.wants = listed.wants, all.wanted_by = listed.wanted_by;
-    return all;
+InstallDecision check_install(const TrustedMetadata& director, const TrustedMetadata& image,
+                              std::string_view path, const Ecu& ecu, Instant now) {
+  constexpr const char* kSection = "Uptane 5.4.4.2";
+  InstallDecision decision;
+  const Target* directed = nullptr;
+  decision.refusal = find_directed(director, path, ecu, now, directed);
+  if (decision.refusal) return decision;
+  TargetLookup listed = find_target(image, path, now);
+  if (!listed.missing_role.empty()) {
+    decision.missing_role = std::move(listed.missing_role);
+    decision.missing_delegator = std::move(listed.missing_delegator);
+    return decision;
   }
-  if ((all.refusal = listed.refusal)) return all;
+  decision.refusal = std::move(listed.refusal);
+  if (decision.refusal) return decision;
   if (!listed.target) {
-    all.refusal = {Why::kUnlisted, std::string(path) + ": the image repository does not list it",
-                   "Uptane 5.4.4.2"};
-    return all;
+    decision.refusal = {RefusalReason::kUnlisted,
+                        std::string(path) + ": the image repository does not list it", kSection};
+    return decision;
   }
-  if ((all.refusal = agree(path, *told.target, *listed.target))) return all;
-  all.target = told.target;
-  return all;
+  const std::string difference = disagreement(*directed, *listed.target);
+  if (!difference.empty())
+    decision.refusal = {RefusalReason::kDisagreement, std::string(path) + ": " + difference, kSection};
+  else decision.target = directed;
+  return decision;
 }
 
-Refusal take_partial(const Root& root, std::string_view bytes, std::int64_t held, const Ecu& ecu, Instant now,
-                     Targets& into) {
+Refusal verify_partial(const Root& root, std::string_view bytes, std::int64_t trusted_version, const Ecu& ecu,
+                       Instant now, Targets& targets) {
   constexpr const char* kSection = "Uptane 5.4.4.1";
-  File file;
-  if (Refusal r = read_file_of("targets", bytes, file)) return r;
-  const Role& role = root.roles.find("targets")->second;
+  MetadataFile file;
+  if (Refusal refusal = read_metadata_file("targets", bytes, file)) return refusal;
   std::uint64_t verifications = 0;
-  const unsigned got = signers(role, root.keys, file.signatures, file.signed_bytes, verifications);
-  if (got < role.threshold)
-    return {Why::kThreshold,
-            "targets: " + std::to_string(got) + " of " + std::to_string(role.threshold) + " distinct keys",
-            kSection};
-  Targets targets;
-  if (Refusal r = read_targets(file, targets)) return r;
-  if (targets.version < held)
-    return {Why::kRollback, "targets " + std::to_string(targets.version) + " < " + std::to_string(held),
-            kSection};
-  if (now >= targets.expires)
-    return {Why::kExpired,
-            "targets " + std::to_string(targets.version) + " expired " + date_text(targets.expires),
-            kSection};
-  if (!targets.delegations.empty()) return {Why::kDelegation, "a director delegates", kSection};
-  unsigned ours = 0;
-  for (const auto& [path, target] : targets.targets) {
+  if (Refusal refusal =
+          check_threshold("targets", root.role("targets"), root.keys, file, kSection, verifications))
+    return refusal;
+  Targets found;
+  if (Refusal refusal = read_targets(file, found)) return refusal;
+  if (found.version < trusted_version)
+    return Refusal::rollback("targets", found.version, trusted_version, kSection);
+  if (Refusal refusal = check_expiry("targets", found, now, kSection)) return refusal;
+  if (Refusal refusal = check_no_delegations(found, kSection)) return refusal;
+  unsigned for_this_ecu = 0;
+  for (const auto& [path, target] : found.targets) {
     if (target.ecu_id != ecu.id) continue;
-    if (++ours > 1) return {Why::kEcu, "two targets for ECU " + ecu.id, kSection};
-    if (Refusal r = for_ecu(path, target, ecu, kSection)) return r;
+    ++for_this_ecu;
+    if (for_this_ecu > 1) return two_targets_for(ecu.id, kSection);
+    if (Refusal refusal = check_ecu(path, target, ecu, kSection)) return refusal;
   }
-  into = std::move(targets);
+  targets = std::move(found);
   return {};
 }
 
-Refusal check_time(const Role& server, const Keys& keys, std::string_view bytes, std::string_view nonce,
-                   Instant last, Instant& into) {
-  constexpr const char* kSection = "Uptane deployment practices, time";
-  Bounds bounds;
-  bounds.bytes = kLongestTime;
-  std::string problem;
-  const auto all = read(bytes, bounds, problem);
-  if (!all) return {Why::kTime, problem, kSection};
-  const Node* body = nullptr;
-  if (Refusal r = open(*all, server, keys, "time", Why::kTime, kSection, body)) return r;
-  const Node* const nonces = body->find("nonces", Kind::kList);
-  const Node* const time = body->find("time", Kind::kString);
-  const auto when = time ? read_date(time->text) : std::nullopt;
-  if (!nonces || !when) return {Why::kTime, "wanted nonces and a time", kSection};
-  // Guards against a word that was recorded earlier and is played back now.
-  const bool ours = std::any_of(nonces->items.begin(), nonces->items.end(),
-                                [&](const Node& n) { return n.kind == Kind::kString && n.text == nonce; });
-  if (!ours) return {Why::kTime, "not with our nonce", kSection};
-  if (*when < last) return {Why::kTime, date_text(*when) + " is before " + date_text(last), kSection};
-  into = *when;
+Refusal verify_time_attestation(const Role& server, const Keys& keys, std::string_view bytes,
+                                std::string_view nonce, Instant last, Instant& time) {
+  constexpr EnvelopeKind kTime{RefusalReason::kTime, "Uptane deployment practices, time"};
+  JsonNode envelope;
+  if (Refusal refusal = parse_envelope(bytes, kMaxTimeAttestationBytes, kTime, envelope)) return refusal;
+  const JsonNode* signed_part = nullptr;
+  if (Refusal refusal = open_envelope(envelope, server, keys, "time", kTime, signed_part)) return refusal;
+  const JsonNode* const nonces = signed_part->find("nonces", Kind::kList);
+  const JsonNode* const date = signed_part->find("time", Kind::kString);
+  const auto attested = date ? parse_date(date->text) : std::nullopt;
+  if (!nonces || !attested) return {kTime.malformed, "wanted nonces and a time", kTime.section};
+  // An attestation without our nonce may have been recorded earlier.
+  const bool has_our_nonce =
+      std::any_of(nonces->items.begin(), nonces->items.end(),
+                  [&](const JsonNode& item) { return item.kind == Kind::kString && item.text == nonce; });
+  if (!has_our_nonce) return {kTime.malformed, "not with our nonce", kTime.section};
+  if (*attested < last)
+    return {kTime.malformed, format_date(*attested) + " is before " + format_date(last), kTime.section};
+  time = *attested;
   return {};
 }
 
-Refusal take_manifest(Fleet& fleet, std::string_view bytes, std::vector<Installed>& into) {
-  constexpr const char* kSection = "Uptane 5.4.2.1";
-  Bounds bounds;
-  bounds.bytes = kLongestManifest;
-  std::string problem;
-  const auto all = read(bytes, bounds, problem);
-  if (!all) return {Why::kManifest, problem, kSection};
-  const auto primary = fleet.ecus.find(fleet.primary);
-  if (primary == fleet.ecus.end()) return {Why::kManifest, "no primary is known", kSection};
-  const Node* body = nullptr;
-  if (Refusal r = open(*all, primary->second, fleet.keys, "manifest", Why::kManifest, kSection, body))
-    return r;
-  const Node* const vin = body->find("vin", Kind::kString);
-  const Node* const by = body->find("primary_ecu_serial", Kind::kString);
-  const Node* const parts = body->find("ecu_version_manifests", Kind::kObject);
-  if (!vin || !by || !parts || parts->members.size() > kMostEcus)
-    return {Why::kManifest, "wanted vin, primary_ecu_serial and ecu_version_manifests", kSection};
-  if (vin->text != fleet.vin)
-    return {Why::kManifest, "of vehicle " + vin->text + ", not " + fleet.vin, kSection};
-  if (by->text != fleet.primary)
-    return {Why::kEcu, "primary " + by->text + ", not " + fleet.primary, kSection};
-  std::map<std::string, std::int64_t, std::less<>> seen = fleet.seen;
-  std::vector<Installed> installed;
-  for (const auto& [serial, part] : parts->members) {
-    const auto ecu = fleet.ecus.find(serial);
-    if (ecu == fleet.ecus.end()) return {Why::kEcu, "ECU " + serial + " is not of this vehicle", kSection};
-    const Node* own = nullptr;
-    if (Refusal r = open(part, ecu->second, fleet.keys, serial.c_str(), Why::kManifest, kSection, own))
-      return r;
-    const Node* const named = own->find("ecu_serial", Kind::kString);
-    const Node* const counter = own->find("counter", Kind::kNumber);
-    const Node* const image = own->find("installed_image", Kind::kObject);
-    const Node* const path = image ? image->find("filepath", Kind::kString) : nullptr;
-    const Node* const info = image ? image->find("fileinfo", Kind::kObject) : nullptr;
-    const Node* const length = info ? info->find("length", Kind::kNumber) : nullptr;
-    const Node* const hashes = info ? info->find("hashes", Kind::kObject) : nullptr;
-    if (!named || !counter || !path || !length || !hashes)
-      return {Why::kManifest, serial + ": wanted ecu_serial, counter and installed_image", kSection};
-    // Guards against one ECU's report handed in as another's.
-    if (named->text != serial)
-      return {Why::kEcu, "a report of " + named->text + " under " + serial, kSection};
-    const auto last = seen.find(serial);
-    if (last != seen.end() && counter->number <= last->second)
-      return {Why::kManifest,
-              serial + ": counter " + std::to_string(counter->number) + " <= " + std::to_string(last->second),
-              kSection};
-    seen[serial] = counter->number;
-    Installed one{serial, path->text, length->number, counter->number, {}};
-    for (const auto& [algorithm, hash] : hashes->members) {
-      if (hash.kind == Kind::kString) one.hashes.emplace(algorithm, hash.text);
-    }
-    installed.push_back(std::move(one));
+Refusal accept_vehicle_manifest(VehicleRecord& vehicle, std::string_view bytes,
+                                std::vector<EcuReport>& reports) {
+  JsonNode envelope;
+  if (Refusal refusal = parse_envelope(bytes, kMaxManifestBytes, kManifest, envelope)) return refusal;
+  const auto primary = vehicle.ecus.find(vehicle.primary);
+  if (primary == vehicle.ecus.end()) return bad_manifest("no primary is known");
+  const JsonNode* manifest = nullptr;
+  if (Refusal refusal =
+          open_envelope(envelope, primary->second, vehicle.keys, "manifest", kManifest, manifest))
+    return refusal;
+  const JsonNode* listed = nullptr;
+  if (Refusal refusal = check_manifest_header(vehicle, *manifest, listed)) return refusal;
+  std::vector<EcuReport> checked;
+  for (const auto& [serial, report] : listed->members) {
+    if (Refusal refusal = check_report(vehicle, serial, report, checked.emplace_back())) return refusal;
   }
-  if (!parts->find(fleet.primary)) return {Why::kManifest, "no report of the primary itself", kSection};
-  fleet.seen = std::move(seen);
-  into = std::move(installed);
+  if (!listed->find(vehicle.primary)) return bad_manifest("no report of the primary itself");
+  for (const EcuReport& report : checked) vehicle.last_counters[report.ecu] = report.counter;
+  reports = std::move(checked);
   return {};
 }
 
--- a/src/metadata/uptane.hpp
+++ b/src/metadata/uptane.hpp
@@ -1,60 +1,70 @@
-// Uptane (Standard 2.0) on top of TUF's workflow: what a director and an image repository say together, what
-// a vehicle reports, and the time where its clock is doubted. No I/O; each repository's own files are taken
-// by trust.hpp first.
+// Uptane (Standard 2.0) on top of TUF's workflow: what director and image repository must agree on, what a
+// vehicle reports, and attested time for an ECU whose clock can't be trusted. No I/O. Each repository's own
+// files are checked by trusted_metadata.hpp first. Refusals name the section.
 #pragma once
+#include <cstdint>
 #include <map>
 #include <string>
 #include <string_view>
 #include <vector>
 
-#include "metadata/trust.hpp"
+#include "metadata/target_lookup.hpp"
+#include "metadata/trusted_metadata.hpp"
 
 namespace ashbeam::metadata {
 
 struct Ecu {
-  std::string id, hardware_id;
-  std::int64_t release_counter = -1;  // of what is installed; -1: nothing is
+  std::string id;
+  std::string hardware_id;
+  std::int64_t release_counter = -1;  // of the installed image; -1: none is installed
 };
 
 // The director's targets by themselves (5.4.4.6): no delegations, each ECU of this vehicle at most once and
-// none of another, the right hardware, no release older than what is installed.
+// none of another, the right hardware, no release older than the installed one.
 Refusal check_director(const Targets& director, const std::vector<Ecu>& vehicle);
 
-// May this ECU install that target? Both repositories must list it alike: length, every hash that either
-// gives, hardware, release counter; and the director for this ECU. A director alone installs nothing
-// (5.4.4.2).
-struct Install {
-  const Target* target = nullptr;
-  std::string wants, wanted_by;  // a delegated role of the image repository that must be had first
+struct InstallDecision {
+  const Target* target = nullptr;  // may be installed; stands as long as the director's trusted metadata
+  // A delegated role of the image repository that must be fetched first, and its delegator; empty: none.
+  std::string missing_role;
+  std::string missing_delegator;
   Refusal refusal;
 };
-Install may_install(const Trust& director, const Trust& image, std::string_view path, const Ecu& ecu,
-                    Instant now);
+// May this ECU install that target (5.4.4.2)? The director has to list it for this ECU, and both repositories
+// with the same length, hashes, hardware and release counter. A director alone installs nothing.
+InstallDecision check_install(const TrustedMetadata& director, const TrustedMetadata& image,
+                              std::string_view path, const Ecu& ecu, Instant now);
 
 // Partial verification (5.4.4.1): the director's targets file alone, by the keys of a root that the ECU
-// holds. `held`: the version it took last; 0: none. `into` is set where nothing is refused.
-Refusal take_partial(const Root& root, std::string_view bytes, std::int64_t held, const Ecu& ecu, Instant now,
-                     Targets& into);
-
-// A time server's word (5.3.2 of the deployment practices): signed, with our nonce, not before what it said
-// last.
-Refusal check_time(const Role& server, const Keys& keys, std::string_view bytes, std::string_view nonce,
-                   Instant last, Instant& into);
-
-// A vehicle's version manifest (5.4.2.1): signed by its primary, each ECU's part by that ECU, with counters
-// that only rise.
-struct Installed {
-  std::string ecu, path;
-  std::int64_t length = 0, counter = 0;
+// holds. `trusted_version`: of the file that it accepted last; 0: none. `targets` is set where nothing is
+// refused.
+Refusal verify_partial(const Root& root, std::string_view bytes, std::int64_t trusted_version, const Ecu& ecu,
+                       Instant now, Targets& targets);
+
+// A time server's attestation (deployment practices, 5.3.2): signed, with our nonce, not before the `last`
+// one. `time` is set where nothing is refused.
+Refusal verify_time_attestation(const Role& server, const Keys& keys, std::string_view bytes,
+                                std::string_view nonce, Instant last, Instant& time);
+
+// What an ECU says that it runs.
+struct EcuReport {
+  std::string ecu;
+  std::string path;
+  std::int64_t length = 0;
+  std::int64_t counter = 0;
   Hashes hashes;
 };
-struct Fleet {  // what is known of one vehicle
-  std::string vin, primary;
-  std::map<std::string, Role, std::less<>> ecus;          // which keys speak for an ECU
-  std::map<std::string, std::int64_t, std::less<>> seen;  // the last counter of each
+// What is known of one vehicle.
+struct VehicleRecord {
+  std::string vin;
+  std::string primary;                                             // serial of its primary ECU
+  std::map<std::string, Role, std::less<>> ecus;                   // by serial: the keys that sign for it
+  std::map<std::string, std::int64_t, std::less<>> last_counters;  // by serial: of its last report
   Keys keys;
 };
-// All of it or nothing: the counters in `fleet` move only where all is good.
-Refusal take_manifest(Fleet& fleet, std::string_view bytes, std::vector<Installed>& into);
+// A vehicle version manifest (5.4.2.1): signed by the primary, each ECU's report by that ECU, with counters
+// that only rise. `vehicle` and `reports` change only where nothing is refused.
+Refusal accept_vehicle_manifest(VehicleRecord& vehicle, std::string_view bytes,
+                                std::vector<EcuReport>& reports);
 
 }  // namespace ashbeam::metadata
--- a/src/program/access_config_loader.cpp
+++ b/src/program/access_config_loader.cpp
@@ -16,7 +16,7 @@
   standing_ = fresh.operators;
   if (standing_.metadata) {
     std::vector<metadata::RepositorySettings> all = standing_.metadata->repositories;
-    for (auto& r : all) r.root = read_file(r.root, metadata::most_bytes("root"));
+    for (auto& r : all) r.root = read_file(r.root, metadata::max_file_bytes("root"));
     service_.watch_metadata(
         std::make_unique<metadata::MetadataVerifier>(std::move(all), standing_.metadata->clients));
   }
--- a/src/program/metadata_command.cpp
+++ b/src/program/metadata_command.cpp
@@ -1,12 +1,12 @@
-// `ashbeam metadata`: shows a file, checks a folder as a client would.
+// `ashbeam metadata`: shows a metadata file, and checks a repository's folder as a TUF client would.
 #include <chrono>
 #include <cstdio>
 #include <filesystem>
 #include <stdexcept>
 
-#include "metadata/trust.hpp"
+#include "metadata/target_lookup.hpp"
+#include "metadata/trusted_metadata.hpp"
 #include "program/commands.hpp"
-#include "protocol/json.hpp"
 #include "store/files.hpp"
 
 namespace ashbeam {
@@ -15,105 +15,128 @@
 
 using namespace metadata;
 
-constexpr std::size_t kLongest = 5 * 1024 * 1024;
+constexpr std::size_t kMaxFileBytes = std::size_t{5} * 1024 * 1024;
 
-Instant machine_now() {
-  return Instant::at_us(std::chrono::duration_cast<std::chrono::microseconds>(
-                            std::chrono::system_clock::now().time_since_epoch())
-                            .count());
+Instant wall_clock_now() {
+  const auto since_epoch = std::chrono::system_clock::now().time_since_epoch();
+  return Instant::at_us(std::chrono::duration_cast<std::chrono::microseconds>(since_epoch).count());
 }
 
-struct Refused : std::runtime_error {
-  using std::runtime_error::runtime_error;
-};
-
-class Walk {
+// Follows a repository's files in a folder, from a pinned root to the last delegated role. Prints a line for
+// each file that is accepted, and throws at the first that is not.
+class RepositoryCheck {
  public:
-  explicit Walk(std::string folder) : folder_(std::move(folder)) {}
+  explicit RepositoryCheck(std::string folder) : folder_(std::move(folder)), now_(wall_clock_now()) {}
+
+  void run(const std::string& pinned_root) {
+    accept(pinned_root, pin_root(read_file(pinned_root, max_file_bytes("root"))));
+    update_roots();
+    accept("timestamp.json", update_timestamp(trust_, bytes_of("timestamp.json"), now_));
+    const std::string snapshot = file_name("snapshot", trust_.timestamp->snapshot.version);
+    accept(snapshot, update_snapshot(trust_, bytes_of(snapshot), now_));
+    const std::string targets = file_name("targets", trust_.snapshot->meta.at("targets.json").version);
+    accept(targets, update_targets(trust_, bytes_of(targets), now_));
+    check_delegated_by("targets", 0);
+    if (const Refusal refusal = check_unexpired(trust_, now_)) throw std::runtime_error(refusal.line());
+  }
 
-  void all(const std::string& root) {
-    Step pinned = pin(read_file(root, most_bytes("root")));
-    take(root, std::move(pinned));
-    for (;;) {  // until there is no next one, section 5.3
+ private:
+  // Until there is no next root (TUF 1.0, section 5.3).
+  void update_roots() {
+    for (;;) {
       const std::string next = std::to_string(trust_.root->version + 1) + ".root.json";
-      if (!there(next)) break;
-      take(next, take_root(trust_, bytes(next)));
+      if (!std::filesystem::exists(path_of(next))) return;
+      accept(next, update_root(trust_, bytes_of(next)));
     }
-    take("timestamp.json", take_timestamp(trust_, bytes("timestamp.json"), now_));
-    const std::string snapshot = named("snapshot", trust_.timestamp->snapshot.version);
-    take(snapshot, take_snapshot(trust_, bytes(snapshot), now_));
-    const std::string targets = named("targets", trust_.snapshot->meta.at("targets.json").version);
-    take(targets, take_targets(trust_, bytes(targets), now_));
-    delegated("targets", 0);
-    if (Refusal r = fresh(trust_, now_)) throw Refused(r.line());
   }
 
- private:
-  bool there(const std::string& name) const { return std::filesystem::exists(folder_ + "/" + name); }
-  std::string bytes(const std::string& name) const { return read_file(folder_ + "/" + name, kLongest); }
-  std::string named(const std::string& role, std::int64_t version) const {
-    return (trust_.root->consistent_snapshot ? std::to_string(version) + "." : "") + role + ".json";
+  void check_delegated_by(const std::string& delegator, unsigned depth) {
+    if (depth > kMaxDelegationVisits) throw std::runtime_error(delegator + ": delegations go on and on");
+    const auto targets = trust_.targets.at(delegator);
+    for (const Delegation& delegation : targets->delegations) {
+      for (const DelegatedRole& delegated : delegation.roles)
+        check_delegated(delegator, delegated.name, depth);
+    }
   }
-  void take(const std::string& name, Step step) {
-    if (step.refusal) throw Refused(name + ": " + step.refusal.line());
-    trust_ = std::move(step.trust);
+
+  void check_delegated(const std::string& delegator, const std::string& role, unsigned depth) {
+    const bool known = trust_.targets.contains(role);
+    const auto listed = trust_.snapshot->meta.find(role + ".json");
+    if (listed == trust_.snapshot->meta.end())
+      throw std::runtime_error(role + ": the snapshot does not list it");
+    const std::string name = file_name(role, listed->second.version);
+    accept(name, update_delegated_targets(trust_, delegator, role, bytes_of(name), now_));
+    if (!known) check_delegated_by(role, depth + 1);
+  }
+
+  void accept(const std::string& name, TrustUpdate update) {
+    if (update.refusal) throw std::runtime_error(name + ": " + update.refusal.line());
+    trust_ = std::move(update.trust);
     std::printf("%s: good\n", name.c_str());
   }
-  void delegated(const std::string& by, unsigned depth) {
-    if (depth > kMostVisits) throw Refused(by + ": delegations go on and on");
-    const auto held = trust_.targets.at(by);
-    for (const Delegation& d : held->delegations) {
-      for (const auto& [role, allowed] : d.roles) {
-        const bool known = trust_.targets.contains(role);
-        const auto listed = trust_.snapshot->meta.find(role + ".json");
-        if (listed == trust_.snapshot->meta.end()) throw Refused(role + ": the snapshot does not list it");
-        const std::string name = named(role, listed->second.version);
-        take(name, take_delegated(trust_, by, role, bytes(name), now_));
-        if (!known) delegated(role, depth + 1);
-      }
-    }
+
+  std::string path_of(const std::string& name) const { return folder_ + "/" + name; }
+  std::string bytes_of(const std::string& name) const { return read_file(path_of(name), kMaxFileBytes); }
+  std::string file_name(const std::string& role, std::int64_t version) const {
+    const std::string prefix = trust_.root->consistent_snapshot ? std::to_string(version) + "." : "";
+    return prefix + role + ".json";
   }
+
   std::string folder_;
-  Trust trust_;
-  Instant now_ = machine_now();
+  Instant now_;
+  TrustedMetadata trust_;
 };
 
-}  // namespace
+// The type that a metadata file says it is of. Throws where it is none.
+std::string type_of(const std::string& path, const std::string& bytes) {
+  std::string problem;
+  const auto node = parse_json(bytes, {}, problem);
+  const JsonNode* const signed_part = node ? node->find("signed", JsonNode::Kind::kObject) : nullptr;
+  const JsonNode* const type = signed_part ? signed_part->find("_type", JsonNode::Kind::kString) : nullptr;
+  if (!type) throw std::runtime_error(path + ": " + (problem.empty() ? "no metadata" : problem));
+  return type->text;
+}
 
-int metadata_show(const std::string& path) {
+void print_roles(const MetadataFile& file) {
+  Root root;
+  if (read_root(file, root)) return;
+  for (const auto& [name, role] : root.roles)
+    std::printf("  %s: %lld of %zu keys\n", name.c_str(), static_cast<long long>(role.threshold),
+                role.keyids.size());
+}
+
+void show_file(const std::string& path) {
+  const std::string bytes = read_file(path, kMaxFileBytes);
+  const std::string type = type_of(path, bytes);
+  MetadataFile file;
+  if (const Refusal refusal = read_metadata_file(type, bytes, file))
+    throw std::runtime_error(path + ": " + refusal.line());
+  std::printf("%s %lld, expires %s, %zu signatures, sha256 %s\n", type.c_str(),
+              static_cast<long long>(file.version), format_date(file.expires).c_str(), file.signatures.size(),
+              file.digest.c_str());
+  if (type == "root") print_roles(file);
+}
+
+// The command's exit code: 1 with a line on standard error where it throws.
+template <class Command>
+int run_command(const Command& command) {
   try {
-    const std::string bytes = read_file(path, kLongest);
-    std::string problem;
-    const auto node = read(bytes, {}, problem);
-    const Node* const body = node ? node->find("signed", Node::Kind::kObject) : nullptr;
-    const Node* const type = body ? body->find("_type", Node::Kind::kString) : nullptr;
-    if (!type) throw std::runtime_error(path + ": " + (problem.empty() ? "no metadata" : problem));
-    File file;
-    if (Refusal r = read_file_of(type->text, bytes, file)) throw std::runtime_error(path + ": " + r.line());
-    std::printf("%s %lld, expires %s, %zu signatures, sha256 %s\n", type->text.c_str(),
-                static_cast<long long>(file.version), date_text(file.expires).c_str(), file.signatures.size(),
-                file.digest.c_str());
-    Root root;
-    if (type->text == "root" && !read_root(file, root)) {
-      for (const auto& [name, role] : root.roles)
-        std::printf("  %s: %lld of %zu keys\n", name.c_str(), static_cast<long long>(role.threshold),
-                    role.keyids.size());
-    }
+    command();
     return 0;
-  } catch (const std::exception& e) {
-    std::fprintf(stderr, "ashbeam metadata: %s\n", e.what());
+  } catch (const std::exception& error) {
+    std::fprintf(stderr, "ashbeam metadata: %s\n", error.what());
     return 1;
   }
 }
 
+}  // namespace
+
+int metadata_show(const std::string& path) {
+  return run_command([&] { show_file(path); });
+}
+
 int metadata_check(const std::string& root, const std::string& folder) {
-  try {
-    Walk(folder).all(root);
-    return 0;
-  } catch (const std::exception& e) {
-    std::fprintf(stderr, "ashbeam metadata: %s\n", e.what());
-    return 1;
-  }
+  return run_command([&] { RepositoryCheck(folder).run(root); });
 }
 
 }  // namespace ashbeam
--- a/src/routing/service.cpp
+++ b/src/routing/service.cpp
@@ -206,7 +206,7 @@
     std::string_view file;
     const std::string_view whole = head.word(1);
     const std::uint32_t repository = warden_->repository_of(whole.substr(0, whole.find('?')), file);
-    if (repository != metadata::MetadataVerifier::kNone) {
+    if (repository != metadata::MetadataVerifier::kNoRepository) {
       // Who has proven nothing is known by the connection.
       const std::uint64_t client = who.caller.empty() ? caller.serial : who.hash;
       hit.metadata = std::make_unique<Metadata>(Metadata{repository, std::string(file), client, {}});
@@ -371,7 +371,7 @@
   std::string plain;
   metadata::Refusal why;
   if (answer.head().find("Content-Encoding")) {
-    why = {metadata::Why::kUnreadable, "a coded body", "TUF 4.1"};
+    why = {metadata::RefusalReason::kUnreadable, "a coded body", "TUF 4.1"};
   } else if (answer.head().find("Transfer-Encoding")) {
     http::Body body(limits_.max_body_bytes);
     body.by_chunks();
@@ -386,7 +386,7 @@
     why = warden_->check(hit.metadata->repository, hit.metadata->file, plain, hit.metadata->client, now);
   if (!why) return true;
   hit.metadata->refused = why.line();
-  Instant& told = refusal_told_[why.why];
+  Instant& told = refusal_told_[why.reason];
   if (now - told > Span::s(1)) {
     told = now;
     note_("metadata: refused " + hit.metadata->file.substr(0, 80) + " of " + hosts_[host].address + ": " +
--- a/src/routing/service.hpp
+++ b/src/routing/service.hpp
@@ -200,7 +200,7 @@
   std::function<void()> wound_down_;
   std::unique_ptr<calling::Authorizer> gate_;
   std::unique_ptr<metadata::MetadataVerifier> warden_;
-  std::map<metadata::Why, Instant> refusal_told_;  // one line for each kind and second
+  std::map<metadata::RefusalReason, Instant> refusal_told_;  // one line for each kind and second
   bool token_goes_on_ = false;
   calling::Identity who_;                    // of the request at hand; kept for its room
   std::vector<std::uint64_t> refused_told_;  // by reason, as last logged
--- a/tests/access_config_loader_test.cpp
+++ b/tests/access_config_loader_test.cpp
@@ -201,8 +201,8 @@
   using namespace metadata;
   Publisher p(Instant::at_us(4'000'000'000'000'000));
   p.contents["targets"]["app"] = "1";
-  p.parts.push_back(
-      {"targets", "part", {{SigningKey::fresh(SigningKey::Kind::kEcdsa)}, 1}, {"p/*"}, {}, false, {}, 1});
+  p.delegations.push_back(
+      {"targets", "part", {{SigningKey::generate(SigningKey::Kind::kEcdsa)}, 1}, {"p/*"}, {}, false, {}, 1});
   const auto put = [&] {
     for (const auto& [name, bytes] : p.files()) write_file(folder.at(name), bytes, 0644);
   };
@@ -215,7 +215,7 @@
   EXPECT_NE(out.find("1.part.json: good\n"), std::string::npos) << out;
   EXPECT_NE(out.find("timestamp 1, expires 2096-10-02T07:06:40Z, 1 signatures"), std::string::npos) << out;
   const auto old = p.roles["root"];
-  p.versions["root"] = 2, p.roles["root"].keys = {SigningKey::fresh(SigningKey::Kind::kEd25519)};
+  p.versions["root"] = 2, p.roles["root"].keys = {SigningKey::generate(SigningKey::Kind::kEd25519)};
   put();  // without the former keys
   testing::internal::CaptureStderr();
   EXPECT_EQ(metadata_check(pinned, folder.path), 1);
--- a/tests/metadata_verifier_test.cpp
+++ b/tests/metadata_verifier_test.cpp
@@ -27,7 +27,7 @@
   }
   std::string check(const std::string& file, const std::string& bytes, std::uint64_t client = 1) {
     const Refusal r = warden->check(0, file, bytes, client, now);
-    return r ? std::string(word_of(r.why)) : "";
+    return r ? std::string(name_of(r.reason)) : "";
   }
   std::string timestamp(std::uint64_t client = 1) {
     return check("timestamp.json", repository.timestamp(), client);
@@ -41,7 +41,7 @@
   EXPECT_EQ(w.repository_of("/look/u/timestamp.json", file), 1U);
   EXPECT_EQ(file, "timestamp.json");
   EXPECT_EQ(w.repository_of("/look/x", file), 0U);
-  EXPECT_EQ(w.repository_of("/book/u/", file), MetadataVerifier::kNone);
+  EXPECT_EQ(w.repository_of("/book/u/", file), MetadataVerifier::kNoRepository);
   EXPECT_THROW(MetadataVerifier({{"/look/", "{}", {}}}, 10), std::runtime_error);
 }
 
@@ -85,8 +85,8 @@
   p.repository.versions["timestamp"] = 1'000'000, p.repository.versions["snapshot"] = 1'000'000;
   EXPECT_EQ(p.timestamp(1), "");
   const auto old = p.repository.roles["root"];
-  p.repository.roles["root"].keys = {SigningKey::fresh(SigningKey::Kind::kEd25519)};
-  p.repository.roles["timestamp"].keys = {SigningKey::fresh(SigningKey::Kind::kEd25519)};
+  p.repository.roles["root"].keys = {SigningKey::generate(SigningKey::Kind::kEd25519)};
+  p.repository.roles["timestamp"].keys = {SigningKey::generate(SigningKey::Kind::kEd25519)};
   p.repository.versions["root"] = 2;
   EXPECT_EQ(p.check("2.root.json", p.repository.root()), "threshold");  // the former keys have not signed
   EXPECT_EQ(p.check("2.root.json", p.repository.root(&old)), "");
--- a/tests/uptane_test.cpp
+++ b/tests/uptane_test.cpp
@@ -11,41 +11,40 @@
 const Instant kNow = Instant::at_us(1'800'000'000'000'000);
 
 // Targets with custom parts, in place of the publisher's plain ones.
-std::string with_custom(const Publisher& p, const std::string& path,
-                        std::vector<std::pair<std::string, Node>> custom, const std::string& second = "") {
-  Node body = p.body("targets");
+std::string with_custom(const Publisher& p, const std::string& path, std::vector<JsonMember> custom,
+                        const std::string& second = "") {
+  JsonNode body = p.signed_part("targets");
   for (auto& [name, member] : body.members) {
     if (name != "targets") continue;
     for (auto& [target, value] : member.members) {
       if (target != path) continue;
       auto members = value.members;
-      members.emplace_back("custom", object_node(custom));
-      value = object_node(std::move(members));
+      members.push_back({"custom", json_object(custom)});
+      value = json_object(std::move(members));
     }
     if (!second.empty()) {
       auto all = member.members;
-      all.emplace_back(second, all[0].second);
-      member = object_node(std::move(all));
+      all.push_back({second, all[0].value});
+      member = json_object(std::move(all));
     }
   }
-  return Publisher::signed_by(body, p.roles.at("targets").keys);
+  return Publisher::sign_envelope(body, p.roles.at("targets").keys);
 }
 
-std::vector<std::pair<std::string, Node>> custom(const std::string& ecu, const std::string& hardware,
-                                                 std::int64_t release) {
-  std::vector<std::pair<std::string, Node>> all;
-  all.emplace_back("hardware_id", text_node(hardware));
-  all.emplace_back("release_counter", number_node(release));
-  if (!ecu.empty()) all.emplace_back("ecu_id", text_node(ecu));
+std::vector<JsonMember> custom(const std::string& ecu, const std::string& hardware, std::int64_t release) {
+  std::vector<JsonMember> all;
+  all.push_back({"hardware_id", json_string(hardware)});
+  all.push_back({"release_counter", json_number(release)});
+  if (!ecu.empty()) all.push_back({"ecu_id", json_string(ecu)});
   return all;
 }
 
-Trust trust_of(const Publisher& p, const std::string& targets) {
+TrustedMetadata trust_of(const Publisher& p, const std::string& targets) {
   // The snapshot names no hashes here, so that targets can be put in.
-  Trust t = pin(p.root()).trust;
-  t = take_timestamp(t, p.timestamp(), kNow).trust;
-  t = take_snapshot(t, p.snapshot(), kNow).trust;
-  const Step step = take_targets(t, targets, kNow);
+  TrustedMetadata t = pin_root(p.root()).trust;
+  t = update_timestamp(t, p.timestamp(), kNow).trust;
+  t = update_snapshot(t, p.snapshot(), kNow).trust;
+  const TrustUpdate step = update_targets(t, targets, kNow);
   EXPECT_FALSE(step.refusal) << step.refusal.line();
   return step.trust;
 }
@@ -54,14 +53,14 @@
   Publisher director{kNow + Span::s(86400)}, image{kNow + Span::s(86400)};
   const Ecu ecu{"ecu-1", "hw-a", 3};
   Repositories() {
-    director.with_hashes = image.with_hashes = false;
+    director.list_hashes = image.list_hashes = false;
     director.contents["targets"]["brake.img"] = image.contents["targets"]["brake.img"] = "brake 4";
   }
   std::string install(const std::string& from_director, const std::string& from_image) const {
-    const Install i =
-        may_install(trust_of(director, from_director), trust_of(image, from_image), "brake.img", ecu, kNow);
+    const InstallDecision i =
+        check_install(trust_of(director, from_director), trust_of(image, from_image), "brake.img", ecu, kNow);
     EXPECT_EQ(i.target != nullptr, !i.refusal);
-    return std::string(word_of(i.refusal.why));
+    return std::string(name_of(i.refusal.reason));
   }
 };
 
@@ -103,8 +102,8 @@
 TEST(Uptane, ADirectorSpeaksForThisVehicleAlone) {
   Repositories r;
   const auto check = [&](const std::string& bytes, const std::vector<Ecu>& vehicle) {
-    const Trust t = trust_of(r.director, bytes);
-    return std::string(word_of(check_director(*t.targets.at("targets"), vehicle).why));
+    const TrustedMetadata t = trust_of(r.director, bytes);
+    return std::string(name_of(check_director(*t.targets.at("targets"), vehicle).reason));
   };
   const std::vector<Ecu> vehicle{r.ecu, {"ecu-2", "hw-b", -1}};
   EXPECT_EQ(check(with_custom(r.director, "brake.img", custom("ecu-1", "hw-a", 3)), vehicle), "none");
@@ -113,17 +112,17 @@
   EXPECT_EQ(check(with_custom(r.director, "brake.img", custom("ecu-1", "hw-a", 2)), vehicle), "rollback");
   EXPECT_EQ(check(with_custom(r.director, "brake.img", custom("ecu-1", "hw-a", 3), "second.img"), vehicle),
             "ecu");
-  r.director.parts.push_back(
-      {"targets", "part", {{SigningKey::fresh(SigningKey::Kind::kEd25519)}, 1}, {"*"}, {}, false, {}, 1});
+  r.director.delegations.push_back(
+      {"targets", "part", {{SigningKey::generate(SigningKey::Kind::kEd25519)}, 1}, {"*"}, {}, false, {}, 1});
   EXPECT_EQ(check(r.director.targets(), vehicle), "delegation");
 }
 
 TEST(Uptane, PartialVerificationOfTheDirectorsTargets) {
   Repositories r;
-  const Trust pinned = pin(r.director.root()).trust;
+  const TrustedMetadata pinned = pin_root(r.director.root()).trust;
   Targets into;
   const auto take = [&](const std::string& bytes, std::int64_t held, Instant now = kNow) {
-    return std::string(word_of(take_partial(*pinned.root, bytes, held, r.ecu, now, into).why));
+    return std::string(name_of(verify_partial(*pinned.root, bytes, held, r.ecu, now, into).reason));
   };
   const std::string good = with_custom(r.director, "brake.img", custom("ecu-1", "hw-a", 4));
   EXPECT_EQ(take(good, 0), "none");
@@ -136,19 +135,20 @@
 }
 
 TEST(Uptane, TimeIsBelievedWithOurNonceOnly) {
-  const SigningKey key = SigningKey::fresh(SigningKey::Kind::kEcdsa),
-                   stranger = SigningKey::fresh(SigningKey::Kind::kEcdsa);
+  const SigningKey key = SigningKey::generate(SigningKey::Kind::kEcdsa),
+                   stranger = SigningKey::generate(SigningKey::Kind::kEcdsa);
   Keys keys;
-  keys.emplace(key.id(), PublicKey::of(key.object()));
+  keys.emplace(key.id(), PublicKey::from_json(key.object()));
   const Role server{{key.id()}, 1};
   const auto word = [&](const SigningKey& by, const std::string& nonce, Instant when) {
-    return Publisher::signed_by(object_node({{"nonces", list_node({text_node("x"), text_node(nonce)})},
-                                             {"time", text_node(date_text(when))}}),
-                                {by});
+    return Publisher::sign_envelope(
+        json_object({{"nonces", json_list({json_string("x"), json_string(nonce)})},
+                     {"time", json_string(format_date(when))}}),
+        {by});
   };
   Instant into;
   const auto check = [&](const std::string& bytes, Instant last = kNow) {
-    return std::string(word_of(check_time(server, keys, bytes, "n-1", last, into).why));
+    return std::string(name_of(verify_time_attestation(server, keys, bytes, "n-1", last, into).reason));
   };
   EXPECT_EQ(check(word(key, "n-1", kNow + Span::s(5))), "none");
   EXPECT_EQ(into, kNow + Span::s(5));
@@ -159,48 +159,47 @@
 }
 
 TEST(Uptane, AVehiclesManifestCountsWholeOrNotAtAll) {
-  const SigningKey primary = SigningKey::fresh(SigningKey::Kind::kEd25519),
-                   second = SigningKey::fresh(SigningKey::Kind::kEd25519);
-  Fleet fleet;
+  const SigningKey primary = SigningKey::generate(SigningKey::Kind::kEd25519),
+                   second = SigningKey::generate(SigningKey::Kind::kEd25519);
+  VehicleRecord fleet;
   fleet.vin = "vin-1", fleet.primary = "p";
   for (const auto& [name, key] : {std::pair{"p", &primary}, std::pair{"s", &second}}) {
-    fleet.keys.emplace(key->id(), PublicKey::of(key->object()));
+    fleet.keys.emplace(key->id(), PublicKey::from_json(key->object()));
     fleet.ecus[name] = {{key->id()}, 1};
   }
   const auto part = [](const std::string& serial, std::int64_t counter, const SigningKey& by) {
     return *[&] {
       std::string problem;
-      return read(
-          Publisher::signed_by(
-              object_node(
-                  {{"ecu_serial", text_node(serial)},
-                   {"counter", number_node(counter)},
-                   {"installed_image",
-                    object_node({{"filepath", text_node("a.img")},
-                                 {"fileinfo",
-                                  object_node({{"length", number_node(1)},
-                                               {"hashes", object_node({{"sha256", text_node("ab")}})}})}})}}),
+      return parse_json(
+          Publisher::sign_envelope(
+              json_object({{"ecu_serial", json_string(serial)},
+                           {"counter", json_number(counter)},
+                           {"installed_image",
+                            json_object({{"filepath", json_string("a.img")},
+                                         {"fileinfo",
+                                          json_object({{"length", json_number(1)},
+                                                       {"hashes",
+                                                        json_object({{"sha256", json_string("ab")}})}})}})}}),
               {by}),
           {}, problem);
     }();
   };
-  const auto manifest = [&](const std::string& vin, std::vector<std::pair<std::string, Node>> parts,
-                            const SigningKey& by) {
-    return Publisher::signed_by(object_node({{"vin", text_node(vin)},
-                                             {"primary_ecu_serial", text_node("p")},
-                                             {"ecu_version_manifests", object_node(std::move(parts))}}),
-                                {by});
+  const auto manifest = [&](const std::string& vin, std::vector<JsonMember> parts, const SigningKey& by) {
+    return Publisher::sign_envelope(json_object({{"vin", json_string(vin)},
+                                                 {"primary_ecu_serial", json_string("p")},
+                                                 {"ecu_version_manifests", json_object(std::move(parts))}}),
+                                    {by});
   };
-  std::vector<Installed> into;
+  std::vector<EcuReport> into;
   const auto take = [&](const std::string& bytes) {
-    return std::string(word_of(take_manifest(fleet, bytes, into).why));
+    return std::string(name_of(accept_vehicle_manifest(fleet, bytes, into).reason));
   };
   EXPECT_EQ(take(manifest("vin-1", {{"p", part("p", 1, primary)}, {"s", part("s", 1, second)}}, primary)),
             "none");
   EXPECT_EQ(into.size(), 2U);
   EXPECT_EQ(take(manifest("vin-1", {{"p", part("p", 2, primary)}, {"s", part("s", 1, second)}}, primary)),
             "manifest");  // replayed
-  EXPECT_EQ(fleet.seen.at("p"), 1);
+  EXPECT_EQ(fleet.last_counters.at("p"), 1);
   EXPECT_EQ(take(manifest("vin-1", {{"p", part("p", 2, primary)}, {"s", part("s", 2, primary)}}, primary)),
             "threshold");
   EXPECT_EQ(take(manifest("vin-1", {{"p", part("p", 2, primary)}, {"s", part("p", 2, second)}}, primary)),
