--- a/tests/uptane_test.cpp
+++ b/tests/uptane_test.cpp
@@ -3,32 +3,25 @@
 
 #include <gtest/gtest.h>
 
-#include "metadata/publisher.hpp"
+#include "metadata_fixtures.hpp"
 
 namespace ashbeam::metadata {
 namespace {
 
-const Instant kNow = Instant::at_us(1'800'000'000'000'000);
-
-// Targets with custom parts, in place of the publisher's plain ones.
-std::string with_custom(const Publisher& p, const std::string& path, std::vector<JsonMember> custom,
+// The publisher's targets file, with a custom part for one path. `second`: another path with the same target.
+std::string with_custom(const Publisher& publisher, const std::string& path, std::vector<JsonMember> custom,
                         const std::string& second = "") {
-  JsonNode body = p.signed_part("targets");
-  for (auto& [name, member] : body.members) {
-    if (name != "targets") continue;
-    for (auto& [target, value] : member.members) {
-      if (target != path) continue;
-      auto members = value.members;
-      members.push_back({"custom", json_object(custom)});
-      value = json_object(std::move(members));
-    }
-    if (!second.empty()) {
-      auto all = member.members;
-      all.push_back({second, all[0].value});
-      member = json_object(std::move(all));
-    }
+  JsonNode signed_part = publisher.signed_part("targets");
+  JsonNode* const targets = signed_part.find("targets", JsonNode::Kind::kObject);
+  if (JsonNode* const target = targets->find(path, JsonNode::Kind::kObject)) {
+    target->members.push_back({"custom", json_object(std::move(custom))});
+    *target = json_object(std::move(target->members));
+  }
+  if (!second.empty()) {
+    targets->members.push_back({second, JsonNode(targets->members[0].value)});
+    *targets = json_object(std::move(targets->members));
   }
-  return Publisher::sign_envelope(body, p.roles.at("targets").keys);
+  return Publisher::sign_envelope(signed_part, publisher.roles.at("targets").keys);
 }
 
 std::vector<JsonMember> custom(const std::string& ecu, const std::string& hardware, std::int64_t release) {
@@ -39,43 +32,47 @@
   return all;
 }
 
-TrustedMetadata trust_of(const Publisher& p, const std::string& targets) {
-  // The snapshot names no hashes here, so that targets can be put in.
-  TrustedMetadata t = pin_root(p.root()).trust;
-  t = update_timestamp(t, p.timestamp(), kNow).trust;
-  t = update_snapshot(t, p.snapshot(), kNow).trust;
-  const TrustUpdate step = update_targets(t, targets, kNow);
-  EXPECT_FALSE(step.refusal) << step.refusal.line();
-  return step.trust;
+// Trusted metadata with this targets file in place of the publisher's: the snapshot lists no hashes here.
+TrustedMetadata trust_of(const Publisher& publisher, const std::string& targets) {
+  TrustedMetadata trust = pin_root(publisher.root()).trust;
+  trust = update_timestamp(trust, publisher.timestamp(), kNow).trust;
+  trust = update_snapshot(trust, publisher.snapshot(), kNow).trust;
+  const TrustUpdate update = update_targets(trust, targets, kNow);
+  EXPECT_FALSE(update.refusal) << update.refusal.line();
+  return update.trust;
 }
 
 struct Repositories {
-  Publisher director{kNow + Span::s(86400)}, image{kNow + Span::s(86400)};
+  Publisher director{kLater};
+  Publisher image{kLater};
   const Ecu ecu{"ecu-1", "hw-a", 3};
   Repositories() {
-    director.list_hashes = image.list_hashes = false;
-    director.contents["targets"]["brake.img"] = image.contents["targets"]["brake.img"] = "brake 4";
+    for (Publisher* const publisher : {&director, &image}) {
+      publisher->list_hashes = false;
+      publisher->contents["targets"]["brake.img"] = "brake 4";
+    }
   }
   std::string install(const std::string& from_director, const std::string& from_image) const {
-    const InstallDecision i =
+    const InstallDecision decision =
         check_install(trust_of(director, from_director), trust_of(image, from_image), "brake.img", ecu, kNow);
-    EXPECT_EQ(i.target != nullptr, !i.refusal);
-    return std::string(name_of(i.refusal.reason));
+    EXPECT_EQ(decision.target != nullptr, !decision.refusal);
+    return std::string(name_of(decision.refusal.reason));
   }
 };
 
-TEST(Uptane, BothRepositoriesMustSayTheSame) {
-  Repositories r;
-  const std::string good = with_custom(r.image, "brake.img", custom("", "hw-a", 4));
+TEST(Uptane, BothRepositoriesMustAgree) {
+  Repositories repositories;
+  const std::string good = with_custom(repositories.image, "brake.img", custom("", "hw-a", 4));
   const auto director = [&](const std::string& ecu, const std::string& hardware, std::int64_t release) {
-    return with_custom(r.director, "brake.img", custom(ecu, hardware, release));
+    return with_custom(repositories.director, "brake.img", custom(ecu, hardware, release));
   };
-  EXPECT_EQ(r.install(director("ecu-1", "hw-a", 4), good), "none");
-  EXPECT_EQ(r.install(director("ecu-2", "hw-a", 4), good), "ecu");
-  EXPECT_EQ(r.install(director("ecu-1", "hw-b", 4), good), "ecu");
-  EXPECT_EQ(r.install(director("ecu-1", "hw-a", 2), good), "rollback");
-  EXPECT_EQ(r.install(director("ecu-1", "hw-a", 5), good), "disagreement");
-  EXPECT_EQ(r.install(director("ecu-1", "hw-a", 4), with_custom(r.image, "brake.img", custom("", "hw-b", 4))),
+  EXPECT_EQ(repositories.install(director("ecu-1", "hw-a", 4), good), "none");
+  EXPECT_EQ(repositories.install(director("ecu-2", "hw-a", 4), good), "ecu");
+  EXPECT_EQ(repositories.install(director("ecu-1", "hw-b", 4), good), "ecu");
+  EXPECT_EQ(repositories.install(director("ecu-1", "hw-a", 2), good), "rollback");
+  EXPECT_EQ(repositories.install(director("ecu-1", "hw-a", 5), good), "disagreement");
+  EXPECT_EQ(repositories.install(director("ecu-1", "hw-a", 4),
+                                 with_custom(repositories.image, "brake.img", custom("", "hw-b", 4))),
             "disagreement");
   Repositories longer;
   longer.image.contents["targets"]["brake.img"] = "brake 4 and more";
@@ -99,118 +96,128 @@
             "unlisted");
 }
 
-TEST(Uptane, ADirectorSpeaksForThisVehicleAlone) {
-  Repositories r;
+TEST(Uptane, ADirectorListsThisVehiclesEcusAlone) {
+  Repositories repositories;
   const auto check = [&](const std::string& bytes, const std::vector<Ecu>& vehicle) {
-    const TrustedMetadata t = trust_of(r.director, bytes);
+    const TrustedMetadata t = trust_of(repositories.director, bytes);
     return std::string(name_of(check_director(*t.targets.at("targets"), vehicle).reason));
   };
-  const std::vector<Ecu> vehicle{r.ecu, {"ecu-2", "hw-b", -1}};
-  EXPECT_EQ(check(with_custom(r.director, "brake.img", custom("ecu-1", "hw-a", 3)), vehicle), "none");
-  EXPECT_EQ(check(with_custom(r.director, "brake.img", custom("ecu-9", "hw-a", 3)), vehicle), "ecu");
-  EXPECT_EQ(check(with_custom(r.director, "brake.img", custom("ecu-2", "hw-a", 3)), vehicle), "ecu");
-  EXPECT_EQ(check(with_custom(r.director, "brake.img", custom("ecu-1", "hw-a", 2)), vehicle), "rollback");
-  EXPECT_EQ(check(with_custom(r.director, "brake.img", custom("ecu-1", "hw-a", 3), "second.img"), vehicle),
+  const std::vector<Ecu> vehicle{repositories.ecu, {"ecu-2", "hw-b", -1}};
+  EXPECT_EQ(check(with_custom(repositories.director, "brake.img", custom("ecu-1", "hw-a", 3)), vehicle),
+            "none");
+  EXPECT_EQ(check(with_custom(repositories.director, "brake.img", custom("ecu-9", "hw-a", 3)), vehicle),
+            "ecu");
+  EXPECT_EQ(check(with_custom(repositories.director, "brake.img", custom("ecu-2", "hw-a", 3)), vehicle),
+            "ecu");
+  EXPECT_EQ(check(with_custom(repositories.director, "brake.img", custom("ecu-1", "hw-a", 2)), vehicle),
+            "rollback");
+  EXPECT_EQ(check(with_custom(repositories.director, "brake.img", custom("ecu-1", "hw-a", 3), "second.img"),
+                  vehicle),
             "ecu");
-  r.director.delegations.push_back(
-      {"targets", "part", {{SigningKey::generate(SigningKey::Kind::kEd25519)}, 1}, {"*"}, {}, false, {}, 1});
-  EXPECT_EQ(check(r.director.targets(), vehicle), "delegation");
+  repositories.director.delegations.push_back({"targets", "part", {{new_key()}, 1}, {"*"}, {}, false, {}, 1});
+  EXPECT_EQ(check(repositories.director.targets(), vehicle), "delegation");
 }
 
 TEST(Uptane, PartialVerificationOfTheDirectorsTargets) {
-  Repositories r;
-  const TrustedMetadata pinned = pin_root(r.director.root()).trust;
-  Targets into;
-  const auto take = [&](const std::string& bytes, std::int64_t held, Instant now = kNow) {
-    return std::string(name_of(verify_partial(*pinned.root, bytes, held, r.ecu, now, into).reason));
+  Repositories repositories;
+  const TrustedMetadata pinned = pin_root(repositories.director.root()).trust;
+  Targets accepted;
+  const auto accept = [&](const std::string& bytes, std::int64_t trusted_version, Instant now = kNow) {
+    return std::string(name_of(
+        verify_partial(*pinned.root, bytes, trusted_version, repositories.ecu, now, accepted).reason));
   };
-  const std::string good = with_custom(r.director, "brake.img", custom("ecu-1", "hw-a", 4));
-  EXPECT_EQ(take(good, 0), "none");
-  EXPECT_EQ(into.targets.size(), 1U);
-  EXPECT_EQ(take(good, 2), "rollback");
-  EXPECT_EQ(take(good, 0, kNow + Span::s(90000)), "expired");
-  EXPECT_EQ(take(r.image.targets(), 0), "threshold");
-  EXPECT_EQ(take(with_custom(r.director, "brake.img", custom("ecu-1", "hw-b", 4)), 0), "ecu");
-  EXPECT_EQ(take(with_custom(r.director, "brake.img", custom("ecu-1", "hw-a", 4), "second.img"), 0), "ecu");
+  const std::string good = with_custom(repositories.director, "brake.img", custom("ecu-1", "hw-a", 4));
+  EXPECT_EQ(accept(good, 0), "none");
+  EXPECT_EQ(accepted.targets.size(), 1U);
+  EXPECT_EQ(accept(good, 2), "rollback");
+  EXPECT_EQ(accept(good, 0, kNow + Span::s(90000)), "expired");
+  EXPECT_EQ(accept(repositories.image.targets(), 0), "threshold");
+  EXPECT_EQ(accept(with_custom(repositories.director, "brake.img", custom("ecu-1", "hw-b", 4)), 0), "ecu");
+  EXPECT_EQ(
+      accept(with_custom(repositories.director, "brake.img", custom("ecu-1", "hw-a", 4), "second.img"), 0),
+      "ecu");
 }
 
-TEST(Uptane, TimeIsBelievedWithOurNonceOnly) {
-  const SigningKey key = SigningKey::generate(SigningKey::Kind::kEcdsa),
-                   stranger = SigningKey::generate(SigningKey::Kind::kEcdsa);
+TEST(Uptane, TimeIsAcceptedWithOurNonceOnly) {
+  const SigningKey key = SigningKey::generate(SigningKey::Kind::kEcdsa);
+  const SigningKey stranger = SigningKey::generate(SigningKey::Kind::kEcdsa);
   Keys keys;
   keys.emplace(key.id(), PublicKey::from_json(key.object()));
   const Role server{{key.id()}, 1};
-  const auto word = [&](const SigningKey& by, const std::string& nonce, Instant when) {
+  const auto attestation = [&](const SigningKey& by, const std::string& nonce, Instant when) {
     return Publisher::sign_envelope(
         json_object({{"nonces", json_list({json_string("x"), json_string(nonce)})},
                      {"time", json_string(format_date(when))}}),
         {by});
   };
-  Instant into;
+  Instant attested;
   const auto check = [&](const std::string& bytes, Instant last = kNow) {
-    return std::string(name_of(verify_time_attestation(server, keys, bytes, "n-1", last, into).reason));
+    return std::string(name_of(verify_time_attestation(server, keys, bytes, "n-1", last, attested).reason));
   };
-  EXPECT_EQ(check(word(key, "n-1", kNow + Span::s(5))), "none");
-  EXPECT_EQ(into, kNow + Span::s(5));
-  EXPECT_EQ(check(word(key, "n-0", kNow + Span::s(5))), "time");
-  EXPECT_EQ(check(word(key, "n-1", kNow - Span::s(5))), "time");
-  EXPECT_EQ(check(word(stranger, "n-1", kNow + Span::s(5))), "threshold");
+  EXPECT_EQ(check(attestation(key, "n-1", kNow + Span::s(5))), "none");
+  EXPECT_EQ(attested, kNow + Span::s(5));
+  EXPECT_EQ(check(attestation(key, "n-0", kNow + Span::s(5))), "time");
+  EXPECT_EQ(check(attestation(key, "n-1", kNow - Span::s(5))), "time");
+  EXPECT_EQ(check(attestation(stranger, "n-1", kNow + Span::s(5))), "threshold");
   EXPECT_EQ(check("{}"), "time");
 }
 
-TEST(Uptane, AVehiclesManifestCountsWholeOrNotAtAll) {
-  const SigningKey primary = SigningKey::generate(SigningKey::Kind::kEd25519),
-                   second = SigningKey::generate(SigningKey::Kind::kEd25519);
-  VehicleRecord fleet;
-  fleet.vin = "vin-1", fleet.primary = "p";
-  for (const auto& [name, key] : {std::pair{"p", &primary}, std::pair{"s", &second}}) {
-    fleet.keys.emplace(key->id(), PublicKey::from_json(key->object()));
-    fleet.ecus[name] = {{key->id()}, 1};
-  }
-  const auto part = [](const std::string& serial, std::int64_t counter, const SigningKey& by) {
-    return *[&] {
-      std::string problem;
-      return parse_json(
-          Publisher::sign_envelope(
-              json_object({{"ecu_serial", json_string(serial)},
-                           {"counter", json_number(counter)},
-                           {"installed_image",
-                            json_object({{"filepath", json_string("a.img")},
-                                         {"fileinfo",
-                                          json_object({{"length", json_number(1)},
-                                                       {"hashes",
-                                                        json_object({{"sha256", json_string("ab")}})}})}})}}),
-              {by}),
-          {}, problem);
-    }();
+// An ECU's signed report.
+JsonNode report(const std::string& serial, std::int64_t counter, const SigningKey& key) {
+  const JsonNode hashes = json_object({{"sha256", json_string("ab")}});
+  const JsonNode info = json_object({{"length", json_number(1)}, {"hashes", hashes}});
+  const JsonNode image = json_object({{"filepath", json_string("a.img")}, {"fileinfo", info}});
+  const JsonNode signed_part = json_object(
+      {{"ecu_serial", json_string(serial)}, {"counter", json_number(counter)}, {"installed_image", image}});
+  std::string problem;
+  return *parse_json(Publisher::sign_envelope(signed_part, {key}), {}, problem);
+}
+
+TEST(Uptane, AVehicleManifestIsAcceptedCompletelyOrNotAtAll) {
+  const SigningKey primary = new_key();
+  const SigningKey second = new_key();
+  VehicleRecord vehicle;
+  vehicle.vin = "vin-1";
+  vehicle.primary = "p";
+  const auto add_ecu = [&](const std::string& serial, const SigningKey& key) {
+    vehicle.keys.emplace(key.id(), PublicKey::from_json(key.object()));
+    vehicle.ecus[serial] = {{key.id()}, 1};
   };
-  const auto manifest = [&](const std::string& vin, std::vector<JsonMember> parts, const SigningKey& by) {
+  add_ecu("p", primary);
+  add_ecu("s", second);
+  const auto manifest = [&](const std::string& vin, std::vector<JsonMember> reports, const SigningKey& by) {
     return Publisher::sign_envelope(json_object({{"vin", json_string(vin)},
                                                  {"primary_ecu_serial", json_string("p")},
-                                                 {"ecu_version_manifests", json_object(std::move(parts))}}),
+                                                 {"ecu_version_manifests", json_object(std::move(reports))}}),
                                     {by});
   };
-  std::vector<EcuReport> into;
-  const auto take = [&](const std::string& bytes) {
-    return std::string(name_of(accept_vehicle_manifest(fleet, bytes, into).reason));
+  std::vector<EcuReport> reports;
+  const auto accept = [&](const std::string& bytes) {
+    return std::string(name_of(accept_vehicle_manifest(vehicle, bytes, reports).reason));
   };
-  EXPECT_EQ(take(manifest("vin-1", {{"p", part("p", 1, primary)}, {"s", part("s", 1, second)}}, primary)),
-            "none");
-  EXPECT_EQ(into.size(), 2U);
-  EXPECT_EQ(take(manifest("vin-1", {{"p", part("p", 2, primary)}, {"s", part("s", 1, second)}}, primary)),
-            "manifest");  // replayed
-  EXPECT_EQ(fleet.last_counters.at("p"), 1);
-  EXPECT_EQ(take(manifest("vin-1", {{"p", part("p", 2, primary)}, {"s", part("s", 2, primary)}}, primary)),
-            "threshold");
-  EXPECT_EQ(take(manifest("vin-1", {{"p", part("p", 2, primary)}, {"s", part("p", 2, second)}}, primary)),
-            "ecu");
-  EXPECT_EQ(take(manifest("vin-1", {{"p", part("p", 2, primary)}, {"x", part("x", 2, second)}}, primary)),
-            "ecu");
-  EXPECT_EQ(take(manifest("vin-2", {{"p", part("p", 2, primary)}}, primary)), "manifest");
-  EXPECT_EQ(take(manifest("vin-1", {{"p", part("p", 2, primary)}}, second)), "threshold");
-  EXPECT_EQ(take(manifest("vin-1", {{"s", part("s", 2, second)}}, primary)), "manifest");
-  EXPECT_EQ(take(manifest("vin-1", {{"p", part("p", 2, primary)}, {"s", part("s", 2, second)}}, primary)),
-            "none");
+  EXPECT_EQ(
+      accept(manifest("vin-1", {{"p", report("p", 1, primary)}, {"s", report("s", 1, second)}}, primary)),
+      "none");
+  EXPECT_EQ(reports.size(), 2U);
+  EXPECT_EQ(
+      accept(manifest("vin-1", {{"p", report("p", 2, primary)}, {"s", report("s", 1, second)}}, primary)),
+      "manifest");  // replayed
+  EXPECT_EQ(vehicle.last_counters.at("p"), 1);
+  EXPECT_EQ(
+      accept(manifest("vin-1", {{"p", report("p", 2, primary)}, {"s", report("s", 2, primary)}}, primary)),
+      "threshold");
+  EXPECT_EQ(
+      accept(manifest("vin-1", {{"p", report("p", 2, primary)}, {"s", report("p", 2, second)}}, primary)),
+      "ecu");
+  EXPECT_EQ(
+      accept(manifest("vin-1", {{"p", report("p", 2, primary)}, {"x", report("x", 2, second)}}, primary)),
+      "ecu");
+  EXPECT_EQ(accept(manifest("vin-2", {{"p", report("p", 2, primary)}}, primary)), "manifest");
+  EXPECT_EQ(accept(manifest("vin-1", {{"p", report("p", 2, primary)}}, second)), "threshold");
+  EXPECT_EQ(accept(manifest("vin-1", {{"s", report("s", 2, second)}}, primary)), "manifest");
+  EXPECT_EQ(
+      accept(manifest("vin-1", {{"p", report("p", 2, primary)}, {"s", report("s", 2, second)}}, primary)),
+      "none");
 }
 
 }  // namespace
