--- /dev/null
+++ b/proofs/corrupted_metadata.hpp
@@ -0,0 +1,77 @@
+// Files of each role, corrupted in one place: none may be accepted.
+#pragma once
+#include <cstdint>
+#include <string>
+
+#include "base/pcg.hpp"
+#include "figures.hpp"
+#include "metadata/publisher.hpp"
+#include "metadata/trusted_metadata.hpp"
+
+namespace ashbeam::metadata {
+
+// Changes one place in a file; may leave it as it was.
+inline void corrupt(std::string& bytes, Pcg& random) {
+  const std::size_t at = random.below(static_cast<std::uint32_t>(bytes.size()));
+  switch (random.below(6)) {
+    case 0:
+      bytes[at] = static_cast<char>(bytes[at] ^ (1 << random.below(8)));
+      break;
+    case 1:
+      bytes.resize(at);
+      break;
+    case 2:
+      bytes.insert(at, 1, static_cast<char>(random.below(256)));
+      break;
+    case 3:
+      bytes.erase(at, 1 + random.below(8));
+      break;
+    case 4:
+      bytes += bytes.substr(at);
+      break;
+    default:
+      bytes.replace(at, 1, std::to_string(random.below(100)));
+      break;
+  }
+}
+
+inline bool same_signed_part(const std::string& a, const std::string& b) {
+  std::string problem;
+  const auto first = parse_json(a, {}, problem);
+  const auto second = parse_json(b, {}, problem);
+  return first && second && first->find("signed")->canonical() == second->find("signed")->canonical();
+}
+
+// No corrupted file may be accepted, but for changes outside of what is signed.
+inline void check_corrupted_files(Proof& proof, std::uint64_t tries) {
+  const Instant now = Instant::at_us(1'800'000'000'000'000);
+  Publisher publisher(now + Span::s(86400));
+  publisher.list_hashes = false;  // or the listed hash would catch most of it before the signature does
+  publisher.contents["targets"]["app"] = "1";
+  const std::string timestamp = publisher.timestamp();
+  const std::string snapshot = publisher.snapshot();
+  const std::string targets = publisher.targets();
+  const TrustedMetadata with_root = pin_root(publisher.root()).trust;
+  const TrustedMetadata with_timestamp = update_timestamp(with_root, timestamp, now).trust;
+  const TrustedMetadata with_snapshot = update_snapshot(with_timestamp, snapshot, now).trust;
+  Pcg random(proof.seed);
+  std::uint64_t accepted = 0;
+  std::uint64_t harmless = 0;
+  for (std::uint64_t i = 0; i < tries; ++i) {
+    const unsigned role = random.below(3);
+    const std::string& file = role == 0 ? timestamp : role == 1 ? snapshot : targets;
+    std::string bytes = file;
+    corrupt(bytes, random);
+    if (bytes == file) continue;
+    const TrustUpdate update = role == 0   ? update_timestamp(with_root, bytes, now)
+                               : role == 1 ? update_snapshot(with_timestamp, bytes, now)
+                                           : update_targets(with_snapshot, bytes, now);
+    if (update.refusal) continue;
+    ++(same_signed_part(bytes, file) ? harmless : accepted);
+  }
+  proof.figure("core_files_spoilt", static_cast<double>(tries));
+  proof.figure("core_harmless_changes", static_cast<double>(harmless));
+  proof.at_most("core_spoilt_taken", static_cast<double>(accepted), 0);
+}
+
+}  // namespace ashbeam::metadata
--- a/proofs/metadata.cpp
+++ b/proofs/metadata.cpp
@@ -1,25 +1,24 @@
-// Update metadata in flight: a repository that publishes all along, hosts that take in each version at their
-// own pace, and then hosts that lie, through one router to clients that follow TUF's workflow themselves.
-// Before that, spoilt files in great number on the core alone.
+// Fault test of update metadata: a repository that publishes all the time, endpoints that take in each
+// version at their own pace and then serve bad files, and one router to clients that follow TUF's workflow
+// themselves. Before that, corrupted files in great number, given to the client's workflow alone.
 #include <unistd.h>
 
 #include <atomic>
 #include <csignal>
-#include <map>
 #include <memory>
-#include <set>
 #include <string>
 #include <thread>
 #include <vector>
 
+#include "corrupted_metadata.hpp"
 #include "fakes/client.hpp"
 #include "fakes/discovery.hpp"
 #include "fakes/endpoint.hpp"
 #include "fakes/release_platform.hpp"
 #include "figures.hpp"
 #include "metadata/metadata_verifier.hpp"
-#include "metadata/publisher.hpp"
 #include "program/environment.hpp"
+#include "replicated_repository.hpp"
 
 namespace ashbeam {
 namespace {
@@ -37,71 +36,27 @@
   "rules":{"drainGraceMs":500,"fallMs":400,"fallMultiple":2,"startCapacity":0.5,"warmAfterMs":800},
   "stats":{"how":"off"},"tickMs":5,"zone":0,"zones":["one"]}})";
 
-constexpr unsigned kHosts = 6, kClients = 24;
+constexpr unsigned kEndpoints = 6;
+constexpr unsigned kBadEndpoints = 2;
+constexpr unsigned kClients = 24;
 constexpr Span kLag = Span::s(2);
 const std::string kPrefix = "/look/u/";
 
-// ---- The core alone ----
-
-// Each role's file, spoilt in one of several ways: none may be taken, whatever the way.
-void core(Proof& proof, std::uint64_t tries) {
-  const Instant now = Instant::at_us(1'800'000'000'000'000);
-  Publisher p(now + Span::s(86400));
-  p.list_hashes = false;  // or the hash above would meet most of it before the signature does
-  p.contents["targets"]["app"] = "1";
-  TrustedMetadata before = pin_root(p.root()).trust;
-  const TrustedMetadata pinned = before;
-  const std::string files[] = {p.timestamp(), p.snapshot(), p.targets()};
-  const TrustedMetadata at[] = {
-      pinned, update_timestamp(pinned, files[0], now).trust,
-      update_snapshot(update_timestamp(pinned, files[0], now).trust, files[1], now).trust};
-  Pcg chance(proof.seed);
-  std::uint64_t taken = 0, harmless = 0;
-  for (std::uint64_t i = 0; i < tries; ++i) {
-    const unsigned which = chance.below(3);
-    std::string bytes = files[which];
-    const std::size_t where = chance.below(static_cast<std::uint32_t>(bytes.size()));
-    switch (chance.below(6)) {
-      case 0:
-        bytes[where] = static_cast<char>(bytes[where] ^ (1 << chance.below(8)));
-        break;
-      case 1:
-        bytes.resize(where);
-        break;
-      case 2:
-        bytes.insert(where, 1, static_cast<char>(chance.below(256)));
-        break;
-      case 3:
-        bytes.erase(where, 1 + chance.below(8));
-        break;
-      case 4:
-        bytes += bytes.substr(where);
-        break;
-      default:
-        bytes.replace(where, 1, std::to_string(chance.below(100)));
-        break;
-    }
-    if (bytes == files[which]) continue;
-    const TrustUpdate s = which == 0   ? update_timestamp(at[0], bytes, now)
-                          : which == 1 ? update_snapshot(at[1], bytes, now)
-                                       : update_targets(at[2], bytes, now);
-    if (s.refusal) continue;
-    // What is outside the signed part may change: only that it says the same counts.
-    std::string problem;
-    const auto a = parse_json(bytes, {}, problem), b = parse_json(files[which], {}, problem);
-    const bool same = a && b && a->find("signed")->canonical() == b->find("signed")->canonical();
-    ++(same ? harmless : taken);
-  }
-  proof.figure("core_files_spoilt", static_cast<double>(tries));
-  proof.figure("core_harmless_changes", static_cast<double>(harmless));
-  proof.at_most("core_spoilt_taken", static_cast<double>(taken), 0);
-}
-
-// ---- On sockets ----
+// ---- Through a router ----
 
 struct Counts {
-  std::uint64_t asked = 0, good = 0, bad_served = 0, refused_calm = 0, refused_lying = 0, refused_lag = 0,
-                missing = 0, twice = 0, updates = 0, lies = 0, published = 0, roots = 0;
+  std::uint64_t requests = 0;
+  std::uint64_t accepted_files = 0;
+  std::uint64_t updates = 0;       // complete ones
+  std::uint64_t bad_served = 0;    // files that the router passed and the client refused
+  std::uint64_t refused_good = 0;  // by the router, before any endpoint serves bad files
+  std::uint64_t refused_while_bad = 0;
+  std::uint64_t refused_rollback = 0;  // endpoints lag: all that were tried had an older timestamp
+  std::uint64_t missing_answers = 0;
+  std::uint64_t repeated_answers = 0;
+  std::uint64_t bad_files = 0;  // served by endpoints
+  std::uint64_t published = 0;  // versions after the first
+  std::uint64_t new_roots = 0;
 };
 
 class Running {
@@ -144,235 +99,259 @@
   std::thread thread_;
 };
 
-class Field {
+enum class UpdateStep { kRoot, kTimestamp, kSnapshot, kTargets };
+
+std::string file_name(UpdateStep step, const TrustedMetadata& trust) {
+  switch (step) {
+    case UpdateStep::kRoot:
+      return std::to_string(trust.root->version + 1) + ".root.json";
+    case UpdateStep::kTimestamp:
+      return "timestamp.json";
+    case UpdateStep::kSnapshot:
+      return std::to_string(trust.timestamp->snapshot.version) + ".snapshot.json";
+    case UpdateStep::kTargets:
+      return std::to_string(trust.snapshot->meta.at("targets.json").version) + ".targets.json";
+  }
+  return "";
+}
+
+TrustUpdate update_with(UpdateStep step, const TrustedMetadata& trust, const std::string& bytes,
+                        Instant now) {
+  switch (step) {
+    case UpdateStep::kRoot:
+      return update_root(trust, bytes);
+    case UpdateStep::kTimestamp:
+      return update_timestamp(trust, bytes, now);
+    case UpdateStep::kSnapshot:
+      return update_snapshot(trust, bytes, now);
+    case UpdateStep::kTargets:
+      return update_targets(trust, bytes, now);
+  }
+  return {};
+}
+
+// Roots are fetched until there is none.
+UpdateStep next_step(UpdateStep step) {
+  switch (step) {
+    case UpdateStep::kTimestamp:
+      return UpdateStep::kSnapshot;
+    case UpdateStep::kSnapshot:
+      return UpdateStep::kTargets;
+    default:
+      return UpdateStep::kRoot;
+  }
+}
+
+class FaultTest {
  public:
-  explicit Field(Proof& proof)
-      : proof_(proof), chance_(proof.seed), repository_(loop_.now() + Span::s(86400)),
+  explicit FaultTest(Proof& proof)
+      : proof_(proof), random_(proof.seed), repository_(loop_.now() + Span::s(86400), kEndpoints),
         discovery_(loop_, limits_),
-        desk_(loop_, limits_, {0.2, 1.0}, [](const fakes::ReleasePlatform::State&) {}),
+        release_platform_(loop_, limits_, {0.2, 1.0}, [](const fakes::ReleasePlatform::State&) {}),
         publish_(loop_, [this] { publish(); }), end_(loop_, [this] { loop_.stop(); }) {
-    repository_.contents["targets"]["app"] = "0";
-    first_root_ = repository_.root();
-    versions_.push_back(repository_.files());
-    for (unsigned i = 0; i < kHosts; ++i) {
-      held_.push_back(0);
-      hosts_.push_back(std::make_unique<fakes::Endpoint>(
+    for (unsigned i = 0; i < kEndpoints; ++i) {
+      endpoints_.push_back(std::make_unique<fakes::Endpoint>(
           loop_, limits_, [this, i](const http::Head& head, const std::string&) { return serve(i, head); }));
-      discovery_.put({"h" + std::to_string(i), hosts_.back()->address(), "up", 1, Instant()});
+      discovery_.put({"h" + std::to_string(i), endpoints_.back()->address(), "up", 1, Instant()});
     }
-    router_ = std::make_unique<Running>(Site{"proof", "127.0.0.1:0", discovery_.address(), desk_.address(), 7,
-                                             discovery_.list(), desk_.news()},
-                                        first_root_);
+    router_ = std::make_unique<Running>(
+        Site{"proof", "127.0.0.1:0", discovery_.address(), release_platform_.address(), 7, discovery_.list(),
+             release_platform_.news()},
+        repository_.first_root());
   }
 
-  Counts& run() {
+  const Counts& run() {
     begin_ = loop_.now();
     for (unsigned i = 0; i < kClients; ++i) {
-      auto c = std::make_unique<One>(*this, i);
-      c->trust = pin_root(first_root_).trust;
-      c->timer.in(Span::ms(20 + 7 * i));
-      all_.push_back(std::move(c));
+      clients_.push_back(std::make_unique<UpdatingClient>(*this));
+      clients_.back()->timer.in(Span::ms(20 + 7 * i));
     }
     publish_.in(Span::ms(700));
     end_.in(Span::s(proof_.seconds));
     loop_.run();
-    for (auto& c : all_) {
-      counts_.twice += c->client->stray();
-      if (c->client->busy() && loop_.now() - c->asked_at > Span::s(3)) ++counts_.missing;
+    for (const auto& client : clients_) {
+      counts_.repeated_answers += client->connection.stray();
+      const bool overdue = client->connection.busy() && loop_.now() - client->requested_at > Span::s(3);
+      if (overdue) ++counts_.missing_answers;
     }
+    counts_.published = repository_.published();
+    counts_.new_roots = repository_.new_roots();
     return counts_;
   }
 
  private:
-  struct One {
-    One(Field& field, unsigned i)
-        : client(std::make_unique<fakes::Client>(field.loop_, field.limits_, field.router_->address())),
-          number(i), timer(field.loop_, [this, &field] { field.next(*this); }) {}
-    std::unique_ptr<fakes::Client> client;
-    unsigned number, step = 0;  // root, timestamp, snapshot, targets
+  // Follows TUF's workflow over and over.
+  struct UpdatingClient {
+    explicit UpdatingClient(FaultTest& test)
+        : connection(test.loop_, test.limits_, test.router_->address()),
+          trust(pin_root(test.repository_.first_root()).trust),
+          timer(test.loop_, [this, &test] { test.request_next(*this); }) {}
+    fakes::Client connection;
+    UpdateStep step = UpdateStep::kRoot;
     TrustedMetadata trust;
-    Instant asked_at;
-    bool again = false;
+    Instant requested_at;
+    bool retried = false;
     std::string file;
     Timer timer;
   };
 
-  bool lying() const { return (loop_.now() - begin_).s() > proof_.seconds / 2; }
+  // ---- Repository and endpoints ----
+
+  bool serves_bad_files() const { return (loop_.now() - begin_).s() > proof_.seconds / 2; }
 
-  // Every fifth version turns the root, now with other timestamp keys, now with its own.
   void publish() {
-    publish_.in(Span::ms(600 + chance_.below(300)));
-    ++repository_.versions["targets"], ++repository_.versions["snapshot"],
-        ++repository_.versions["timestamp"];
-    repository_.contents["targets"]["app"] = std::to_string(++counts_.published);
-    const auto old = repository_.roles["root"];
-    const bool turn = counts_.published % 5 == 0;
-    if (turn) {
-      auto& keys = repository_.roles[counts_.published % 10 == 0 ? "timestamp" : "root"].keys;
-      keys = {SigningKey::generate(SigningKey::Kind::kEd25519)};
-      ++repository_.versions["root"];
-      ++counts_.roots;
-    }
-    auto files = repository_.files();
-    if (turn) files[std::to_string(repository_.versions["root"]) + ".root.json"] = repository_.root(&old);
-    // A consistent snapshot: a host that holds this version holds the older ones' files, too.
-    for (const auto& [name, bytes] : versions_.back()) {
-      if (name != "timestamp.json") files.emplace(name, bytes);
-    }
-    versions_.push_back(std::move(files));
-    if (versions_.size() > 4000) publish_.off();
-    // Hosts follow within a part of the lag; files that a newer timestamp needs are there before it.
-    for (unsigned i = 0; i < kHosts; ++i) {
-      const std::size_t at = versions_.size() - 1;
-      auto later = std::make_shared<Timer>(loop_, [this, i, at] { held_[i] = std::max(held_[i], at); });
-      later->in(Span::ms(chance_.below(400)));
-      following_.push_back(later);
-    }
-    if (following_.size() > 200) following_.erase(following_.begin(), following_.begin() + 100);
+    constexpr std::size_t kMaxVersions = 4000;
+    publish_.in(Span::ms(600 + random_.below(300)));
+    repository_.publish();
+    if (repository_.published() + 1 > kMaxVersions) publish_.off();
+    replicate(repository_.published());
   }
 
-  fakes::Served serve(unsigned host, const http::Head& head) {
-    fakes::Served s;
-    s.takes = Span::ms(2 + chance_.below(4));
-    const std::string path(head.word(1)), name = path.substr(kPrefix.size());
-    // Under consistent snapshots a host may hold what its timestamp does not name yet.
-    const auto& files = name == "timestamp.json" ? versions_[held_[host]] : versions_.back();
-    const auto at = files.find(name);
-    if (at == files.end()) {
-      s.status = 404;
-      return s;
+  // Endpoints take in a version within a part of the lag.
+  void replicate(std::size_t version) {
+    for (unsigned i = 0; i < kEndpoints; ++i) {
+      auto timer = std::make_shared<Timer>(loop_, [this, i, version] { repository_.replicate(i, version); });
+      timer->in(Span::ms(random_.below(400)));
+      replications_.push_back(timer);
     }
-    s.body = at->second;
-    if (!lying() || host >= 2 || chance_.below(2) == 0) return s;
-    ++counts_.lies;
-    switch (chance_.below(5)) {
-      case 0:
-        s.body.resize(s.body.size() / 2);
-        break;
-      case 1: {
-        const std::size_t digit = s.body.find("\"version\":") + 10;
-        s.body[digit] = s.body[digit] == '9' ? '8' : static_cast<char>(s.body[digit] + 1);
-        break;
-      }
-      case 2:
-        s.body = name == "timestamp.json" ? versions_[0].at(name) : s.body + " {}";
-        break;
-      case 3:
-        s.body = Publisher(loop_.now() + Span::s(900)).timestamp();
-        break;
-      default:
-        s.body = versions_[versions_.size() / 2].at("timestamp.json");
-        if (name == "timestamp.json" && versions_.size() < 12) s.body = "{}";
-        break;
+    if (replications_.size() > 200) replications_.erase(replications_.begin(), replications_.begin() + 100);
+  }
+
+  fakes::Served serve(unsigned endpoint, const http::Head& head) {
+    fakes::Served answer;
+    answer.takes = Span::ms(2 + random_.below(4));
+    const std::string path(head.word(1));
+    const std::string name = path.substr(kPrefix.size());
+    const std::string* const file = repository_.find(endpoint, name);
+    if (!file) {
+      answer.status = 404;
+      return answer;
     }
-    return s;
+    answer.body = *file;
+    if (!serves_bad_files() || endpoint >= kBadEndpoints || random_.below(2) == 0) return answer;
+    ++counts_.bad_files;
+    repository_.spoil(name, answer.body, loop_.now(), random_);
+    return answer;
   }
 
-  void next(One& c) {
-    if (c.client->busy()) return c.timer.in(Span::ms(20));
-    c.file = c.step == 0   ? std::to_string(c.trust.root->version + 1) + ".root.json"
-             : c.step == 1 ? "timestamp.json"
-             : c.step == 2
-                 ? std::to_string(c.trust.timestamp->snapshot.version) + ".snapshot.json"
-                 : std::to_string(c.trust.snapshot->meta.at("targets.json").version) + ".targets.json";
-    c.asked_at = loop_.now();
-    c.again = false;
-    ++counts_.asked;
-    send(c);
+  // ---- Clients ----
+
+  void request_next(UpdatingClient& client) {
+    if (client.connection.busy()) return client.timer.in(Span::ms(20));
+    client.file = file_name(client.step, client.trust);
+    client.requested_at = loop_.now();
+    client.retried = false;
+    ++counts_.requests;
+    send(client);
   }
-  void send(One& c) {
-    c.client->ask("GET " + kPrefix + c.file + " HTTP/1.1\r\nHost: p\r\nX-Correlation-Id: m" +
-                      std::to_string(++ids_) + "\r\nX-Time-Left-Ms: 1500\r\n\r\n",
-                  [this, &c](const fakes::Client::Answer& a) { answered(c, a); });
+
+  void send(UpdatingClient& client) {
+    client.connection.ask(
+        "GET " + kPrefix + client.file + " HTTP/1.1\r\nHost: p\r\nX-Correlation-Id: m" +
+            std::to_string(++last_request_) + "\r\nX-Time-Left-Ms: 1500\r\n\r\n",
+        [this, &client](const fakes::Client::Answer& answer) { on_answer(client, answer); });
   }
 
-  void answered(One& c, const fakes::Client::Answer& a) {
-    c.timer.in(Span::ms(10 + chance_.below(20)));
-    if (a.status == 0) {
-      if (c.again) return void(++counts_.missing);
-      c.again = true;
-      return send(c);
+  void on_answer(UpdatingClient& client, const fakes::Client::Answer& answer) {
+    client.timer.in(Span::ms(10 + random_.below(20)));
+    if (answer.status == 0) return on_no_answer(client);
+    if (answer.status == 200) return on_file(client, answer.message->raw_body());
+    if (answer.status == 404 && client.step == UpdateStep::kRoot) {
+      client.step = UpdateStep::kTimestamp;
+      return;
     }
-    if (a.status == 404 && c.step == 0) return void(c.step = 1);
-    if (a.status != 200) {
-      // An older timestamp than this client was served is no good file for it: hosts lag, and the ones tried
-      // did.
-      const std::string why(a.message->head().find("X-Refused").value_or(""));
-      if (why.starts_with("rollback")) {
-        ++counts_.refused_lag;
-      } else if (!why.empty() && lying()) {
-        ++counts_.refused_lying;
-      } else if (!why.empty()) {
-        ++counts_.refused_calm;
-        std::printf("# refused %s: %s\n", c.file.c_str(), why.c_str());
-      }
-      c.step = 0;
+    count_refusal(client, std::string(answer.message->head().find("X-Refused").value_or("")));
+    client.step = UpdateStep::kRoot;
+  }
+
+  void on_no_answer(UpdatingClient& client) {
+    if (client.retried) {
+      ++counts_.missing_answers;
       return;
     }
-    const std::string bytes = a.message->raw_body();
-    const Instant now = loop_.now();
-    const TrustUpdate s = c.step == 0   ? update_root(c.trust, bytes)
-                          : c.step == 1 ? update_timestamp(c.trust, bytes, now)
-                          : c.step == 2 ? update_snapshot(c.trust, bytes, now)
-                                        : update_targets(c.trust, bytes, now);
-    if (s.refusal) {
-      // Its keys turned between its root and its timestamp: it asks for the root again. No fault of the file.
-      const bool turned = c.step == 1 && s.refusal.reason == RefusalReason::kThreshold;
-      if (!turned) {
-        ++counts_.bad_served;
-        if (counts_.bad_served <= 5) std::printf("# bad %s: %s\n", c.file.c_str(), s.refusal.line().c_str());
-      }
-      c.step = 0;
+    client.retried = true;
+    send(client);
+  }
+
+  void count_refusal(const UpdatingClient& client, const std::string& refusal) {
+    if (refusal.empty()) return;
+    if (refusal.starts_with("rollback")) {
+      ++counts_.refused_rollback;
+    } else if (serves_bad_files()) {
+      ++counts_.refused_while_bad;
+    } else {
+      ++counts_.refused_good;
+      std::printf("# refused %s: %s\n", client.file.c_str(), refusal.c_str());
+    }
+  }
+
+  void on_file(UpdatingClient& client, const std::string& bytes) {
+    TrustUpdate update = update_with(client.step, client.trust, bytes, loop_.now());
+    if (update.refusal) {
+      // Keys that were rotated between the client's root and its timestamp are no fault of the file.
+      const bool rotated =
+          client.step == UpdateStep::kTimestamp && update.refusal.reason == RefusalReason::kThreshold;
+      if (!rotated) count_bad(client, update.refusal);
+      client.step = UpdateStep::kRoot;
       return;
     }
-    c.trust = s.trust;
-    ++counts_.good;
-    if (c.step == 3) ++counts_.updates;
-    c.step = c.step == 0 ? 0 : (c.step + 1) % 4;
+    client.trust = std::move(update.trust);
+    ++counts_.accepted_files;
+    if (client.step == UpdateStep::kTargets) ++counts_.updates;
+    client.step = next_step(client.step);
+  }
+
+  void count_bad(const UpdatingClient& client, const Refusal& refusal) {
+    constexpr std::uint64_t kShown = 5;
+    ++counts_.bad_served;
+    if (counts_.bad_served <= kShown)
+      std::printf("# bad %s: %s\n", client.file.c_str(), refusal.line().c_str());
   }
 
   Proof& proof_;
-  Pcg chance_;
+  Pcg random_;
   EventLoop loop_;
   Limits limits_;
   Counts counts_;
-  Publisher repository_;
-  std::string first_root_;
-  std::vector<std::map<std::string, std::string>> versions_;
-  std::vector<std::size_t> held_;
-  std::vector<std::unique_ptr<fakes::Endpoint>> hosts_;
+  ReplicatedRepository repository_;
+  std::vector<std::unique_ptr<fakes::Endpoint>> endpoints_;
   fakes::Discovery discovery_;
-  fakes::ReleasePlatform desk_;
-  std::vector<std::shared_ptr<Timer>> following_;
+  fakes::ReleasePlatform release_platform_;
+  std::vector<std::shared_ptr<Timer>> replications_;
   std::unique_ptr<Running> router_;
-  std::vector<std::unique_ptr<One>> all_;
+  std::vector<std::unique_ptr<UpdatingClient>> clients_;
   Instant begin_;
-  std::uint64_t ids_ = 0;
-  Timer publish_, end_;
+  std::uint64_t last_request_ = 0;
+  Timer publish_;
+  Timer end_;
 };
 
+void report(Proof& proof, const Counts& counts) {
+  const auto number = [](std::uint64_t count) { return static_cast<double>(count); };
+  proof.figure("asked", number(counts.requests));
+  proof.at_least("good_files", number(counts.accepted_files), 1);
+  proof.at_least("updates", number(counts.updates), 1);
+  proof.figure("published", number(counts.published));
+  proof.figure("roots_turned", number(counts.new_roots));
+  proof.at_least("lies_told", number(counts.bad_files), 1);
+  proof.at_most("bad_served", number(counts.bad_served), 0);
+  proof.at_most("good_refused", number(counts.refused_good), 0);
+  proof.at_most("refused_since_hosts_lag", number(counts.refused_rollback), number(counts.requests) / 50);
+  proof.figure("refused_while_lied_to", number(counts.refused_while_bad));
+  proof.at_most("answers_missing", number(counts.missing_answers), 0);
+  proof.at_most("answers_twice", number(counts.repeated_answers), 0);
+}
+
 int prove(int argc, char** argv) {
   Proof proof("metadata", argc, argv);
   std::signal(SIGPIPE, SIG_IGN);
-  core(proof, proof.seconds >= 20 ? 100'000 : 10'000);
-  Counts c;
+  check_corrupted_files(proof, proof.whole() ? 100'000 : 10'000);
+  Counts counts;
   {
-    Field field(proof);
-    c = field.run();
+    FaultTest test(proof);
+    counts = test.run();
   }
-  proof.figure("asked", static_cast<double>(c.asked));
-  proof.at_least("good_files", static_cast<double>(c.good), 1);
-  proof.at_least("updates", static_cast<double>(c.updates), 1);
-  proof.figure("published", static_cast<double>(c.published));
-  proof.figure("roots_turned", static_cast<double>(c.roots));
-  proof.at_least("lies_told", static_cast<double>(c.lies), 1);
-  proof.at_most("bad_served", static_cast<double>(c.bad_served), 0);
-  proof.at_most("good_refused", static_cast<double>(c.refused_calm), 0);
-  proof.at_most("refused_since_hosts_lag", static_cast<double>(c.refused_lag),
-                static_cast<double>(c.asked) / 50);
-  proof.figure("refused_while_lied_to", static_cast<double>(c.refused_lying));
-  proof.at_most("answers_missing", static_cast<double>(c.missing), 0);
-  proof.at_most("answers_twice", static_cast<double>(c.twice), 0);
+  report(proof, counts);
   return proof.verdict();
 }
 
--- /dev/null
+++ b/proofs/replicated_repository.hpp
@@ -0,0 +1,95 @@
+// A repository that publishes version after version, the endpoints that take each of them in at their own
+// pace, and the bad files that some of them serve.
+#pragma once
+#include <algorithm>
+#include <cstddef>
+#include <map>
+#include <string>
+#include <vector>
+
+#include "base/pcg.hpp"
+#include "metadata/publisher.hpp"
+
+namespace ashbeam::metadata {
+
+class ReplicatedRepository {
+ public:
+  ReplicatedRepository(Instant expiry, unsigned endpoints) : publisher_(expiry), held_version_(endpoints) {
+    publisher_.contents["targets"]["app"] = "0";
+    first_root_ = publisher_.root();
+    versions_.push_back(publisher_.files());
+  }
+
+  const std::string& first_root() const { return first_root_; }
+  std::size_t published() const { return versions_.size() - 1; }
+  std::size_t new_roots() const { return new_roots_; }
+
+  // Every fifth version has a new root, in turn with other timestamp keys and with other root keys.
+  void publish() {
+    ++publisher_.versions["targets"];
+    ++publisher_.versions["snapshot"];
+    ++publisher_.versions["timestamp"];
+    const std::size_t number = versions_.size();
+    publisher_.contents["targets"]["app"] = std::to_string(number);
+    const auto former_root = publisher_.roles["root"];
+    const bool new_root = number % 5 == 0;
+    if (new_root) {
+      const std::string role = number % 10 == 0 ? "timestamp" : "root";
+      publisher_.roles[role].keys = {SigningKey::generate(SigningKey::Kind::kEd25519)};
+      ++publisher_.versions["root"];
+      ++new_roots_;
+    }
+    auto files = publisher_.files();
+    if (new_root)
+      files[std::to_string(publisher_.versions["root"]) + ".root.json"] = publisher_.root(&former_root);
+    // A consistent snapshot: an endpoint that holds this version holds the older ones' files, too.
+    for (const auto& [name, bytes] : versions_.back()) {
+      if (name != "timestamp.json") files.emplace(name, bytes);
+    }
+    versions_.push_back(std::move(files));
+  }
+
+  void replicate(unsigned endpoint, std::size_t version) {
+    held_version_[endpoint] = std::max(held_version_[endpoint], version);
+  }
+
+  // What the endpoint has by that name; null: nothing. The files that a newer timestamp leads to are there
+  // before it.
+  const std::string* find(unsigned endpoint, const std::string& name) const {
+    const auto& files = name == "timestamp.json" ? versions_[held_version_[endpoint]] : versions_.back();
+    const auto file = files.find(name);
+    return file == files.end() ? nullptr : &file->second;
+  }
+
+  void spoil(const std::string& name, std::string& body, Instant now, Pcg& random) const {
+    switch (random.below(5)) {
+      case 0:  // truncated
+        body.resize(body.size() / 2);
+        break;
+      case 1: {  // another version, not signed
+        const std::size_t digit = body.find("\"version\":") + 10;
+        body[digit] = body[digit] == '9' ? '8' : static_cast<char>(body[digit] + 1);
+        break;
+      }
+      case 2:  // rolled back, or with bytes behind
+        body = name == "timestamp.json" ? versions_[0].at(name) : body + " {}";
+        break;
+      case 3:  // another publisher's
+        body = Publisher(now + Span::s(900)).timestamp();
+        break;
+      default:  // rolled back, or another role's
+        body = versions_[versions_.size() / 2].at("timestamp.json");
+        if (name == "timestamp.json" && versions_.size() < 12) body = "{}";
+        break;
+    }
+  }
+
+ private:
+  Publisher publisher_;
+  std::string first_root_;
+  std::vector<std::map<std::string, std::string>> versions_;  // files by name
+  std::vector<std::size_t> held_version_;                     // by endpoint, index of versions_
+  std::size_t new_roots_ = 0;
+};
+
+}  // namespace ashbeam::metadata
