--- a/src/base/detail_log.hpp
+++ b/src/base/detail_log.hpp
@@ -13,6 +13,7 @@
 
 namespace ashbeam {
 
+// Each is a bit of its own.
 enum class LogTopic : std::uint8_t { kDiscovery = 1, kRequests = 2 };
 
 class DetailLog {
@@ -21,43 +22,50 @@
   static constexpr std::uint8_t kAllTopics = 3;
   explicit DetailLog(Write write) : write_(std::move(write)) {}
 
-  // `words` is a comma-separated list of "discovery" and "requests", or "all"; other words say nothing.
+  // `words` is a comma-separated list of "discovery" and "requests", or "all"; other words are ignored.
   void enable(std::string_view words) {
-    const auto has = [&](std::string_view word) { return words.find(word) != std::string_view::npos; };
-    on_ = has("all") ? kAllTopics : 0;
-    if (has("discovery")) on_ |= static_cast<std::uint8_t>(LogTopic::kDiscovery);
-    if (has("requests")) on_ |= static_cast<std::uint8_t>(LogTopic::kRequests);
+    const auto contains = [&](std::string_view word) { return words.find(word) != std::string_view::npos; };
+    on_ = contains("all") ? kAllTopics : 0;
+    if (contains("discovery")) on_ |= bit_of(LogTopic::kDiscovery);
+    if (contains("requests")) on_ |= bit_of(LogTopic::kRequests);
   }
+  // Is any topic on?
   bool on() const { return on_ != 0; }
-  bool on(LogTopic topic) const { return (on_ & static_cast<std::uint8_t>(topic)) != 0; }
+  bool on(LogTopic topic) const { return (on_ & bit_of(topic)) != 0; }
 
-  // printf-style; lines past kMostPerSecond are counted, and the count is written once the second is over.
+  // printf-style; a line is cut off at kMaxLineBytes. Lines past kMaxLinesPerSecond are counted, and the
+  // count is written once the second is over.
   template <class... Figures>
   void line(LogTopic topic, Instant now, const char* format, Figures... figures) {
     if (!on(topic) || !admit(now)) return;
-    char text[kLongest];
+    char text[kMaxLineBytes];
     const int length = std::snprintf(text, sizeof text, format, figures...);
-    write_({text, static_cast<std::size_t>(std::clamp(length, 0, kLongest - 1))});
+    write_({text, static_cast<std::size_t>(std::clamp(length, 0, kMaxLineBytes - 1))});
   }
 
  private:
-  static constexpr int kLongest = 320;
-  static constexpr unsigned kMostPerSecond = 2000;
+  static constexpr int kMaxLineBytes = 320;  // with the terminating zero
+  static constexpr unsigned kMaxLinesPerSecond = 2000;
+
+  static constexpr std::uint8_t bit_of(LogTopic topic) { return static_cast<std::uint8_t>(topic); }
 
   bool admit(Instant now) {
-    if (now - second_ >= Span::s(1)) {
+    if (now - second_began_ >= Span::s(1)) {
       if (left_out_ > 0) write_("detail: " + std::to_string(left_out_) + " lines left out");
-      second_ = now;
-      written_ = left_out_ = 0;
+      second_began_ = now;
+      written_ = 0;
+      left_out_ = 0;
     }
-    if (written_ < kMostPerSecond) return ++written_, true;
-    return ++left_out_, false;
+    const bool admitted = written_ < kMaxLinesPerSecond;
+    ++(admitted ? written_ : left_out_);
+    return admitted;
   }
 
   Write write_;
-  std::uint8_t on_ = 0;
-  Instant second_;
-  unsigned written_ = 0, left_out_ = 0;
+  std::uint8_t on_ = 0;  // a bit for each LogTopic
+  Instant second_began_;
+  unsigned written_ = 0;   // in this second
+  unsigned left_out_ = 0;  // in this second
 };
 
 }  // namespace ashbeam
--- a/src/base/time.hpp
+++ b/src/base/time.hpp
@@ -1,4 +1,5 @@
-// Points in time and spans: two types that cannot be mixed up. Both count whole microseconds.
+// Points in time and spans of time: two types that cannot be mixed up. Both count whole microseconds, and
+// fractions of them are cut off, but where a function says otherwise.
 #pragma once
 #include <compare>
 #include <cstdint>
@@ -14,6 +15,7 @@
   constexpr std::int64_t us() const { return us_; }
   constexpr double ms() const { return static_cast<double>(us_) / 1e3; }
   constexpr double s() const { return static_cast<double>(us_) / 1e6; }
+  // NOLINTNEXTLINE(modernize-use-nullptr): a false positive of clang-tidy 14 on defaulted comparisons
   constexpr auto operator<=>(const Span&) const = default;
   friend constexpr Span operator+(Span a, Span b) { return Span(a.us_ + b.us_); }
   friend constexpr Span operator-(Span a, Span b) { return Span(a.us_ - b.us_); }
@@ -33,9 +35,15 @@
  public:
   constexpr Instant() = default;  // the far past: older than any clock reading
   static constexpr Instant at_us(std::int64_t n) { return Instant(n); }
-  static constexpr Instant at_ms(double n) { return Instant(static_cast<std::int64_t>(n * 1e3 + 0.5)); }
+  // Rounded to the nearest microsecond.
+  static constexpr Instant at_ms(double n) {
+    // NOLINTNEXTLINE(bugprone-incorrect-roundings): the values that are handed over must not change
+    return Instant(static_cast<std::int64_t>(n * 1e3 + 0.5));
+  }
+  // Later than any clock reading.
   static constexpr Instant never() { return Instant(INT64_MAX / 4); }
   constexpr std::int64_t us() const { return us_; }
+  // NOLINTNEXTLINE(modernize-use-nullptr): a false positive of clang-tidy 14 on defaulted comparisons
   constexpr auto operator<=>(const Instant&) const = default;
   friend constexpr Instant operator+(Instant a, Span b) { return Instant(a.us_ + b.us()); }
   friend constexpr Instant operator-(Instant a, Span b) { return Instant(a.us_ - b.us()); }
--- a/src/base/wide_pages.hpp
+++ b/src/base/wide_pages.hpp
@@ -1,5 +1,6 @@
-// Memory of large tables: asked for in wide pages, where the machine has them to give. A table that is read
-// at random spends most of its time finding pages otherwise.
+// An allocator for large tables: asks the kernel for huge pages (madvise(2), MADV_HUGEPAGE) where a block is
+// as large as one, since a table that is read at random spends most of its time on TLB misses otherwise.
+// Smaller blocks come from the ordinary heap. Errors: std::bad_alloc.
 #pragma once
 #include <sys/mman.h>
 
@@ -14,20 +15,23 @@
   WidePages() = default;
   template <class U>
   explicit WidePages(const WidePages<U>&) {}
-  T* allocate(std::size_t n) {
-    const std::size_t bytes = n * sizeof(T);
-    if (bytes < kPage) return static_cast<T*>(::operator new(bytes, std::align_val_t(alignof(T))));
-    void* const at = ::operator new(bytes, std::align_val_t(kPage));
-    ::madvise(at, bytes, MADV_HUGEPAGE);  // a wish: what comes of it changes no result
-    return static_cast<T*>(at);
-  }
-  void deallocate(T* at, std::size_t n) {
-    ::operator delete(at, std::align_val_t(n * sizeof(T) < kPage ? alignof(T) : kPage));
+
+  T* allocate(std::size_t count) {
+    const std::size_t bytes = count * sizeof(T);
+    void* const block = ::operator new(bytes, alignment_of(bytes));
+    // A hint: the table works without huge pages as well.
+    if (bytes >= kHugePageBytes) ::madvise(block, bytes, MADV_HUGEPAGE);
+    return static_cast<T*>(block);
   }
+  void deallocate(T* block, std::size_t count) { ::operator delete(block, alignment_of(count * sizeof(T))); }
   bool operator==(const WidePages&) const = default;
 
  private:
-  static constexpr std::size_t kPage = 2 * 1024 * 1024;
+  static constexpr std::size_t kHugePageBytes = std::size_t{2} * 1024 * 1024;
+
+  static constexpr std::align_val_t alignment_of(std::size_t bytes) {
+    return std::align_val_t(bytes < kHugePageBytes ? alignof(T) : kHugePageBytes);
+  }
 };
 
 }  // namespace ashbeam
