--- a/benches/calling.cpp
+++ b/benches/calling.cpp
@@ -206,7 +206,8 @@
   void secure(EventLoop& loop, Service& service) {
     if (kind_ != Kind::kToken) {
       TlsSettings tls;
-      tls.listen = "127.0.0.1:0", tls.clients = TlsSettings::Clients::kOptional, tls.handshake_cpu = 1;
+      tls.listen = "127.0.0.1:0", tls.client_certificates = TlsSettings::ClientCertificates::kOptional,
+      tls.handshake_cpu_per_second = 1;
       const fakes::Identity server = authority_.issue("", "router", Span::s(3600), true);
       service.also_listen(
           tls, std::make_shared<TlsCredentials>(
--- a/proofs/soak_world.hpp
+++ b/proofs/soak_world.hpp
@@ -74,7 +74,7 @@
       std::string_view bytes = connection_.unread();
       const std::size_t had = bytes.size();
       const auto got = requests_.feed(bytes);
-      connection_.take(had - bytes.size());
+      connection_.consume(had - bytes.size());
       if (got != http::Messages::Got::kWhole) return;
       const http::Head& head = requests_.head();
       const std::string id(head.find("X-Correlation-Id").value_or(""));
@@ -185,12 +185,12 @@
     }
     void turn_away() {
       connection_.write("HTTP/1.1 503 X\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
-      connection_.finish_writing();
+      connection_.shutdown_write();
       state_ = State::kSilent;
     }
     void end() {
       if (state_ != State::kStanding) return;
-      connection_.finish_writing();
+      connection_.shutdown_write();
       state_ = State::kSilent;
     }
     void silence() {
--- a/src/fakes/client.cpp
+++ b/src/fakes/client.cpp
@@ -7,9 +7,9 @@
 void Client::ask(const std::string& request, Next next) {
   next_ = std::move(next);
   answers_.next();
-  if (connection_ && !connection_->quiet()) hang_up();  // closed between requests, as a router may
+  if (connection_ && !connection_->is_idle()) hang_up();  // closed between requests, as a router may
   if (!connection_) {
-    Connection::MakeTlsStream veil;
+    Connection::TlsStreamFactory veil;
     if (tls_) veil = [tls = tls_](int fd) { return tls->veil(fd); };
     connection_ = std::make_unique<Connection>(loop_, limits_, *this, address_, std::move(veil));
   }
@@ -27,11 +27,11 @@
   const std::size_t had = bytes.size();
   if (!next_) {
     ++stray_;
-    connection_->take(had);
+    connection_->consume(had);
     return;
   }
   const auto got = answers_.feed(bytes);
-  connection_->take(had - bytes.size());
+  connection_->consume(had - bytes.size());
   if (got == http::Messages::Got::kMore) return;
   if (!bytes.empty()) ++stray_;
   if (got == http::Messages::Got::kBad) {
@@ -43,7 +43,7 @@
 }
 
 void Client::on_closed() {
-  const bool written = !connection_->unwritten();
+  const bool written = !connection_->has_pending_output();
   hang_up();
   if (next_) finish({0, nullptr, written});
 }
--- a/src/fakes/discovery.cpp
+++ b/src/fakes/discovery.cpp
@@ -20,7 +20,7 @@
   void on_data() override {
     const bool whole = connection_.unread().find("\r\n\r\n") != std::string_view::npos;
     if (!whole || asked_) return;
-    connection_.take(connection_.unread().size());
+    connection_.consume(connection_.unread().size());
     asked_ = true;
     connection_.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     tell(discovery_.list());
--- a/src/fakes/endpoint.cpp
+++ b/src/fakes/endpoint.cpp
@@ -17,7 +17,7 @@
     std::string_view bytes = connection_.unread();
     const std::size_t had = bytes.size();
     const auto got = requests_.feed(bytes);
-    connection_.take(had - bytes.size());
+    connection_.consume(had - bytes.size());
     if (got == http::Messages::Got::kMore) return;
     if (got == http::Messages::Got::kBad) return host_.remove(this);
     ++host_.ran_;
--- a/src/fakes/pki.cpp
+++ b/src/fakes/pki.cpp
@@ -9,7 +9,6 @@
 #include <openssl/ssl.h>
 #include <openssl/x509v3.h>
 
-#include <cerrno>
 #include <stdexcept>
 
 #include "tokens/base64url.hpp"
@@ -137,38 +136,38 @@
   // A connection that is cut off would take its session with it; a client on the move is cut off all the
   // time.
   ~ClientVeil() override { SSL_set_shutdown(ssl_.get(), SSL_SENT_SHUTDOWN | SSL_RECEIVED_SHUTDOWN); }
-  Step shake() override {
+  HandshakeStep handshake() override {
     ERR_clear_error();
     const int done = SSL_do_handshake(ssl_.get());
     if (done == 1) {
       tls_.resumed_ = SSL_session_reused(ssl_.get()) == 1;
-      return Step::kDone;
+      return HandshakeStep::kDone;
     }
     const int why = SSL_get_error(ssl_.get(), done);
-    return why == SSL_ERROR_WANT_READ    ? Step::kRead
-           : why == SSL_ERROR_WANT_WRITE ? Step::kWrite
-                                         : Step::kFailed;
+    return why == SSL_ERROR_WANT_READ    ? HandshakeStep::kWantRead
+           : why == SSL_ERROR_WANT_WRITE ? HandshakeStep::kWantWrite
+                                         : HandshakeStep::kFailed;
   }
-  void on_turn(std::function<void()>) override {}
-  std::ptrdiff_t receive(char* to, std::size_t most) override {
+  void set_handshake_resume_callback(std::function<void()>) override {}
+  IoResult receive(char* to, std::size_t most) override {
     ERR_clear_error();
     return told(SSL_read(ssl_.get(), to, static_cast<int>(most)));
   }
-  std::ptrdiff_t send(const char* from, std::size_t size) override {
+  IoResult send(const char* from, std::size_t size) override {
     ERR_clear_error();
     return told(SSL_write(ssl_.get(), from, static_cast<int>(size)));
   }
-  bool holds() const override { return SSL_pending(ssl_.get()) > 0; }
-  void finish() override { SSL_shutdown(ssl_.get()); }
-  PeerProof proof(Instant) override { return {}; }
+  bool has_buffered_bytes() const override { return SSL_pending(ssl_.get()) > 0; }
+  void shutdown() override { SSL_shutdown(ssl_.get()); }
+  PeerProof peer_proof(Instant) override { return {}; }
 
  private:
-  std::ptrdiff_t told(int n) {
-    if (n > 0) return n;
+  IoResult told(int n) {
+    if (n > 0) return IoResult::done(static_cast<std::size_t>(n));
     const int why = SSL_get_error(ssl_.get(), n);
-    if (why == SSL_ERROR_ZERO_RETURN) return 0;
-    errno = why == SSL_ERROR_WANT_READ || why == SSL_ERROR_WANT_WRITE ? EAGAIN : ECONNRESET;
-    return -1;
+    if (why == SSL_ERROR_ZERO_RETURN) return IoResult::ended();
+    const bool waits = why == SSL_ERROR_WANT_READ || why == SSL_ERROR_WANT_WRITE;
+    return waits ? IoResult::would_block() : IoResult::broken();
   }
   ClientTls& tls_;
   std::shared_ptr<SSL_CTX> ctx_;
--- a/src/fakes/release_platform.cpp
+++ b/src/fakes/release_platform.cpp
@@ -16,7 +16,7 @@
  private:
   void on_data() override {
     const std::string bytes(connection_.unread());
-    connection_.take(bytes.size());
+    connection_.consume(bytes.size());
     const bool good = lines_.feed(bytes, [this](std::string_view line) { return call(line); });
     if (!good) on_closed();
   }
--- a/src/program/access_config_loader.cpp
+++ b/src/program/access_config_loader.cpp
@@ -78,7 +78,7 @@
 // A folder on a file system that hangs must not go unnoticed: what is revoked there is not known here.
 void AccessConfigLoader::look() {
   look_.in(std::min(standing_.calling->reread, Span::s(1)));
-  const Span ahead = loop_.wall_ahead(), before = service_.gate()->wall_ahead();
+  const Span ahead = loop_.wall_clock_offset(), before = service_.gate()->wall_ahead();
   if (ahead > before + Span::s(1) || ahead < before - Span::s(1))
     note_("calling: the machine's clock was set by " + std::to_string((ahead - before).us() / 1000) + " ms");
   service_.gate()->wall_ahead(ahead);
@@ -122,7 +122,7 @@
       return note_(
           "operator's file: the old one stands: calling, tls and its listener come and go by a restart");
     standing_ = fresh.operators;
-    if (fresh.tls) service_.tls()->take(*standing_.tls, fresh.tls);
+    if (fresh.tls) service_.tls()->replace_credentials(*standing_.tls, fresh.tls);
     if (!standing_.calling) return note_("operator's file read again");
     service_.gate()->terms(standing_.calling->terms, loop_.now());
     note_("operator's file read again: " + std::to_string(standing_.calling->terms.tenants.size()) +
--- a/src/program/environment.cpp
+++ b/src/program/environment.cpp
@@ -65,7 +65,7 @@
   if (!all->text("discovery").empty()) site.discovery = all->text("discovery");
   for (const auto& [what, at] :
        {std::pair{"release_api.address", site.desk}, {"discovery", site.discovery}}) {
-    if (!at.empty() && !is_address(at))
+    if (!at.empty() && !is_numeric_address(at))
       throw StartError(std::string("configuration: '") + what + "' is no numeric address");
   }
   if (const auto news = desk->member("news")) site.news = news->raw();
--- a/src/program/operators.cpp
+++ b/src/program/operators.cpp
@@ -230,21 +230,21 @@
   TlsSettings read_tls(const Value& v) {
     TlsSettings t;
     t.listen = v["listen"].text;
-    if (!is_address(t.listen) && !t.listen.ends_with(":0"))
+    if (!is_numeric_address(t.listen) && !t.listen.ends_with(":0"))
       wrong(v["listen"], "tls.listen", "a numeric address and port", records::quoted(t.listen));
     t.certificate = file(v["certificate"]), t.key = file(v["key"]);
     t.trust = file(v["trust"]), t.crl = file(v["crl"]), t.revoked = file(v["revoked"]);
     const std::string& clients = v["clients"].text;
-    t.clients = clients == "off"        ? TlsSettings::Clients::kOff
-                : clients == "optional" ? TlsSettings::Clients::kOptional
-                                        : TlsSettings::Clients::kRequired;
-    if (t.clients != TlsSettings::Clients::kOff && t.trust.empty())
+    t.client_certificates = clients == "off"        ? TlsSettings::ClientCertificates::kOff
+                            : clients == "optional" ? TlsSettings::ClientCertificates::kOptional
+                                                    : TlsSettings::ClientCertificates::kRequired;
+    if (t.client_certificates != TlsSettings::ClientCertificates::kOff && t.trust.empty())
       wrong(v["clients"], "tls.trust", "who signs clients' certificates", "nothing");
-    t.only_13 = v["oldest"].text == "1.3";
-    t.handshakes = static_cast<std::size_t>(v["handshakes"].number);
-    t.handshake = v["handshake"].span();
-    t.handshake_cpu = v["handshake_cpu"].number;
-    t.ticket_turn = v["ticket_turn"].span();
+    t.tls13_only = v["oldest"].text == "1.3";
+    t.max_handshakes = static_cast<std::size_t>(v["handshakes"].number);
+    t.handshake_timeout = v["handshake"].span();
+    t.handshake_cpu_per_second = v["handshake_cpu"].number;
+    t.ticket_key_lifetime = v["ticket_turn"].span();
     return t;
   }
 
--- a/src/routing/callers.cpp
+++ b/src/routing/callers.cpp
@@ -28,7 +28,7 @@
     // its hit sent on. What comes after the answer is not served, as the answer says.
     if (at_ == At::kAnswering && connection_.unread().size() >= callers_.limits_.max_unread_bytes) {
       last_ = true;
-      connection_.discard();
+      connection_.discard_input();
     }
     return;
   }
@@ -37,7 +37,7 @@
   const std::size_t had = bytes.size();
   const bool begun = requests_.begun();
   const auto got = requests_.feed(bytes);
-  connection_.take(had - bytes.size());
+  connection_.consume(had - bytes.size());
   if (got == http::Messages::Got::kMore) {
     if (!begun && requests_.begun()) {
       since_ = callers_.loop_.now();
@@ -75,7 +75,7 @@
   bytes.append("\r\n").append(body);
   timer_.in(callers_.limits_.answer_write_timeout);
   connection_.write(bytes);
-  if (!connection_.unwritten()) written();
+  if (!connection_.has_pending_output()) written();
 }
 
 void Caller::on_write_complete() {
@@ -109,9 +109,9 @@
 // Closing with bytes unread would reset the connection, and the answer with it.
 void Caller::linger() {
   at_ = At::kLingering;
-  connection_.finish_writing();
+  connection_.shutdown_write();
   timer_.in(callers_.limits_.lingering_close_timeout);
-  connection_.discard();
+  connection_.discard_input();
 }
 
 void Caller::wait_for_more() {
@@ -138,7 +138,7 @@
   }
   if (at_ == At::kAnswering) return callers_.overdue_(*this);
   if (at_ != At::kReading) return callers_.remove(this);
-  if (!connection_.quiet()) return timer_.in(callers_.limits_.min_idle_before_close);  // it comes
+  if (!connection_.is_idle()) return timer_.in(callers_.limits_.min_idle_before_close);  // it comes
   part();
 }
 
@@ -200,14 +200,14 @@
     else if (kept) spared = limits_.min_idle_before_close;
     if (now - c->since_ < spared) continue;
     const std::pair rank(kept, c->since_);
-    if ((idlest && rank >= first) || (!lingers && !c->connection_.quiet())) continue;
+    if ((idlest && rank >= first) || (!lingers && !c->connection_.is_idle())) continue;
     idlest = c.get();
     first = rank;
   }
   if (!idlest) return false;
   if (idlest->stands()) {  // then nothing else is left that may go
     for (const auto& c : callers_) {
-      if (c->stands() && now - c->since_ >= limits_.min_idle_before_close && c->connection_.quiet())
+      if (c->stands() && now - c->since_ >= limits_.min_idle_before_close && c->connection_.is_idle())
         c->part();
     }
     return false;
@@ -223,7 +223,7 @@
 
 void Callers::remove(Caller* caller) {
   caller->timer_.off();
-  crossed_ += caller->parted_ && caller->connection_.discarded();
+  crossed_ += caller->parted_ && caller->connection_.has_discarded_input();
   caller->connection_.close();
   const std::size_t place = caller->place_;
   std::swap(callers_[place], callers_.back());
@@ -252,7 +252,7 @@
   for (const auto& c : callers_) {
     const bool reads = c->at_ == Caller::At::kReading && !c->requests_.begun();
     const bool waited = c->asked_ || now - c->since_ >= limits_.min_idle_before_close;
-    if ((reads || c->at_ == Caller::At::kPausing) && waited && c->connection_.quiet()) c->part();
+    if ((reads || c->at_ == Caller::At::kPausing) && waited && c->connection_.is_idle()) c->part();
   }
 }
 
--- a/src/routing/callers.hpp
+++ b/src/routing/callers.hpp
@@ -28,7 +28,7 @@
   void answer_by(Instant when) { timer_.at(when); }
   // What the connection's handshake has proven, as things stand now; nothing on a plain one.
   TlsStream::PeerProof proof(Instant now) const {
-    return connection_.veil() ? connection_.veil()->proof(now) : TlsStream::PeerProof();
+    return connection_.tls_stream() ? connection_.tls_stream()->peer_proof(now) : TlsStream::PeerProof();
   }
   void end_after() { last_ = true; }  // the connection ends after the answer to the request at hand
   std::uint32_t hit = UINT32_MAX;     // the owner's mark on the request at hand
--- a/src/routing/discovery.cpp
+++ b/src/routing/discovery.cpp
@@ -144,7 +144,7 @@
                  static_cast<unsigned long long>(bytes_), (loop_.now() - begun_at_).ms());
   if (!in_body_) {
     const auto got = head_.feed(bytes);
-    if (got == http::Head::Got::kMore) return connection_->take(had);
+    if (got == http::Head::Got::kMore) return connection_->consume(had);
     if (got != http::Head::Got::kWhole) return fail("answers no HTTP");
     if (head_.word(1) != "200") return fail("has no answer");
     if (head_.says("Transfer-Encoding", "chunked")) body_.by_chunks();
@@ -155,7 +155,7 @@
   raw_.clear();
   plain_.clear();
   const auto got = body_.feed(bytes, raw_, &plain_);
-  connection_->take(had);
+  connection_->consume(had);
   if (got == http::Body::Got::kBad || got == http::Body::Got::kTooLong) return fail("sends no good chunks");
   const bool good = lines_.feed(plain_, [&](std::string_view text) { return line(text); });
   if (!good) return fail("sends a line that is no list");
@@ -168,7 +168,7 @@
     detail_.line(LogTopic::kDiscovery, loop_.now(),
                  "discovery: call %llu closed: %s, after %.1f ms, %llu bytes, %s", calls_number(), why,
                  (loop_.now() - begun_at_).ms(), static_cast<unsigned long long>(bytes_),
-                 connection_->opening() ? "not connected"
+                 connection_->connecting() ? "not connected"
                  : stands_              ? "watch stood"
                  : in_body_             ? "line begun"
                                         : "no answer");
--- a/src/routing/host_pools.cpp
+++ b/src/routing/host_pools.cpp
@@ -17,9 +17,9 @@
 
   EndpointIndex host() const { return host_; }
   bool waiting() const { return next_ != nullptr; }
-  bool written() const { return !bytes_ && !connection_.unwritten(); }
-  bool usable() const { return connection_.quiet(); }
-  bool holds_unasked() const { return connection_.has_bytes(); }
+  bool written() const { return !bytes_ && !connection_.has_pending_output(); }
+  bool usable() const { return connection_.is_idle(); }
+  bool holds_unasked() const { return connection_.has_input(); }
   Instant idle_since() const { return idle_since_; }
   Instant opened_at() const { return opened_at_; }
   void let_go() { keep_ = false; }
@@ -31,7 +31,7 @@
     next_ = std::move(next);
     until_ = until;
     answers_.next();
-    if (!connection_.opening()) return timer_.at(until), connection_.write(bytes(until));
+    if (!connection_.connecting()) return timer_.at(until), connection_.write(bytes(until));
     bytes_ = std::move(bytes);
     timer_.at(std::min(until, pools_.loop_.now() + pools_.connect_));
   }
@@ -63,7 +63,7 @@
     std::string_view bytes = connection_.unread();
     const std::size_t had = bytes.size();
     const auto got = waiting() ? answers_.feed(bytes) : http::Messages::Got::kBad;
-    connection_.take(had - bytes.size());
+    connection_.consume(had - bytes.size());
     if (got == http::Messages::Got::kMore) return;
     if (!waiting()) {
       pools_.hosts_[host_].unasked_at = pools_.loop_.now();
--- a/src/routing/release_client.cpp
+++ b/src/routing/release_client.cpp
@@ -95,7 +95,7 @@
 
 void ReleaseClient::on_data() {
   const std::string bytes(connection_->unread());
-  connection_->take(bytes.size());
+  connection_->consume(bytes.size());
   const bool good = lines_.feed(bytes, [&](std::string_view text) { return text.empty() || line(text); });
   if (!good) return lost("sends what can't be read");
   end_if_retired();
--- a/src/routing/service.cpp
+++ b/src/routing/service.cpp
@@ -246,7 +246,8 @@
 void Service::also_listen(const TlsSettings& terms, std::shared_ptr<TlsCredentials> material) {
   tls_ = std::make_unique<TlsAcceptor>(loop_, terms, std::move(material), note_);
   callers_.also_listen(
-      terms.listen, [this](int fd) { return tls_->veil(fd); }, [this] { return tls_->handshake(); });
+      terms.listen, [this](int fd) { return tls_->accept(fd); },
+      [this] { return tls_->handshake_timeout(); });
 }
 
 bool Service::known(Caller& caller, const http::Head& head, const TlsStream::PeerProof& proof,
@@ -597,7 +598,8 @@
   const double build = entry.number("release", known.build), started = entry.number("boot_ms", 0);
   const bool fresh = address != known.address || build != known.build || started != known.started;
   if (fresh)
-    known.start = policy::endpoint_start(started, loop_.now(), loop_.wall_ahead(), lease_.confirmed_at());
+    known.start =
+        policy::endpoint_start(started, loop_.now(), loop_.wall_clock_offset(), lease_.confirmed_at());
   const bool gone = state == "removed";
   if (gone && known.listed) known.gone_at = loop_.now();
   if (!gone) known.gone_at = Instant::never();
--- a/src/routing/service.hpp
+++ b/src/routing/service.hpp
@@ -23,7 +23,7 @@
 #include "routing/release_client.hpp"
 #include "terms/terms.hpp"
 #include "transport/event_loop.hpp"
-#include "transport/tls.hpp"
+#include "transport/tls_acceptor.hpp"
 
 namespace ashbeam {
 
--- a/src/store/files.hpp
+++ b/src/store/files.hpp
@@ -1,18 +1,14 @@
 // Files read and written whole. Throws FileError, whose text begins with the path.
 #pragma once
-#include <stdexcept>
 #include <string>
 #include <string_view>
 #include <vector>
 
+#include "base/file_error.hpp"
 #include "tokens/keys.hpp"
 
 namespace ashbeam {
 
-struct FileError : std::runtime_error {
-  FileError(const std::string& path, const std::string& why) : std::runtime_error(path + ": " + why) {}
-};
-
 std::string read_file(const std::string& path, std::size_t most);  // a plain file of at most so many bytes
 // The file is there whole or as it was: written beside it, synced, renamed, the folder synced.
 void write_file(const std::string& path, std::string_view bytes, unsigned mode);
--- a/src/transport/connection.cpp
+++ b/src/transport/connection.cpp
@@ -8,6 +8,7 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
+#include <algorithm>
 #include <cerrno>
 #include <charconv>
 
@@ -15,214 +16,274 @@
 
 namespace {
 
+using Poco::AutoPtr;
 using Poco::NObserver;
 using Poco::Net::ErrorNotification;
 using Poco::Net::ReadableNotification;
 using Poco::Net::WritableNotification;
 
-constexpr int kOpenAttempts = 2;
+constexpr int kMaxConnectAttempts = 2;
+constexpr unsigned kMaxPort = 65535;
 
-class Accepted : public Poco::Net::StreamSocket {  // POCO keeps this constructor for derived classes
+// POCO offers a socket of a given descriptor to derived classes only.
+class AdoptedSocket : public Poco::Net::StreamSocket {
  public:
-  explicit Accepted(int fd) : StreamSocket(new Poco::Net::StreamSocketImpl(fd)) {}
+  explicit AdoptedSocket(int fd) : StreamSocket(new Poco::Net::StreamSocketImpl(fd)) {}
 };
 
-Poco::Net::SocketAddress numeric(const std::string& address) {
+// Throws Poco::InvalidArgumentException where it is not one.
+Poco::Net::SocketAddress parse_numeric_address(const std::string& address) {
   const std::size_t colon = std::min(address.rfind(':'), address.size());
   std::string host = address.substr(0, colon);
-  if (host.size() > 2 && host.front() == '[' && host.back() == ']') host = host.substr(1, host.size() - 2);
+  const bool bracketed = host.size() > 2 && host.front() == '[' && host.back() == ']';
+  if (bracketed) host = host.substr(1, host.size() - 2);
+
   unsigned port = 0;
-  const char* const end = address.data() + address.size();
-  const auto [stop, error] = std::from_chars(address.data() + std::min(colon + 1, address.size()), end, port);
+  const char* const port_begin = address.data() + std::min(colon + 1, address.size());
+  const char* const port_end = address.data() + address.size();
+  const auto [parsed_end, error] = std::from_chars(port_begin, port_end, port);
+  const bool port_valid = error == std::errc() && parsed_end == port_end && port <= kMaxPort;
+
   Poco::Net::IPAddress ip;
-  if (stop != end || error != std::errc() || port > 65535 || !Poco::Net::IPAddress::tryParse(host, ip)) {
+  if (!port_valid || !Poco::Net::IPAddress::tryParse(host, ip))
     throw Poco::InvalidArgumentException("not a numeric address: " + address);
-  }
   return {ip, static_cast<Poco::UInt16>(port)};
 }
 
 }  // namespace
 
-bool is_address(const std::string& address) {
+bool is_numeric_address(const std::string& address) {
   try {
-    return numeric(address).port() > 0;
+    return parse_numeric_address(address).port() > 0;
   } catch (const Poco::Exception&) {
     return false;
   }
 }
 
+// ---- Opening ----
+
 Connection::Connection(EventLoop& loop, const Limits& limits, Owner& owner, const std::string& address,
-                       MakeTlsStream veil)
-    : loop_(loop), limits_(limits), owner_(owner), make_veil_(std::move(veil)) {
+                       TlsStreamFactory make_tls_stream)
+    : loop_(loop), limits_(limits), owner_(owner), make_tls_stream_(std::move(make_tls_stream)) {
   try {
-    open(address);
+    connect(address);
   } catch (const Poco::Exception&) {
     end(Failure::kLocal);
   }
 }
 
-// EINTR goes on by itself, as EINPROGRESS does. What this machine has run out of for a moment is asked for
-// once more at once: it says nothing about the other side, and its owner is told only if that fails as well.
-void Connection::open(const std::string& address) {
-  const Poco::Net::SocketAddress to = numeric(address);
-  int error = 0;
-  for (int attempt = 0; attempt < kOpenAttempts; ++attempt) {
-    const int fd = ::socket(to.af(), SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-    if (fd >= 0 && (::connect(fd, to.addr(), to.length()) == 0 || errno == EINPROGRESS || errno == EINTR)) {
-      socket_ = Accepted(fd);
-      socket_.setNoDelay(true);
-      return watch(false, true);
-    }
-    error = errno;
-    if (fd >= 0) ::close(fd);
-    if (failure_at_once(error) != Failure::kLocal) break;
-  }
-  end(failure_at_once(error));
-}
-
-Connection::Connection(EventLoop& loop, const Limits& limits, Owner& owner, int accepted,
-                       std::unique_ptr<TlsStream> veil)
-    : loop_(loop), limits_(limits), owner_(owner), socket_(Accepted(accepted)),
-      state_(veil ? State::kShaking : State::kOpen), was_open_(!veil), veil_(std::move(veil)) {
+Connection::Connection(EventLoop& loop, const Limits& limits, Owner& owner, int accepted_fd,
+                       std::unique_ptr<TlsStream> tls_stream)
+    : loop_(loop), limits_(limits), owner_(owner), socket_(AdoptedSocket(accepted_fd)),
+      state_(tls_stream ? State::kHandshaking : State::kOpen), was_open_(!tls_stream),
+      tls_stream_(std::move(tls_stream)) {
   socket_.setBlocking(false);
   socket_.setNoDelay(true);
   watch(true, writing_);
-  if (veil_)
-    veil_->on_turn([this] {
-      if (state_ == State::kShaking) shake();
-    });
+  if (!tls_stream_) return;
+  tls_stream_->set_handshake_resume_callback([this] {
+    if (state_ == State::kHandshaking) continue_handshake();
+  });
 }
 
-void Connection::take(std::size_t n) {
-  taken_ += n;
-  if (taken_ == in_.size()) in_.clear(), taken_ = 0;
-  if (state_ != State::kOpen || unread().size() >= limits_.max_unread_bytes) return;
-  if (!reading_) read_held();
-  watch(true, writing_);
+// An interrupted connect(2) goes on by itself, as one in progress does. A failure of this machine, which may
+// be short of something for a moment only, is tried once more at once: it says nothing of the other side.
+void Connection::connect(const std::string& address) {
+  const Poco::Net::SocketAddress remote = parse_numeric_address(address);
+  Failure failure = Failure::kLocal;
+  for (int attempt = 0; attempt < kMaxConnectAttempts && failure == Failure::kLocal; ++attempt) {
+    const int fd = ::socket(remote.af(), SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
+    if (fd >= 0) {
+      const int result = ::connect(fd, remote.addr(), remote.length());
+      if (result == 0 || errno == EINPROGRESS || errno == EINTR) {
+        socket_ = AdoptedSocket(fd);
+        socket_.setNoDelay(true);
+        return watch(false, true);
+      }
+    }
+    failure = failure_at_once(errno);
+    if (fd >= 0) ::close(fd);
+  }
+  end(failure);
 }
 
-// Guards against waiting for a socket whose bytes have been read already, and stand behind the veil.
-void Connection::read_held() {
-  if (!veil_ || !veil_->holds()) return;
-  loop_.post([this, alive = std::weak_ptr<int>(alive_)] {
-    if (!alive.expired() && state_ == State::kOpen && reading_) readable({});
-  });
+void Connection::complete_connect() {
+  int error = 0;
+  socklen_t size = sizeof error;
+  ::getsockopt(fd(), SOL_SOCKET, SO_ERROR, &error, &size);
+  if (error != 0) return end(failure_of_pending(error));
+  if (make_tls_stream_) {
+    tls_stream_ = make_tls_stream_(fd());
+    state_ = State::kHandshaking;
+    watch(true, false);
+    return continue_handshake();
+  }
+  state_ = State::kOpen;
+  was_open_ = true;
+  watch(true, writing_);
+  flush();
+  if (state_ == State::kOpen) owner_.on_connected();
 }
 
-void Connection::shake() {
-  switch (veil_->shake()) {
-    case TlsStream::Step::kRead:
+void Connection::continue_handshake() {
+  switch (tls_stream_->handshake()) {
+    case TlsStream::HandshakeStep::kWantRead:
       return watch(true, false);
-    case TlsStream::Step::kWrite:
+    case TlsStream::HandshakeStep::kWantWrite:
       return watch(true, true);
-    case TlsStream::Step::kLater:
+    case TlsStream::HandshakeStep::kDeferred:
       return watch(false, false);
-    case TlsStream::Step::kFailed:
+    case TlsStream::HandshakeStep::kFailed:
       return end();
-    case TlsStream::Step::kDone:
+    case TlsStream::HandshakeStep::kDone:
       break;
   }
   state_ = State::kOpen;
   was_open_ = true;
   watch(true, false);
   flush();
-  read_held();
+  read_buffered_tls_bytes();
   if (state_ == State::kOpen) owner_.on_connected();
 }
 
+// ---- Reading ----
+
+void Connection::consume(std::size_t bytes) {
+  consumed_ += bytes;
+  if (consumed_ == input_.size()) {
+    input_.clear();
+    consumed_ = 0;
+  }
+  if (state_ != State::kOpen || unread().size() >= limits_.max_unread_bytes) return;
+  if (!reading_) read_buffered_tls_bytes();
+  watch(true, writing_);
+}
+
+void Connection::handle_readable(const AutoPtr<ReadableNotification>&) {
+  if (state_ == State::kConnecting) return complete_connect();
+  if (state_ == State::kHandshaking) return continue_handshake();
+  if (state_ != State::kOpen) return;
+  if (discarding_input_) return read_and_discard();
+  read();
+}
+
+void Connection::read() {
+  input_.erase(0, consumed_);
+  consumed_ = 0;
+  const std::size_t size_before = input_.size();
+  input_.resize(size_before + limits_.read_chunk_bytes);
+  const IoResult result = receive(input_.data() + size_before, limits_.read_chunk_bytes);
+  input_.resize(size_before + result.bytes);
+  if (result.status == IoResult::Status::kWouldBlock) return;
+  broken_ = result.status != IoResult::Status::kEnded;
+  if (result.status != IoResult::Status::kDone) return end();
+  if (unread().size() >= limits_.max_unread_bytes) watch(false, writing_);  // until the owner consumes some
+  else read_buffered_tls_bytes();
+  owner_.on_data();
+}
+
+// MSG_TRUNC: the kernel drops the bytes without copying them.
+void Connection::read_and_discard() {
+  const IoResult result = receive_from(fd(), nullptr, limits_.discard_chunk_bytes, MSG_TRUNC);
+  if (result.status == IoResult::Status::kDone) has_discarded_input_ = true;
+  else if (result.status != IoResult::Status::kWouldBlock) end();
+}
+
+// The socket does not become readable for bytes that TLS has read from it already.
+void Connection::read_buffered_tls_bytes() {
+  if (!has_buffered_tls_bytes()) return;
+  loop_.post([this, lifetime = std::weak_ptr<int>(lifetime_)] {
+    if (!lifetime.expired() && state_ == State::kOpen && reading_) handle_readable({});
+  });
+}
+
+IoResult Connection::receive(char* buffer, std::size_t size) {
+  return tls_stream_ ? tls_stream_->receive(buffer, size) : receive_from(fd(), buffer, size);
+}
+
+void Connection::discard_input() {
+  discarding_input_ = true;
+  clear_input();
+  if (state_ == State::kOpen) watch(true, writing_);
+}
+
+IoResult Connection::peek() const {
+  char byte = 0;
+  return receive_from(fd(), &byte, sizeof byte, MSG_PEEK | MSG_DONTWAIT);
+}
+
+bool Connection::is_idle() const {
+  if (state_ != State::kOpen || !unread().empty() || has_buffered_tls_bytes()) return false;
+  return peek().status == IoResult::Status::kWouldBlock;
+}
+
+bool Connection::has_input() const {
+  if (!unread().empty() || has_buffered_tls_bytes()) return true;
+  return state_ == State::kOpen && peek().status == IoResult::Status::kDone;
+}
+
+void Connection::clear_input() {
+  std::string().swap(input_);
+  consumed_ = 0;
+}
+
+// ---- Writing ----
+
 void Connection::write(std::string_view bytes) {
   if (!alive()) return;
-  out_.append(bytes);
+  output_.append(bytes);
   if (state_ == State::kOpen && !writing_) flush();
 }
 
-void Connection::flush() {
-  while (written_ < out_.size()) {
-    const char* const from = out_.data() + written_;
-    const std::size_t size = out_.size() - written_;
-    const auto n =
-        veil_ ? veil_->send(from, size) : ::send(socket_.impl()->sockfd(), from, size, MSG_NOSIGNAL);
-    if (n < 0 && errno == EINTR) continue;
-    if (n < 0 && errno != EAGAIN) return end();
-    if (n < 0) break;
-    written_ += static_cast<std::size_t>(n);
-  }
-  if (!unwritten()) std::string().swap(out_), written_ = 0;
-  watch(reading_, unwritten());
+void Connection::handle_writable(const AutoPtr<WritableNotification>&) {
+  if (state_ == State::kHandshaking) return continue_handshake();
+  if (state_ == State::kConnecting) return complete_connect();
+  flush();
+  if (state_ == State::kOpen && !has_pending_output()) owner_.on_write_complete();
 }
 
-void Connection::finish_writing() {
-  if (state_ == State::kOpen && veil_) veil_->finish();
-  if (state_ == State::kOpen) ::shutdown(socket_.impl()->sockfd(), SHUT_WR);
+void Connection::flush() {
+  while (written_ < output_.size()) {
+    const IoResult result = send(std::string_view(output_).substr(written_));
+    if (result.status == IoResult::Status::kWouldBlock) break;
+    if (result.status != IoResult::Status::kDone) return end();
+    written_ += result.bytes;
+  }
+  if (!has_pending_output()) clear_output();
+  watch(reading_, has_pending_output());
 }
 
-void Connection::discard() {
-  discarding_ = true;
-  std::string().swap(in_), taken_ = 0;
-  if (state_ == State::kOpen) watch(true, writing_);
+IoResult Connection::send(std::string_view bytes) {
+  return tls_stream_ ? tls_stream_->send(bytes.data(), bytes.size())
+                     : send_to(fd(), bytes.data(), bytes.size());
 }
 
-void Connection::writable(const Told<WritableNotification>&) {
-  if (state_ == State::kShaking) return shake();
-  if (state_ == State::kOpening) {
-    int error = 0;
-    socklen_t size = sizeof error;
-    ::getsockopt(socket_.impl()->sockfd(), SOL_SOCKET, SO_ERROR, &error, &size);
-    if (error != 0) return end(failure_of_pending(error));
-    if (make_veil_) {
-      veil_ = make_veil_(socket_.impl()->sockfd());
-      state_ = State::kShaking;
-      watch(true, false);
-      return shake();
-    }
-    state_ = State::kOpen;
-    was_open_ = true;
-    watch(true, writing_);
-    flush();
-    if (state_ == State::kOpen) owner_.on_connected();
-    return;
-  }
-  flush();
-  if (state_ == State::kOpen && !unwritten()) owner_.on_write_complete();
+void Connection::clear_output() {
+  std::string().swap(output_);
+  written_ = 0;
 }
 
-void Connection::readable(const Told<ReadableNotification>&) {
-  if (state_ == State::kOpening) return writable({});
-  if (state_ == State::kShaking) return shake();
+void Connection::shutdown_write() {
   if (state_ != State::kOpen) return;
-  if (discarding_) {  // MSG_TRUNC: not even copied
-    const auto dropped = ::recv(socket_.impl()->sockfd(), nullptr, limits_.discard_chunk_bytes, MSG_TRUNC);
-    discarded_ = discarded_ || dropped > 0;
-    if (dropped == 0 || (dropped < 0 && errno != EAGAIN && errno != EINTR)) end();
-    return;
-  }
-  if (taken_ > 0) in_.erase(0, taken_), taken_ = 0;
-  const std::size_t had = in_.size();
-  in_.resize(had + limits_.read_chunk_bytes);
-  const auto n = veil_ ? veil_->receive(in_.data() + had, limits_.read_chunk_bytes)
-                       : ::recv(socket_.impl()->sockfd(), in_.data() + had, limits_.read_chunk_bytes, 0);
-  const int error = errno;
-  in_.resize(had + static_cast<std::size_t>(std::max<std::ptrdiff_t>(n, 0)));
-  if (n < 0 && (error == EAGAIN || error == EINTR)) return;
-  broken_ = n != 0;
-  if (n <= 0) return end();
-  if (unread().size() >= limits_.max_unread_bytes) watch(false, writing_);  // until the owner has taken some
-  else read_held();
-  owner_.on_data();
+  if (tls_stream_) tls_stream_->shutdown();
+  ::shutdown(fd(), SHUT_WR);
 }
 
-void Connection::failed(const Told<ErrorNotification>&) {
-  if (state_ == State::kOpen && reading_) return;  // reading tells the rest, and what came before the break
+// ---- The end ----
+
+void Connection::handle_error(const AutoPtr<ErrorNotification>&) {
+  // Reading brings what came before the error, and then the error.
+  if (state_ == State::kOpen && reading_) return;
   if (alive()) end();
 }
 
 // The owner hears of it after the call at hand.
-void Connection::end(Failure why) {
-  if (broken_) failure_ = why;
+void Connection::end(Failure failure) {
+  if (broken_) failure_ = failure;
   state_ = State::kEnded;
   watch(false, false);
-  loop_.post([this, alive = std::weak_ptr<int>(alive_)] {
-    if (!alive.expired() && state_ == State::kEnded) owner_.on_closed();
+  loop_.post([this, lifetime = std::weak_ptr<int>(lifetime_)] {
+    if (!lifetime.expired() && state_ == State::kEnded) owner_.on_closed();
   });
 }
 
@@ -230,36 +291,36 @@
   if (state_ == State::kClosed) return;
   state_ = State::kClosed;
   watch(false, false);
-  alive_.reset();
+  lifetime_.reset();
   socket_.close();
 }
 
-bool Connection::quiet() const {
-  if (state_ != State::kOpen || !unread().empty() || (veil_ && veil_->holds())) return false;
-  char byte = 0;
-  return ::recv(socket_.impl()->sockfd(), &byte, 1, MSG_PEEK | MSG_DONTWAIT) < 0 && errno == EAGAIN;
-}
+// ---- The reactor ----
 
-bool Connection::has_bytes() const {
-  if (!unread().empty() || (veil_ && veil_->holds())) return true;
-  char byte = 0;
-  return state_ == State::kOpen && ::recv(socket_.impl()->sockfd(), &byte, 1, MSG_PEEK | MSG_DONTWAIT) > 0;
-}
-
-template <class What>
-void Connection::observe(bool on, void (Connection::*told)(const Told<What>&)) {
-  const NObserver<Connection, What> observer(*this, told);
+template <class Notification>
+void Connection::observe(bool on, void (Connection::*handler)(const AutoPtr<Notification>&)) {
+  const NObserver<Connection, Notification> observer(*this, handler);
   if (on) loop_.reactor().addEventHandler(socket_, observer);
   else loop_.reactor().removeEventHandler(socket_, observer);
 }
 
-// Errors are reported whether asked for or not: unheard, they would spin the reactor. POCO 1.11 goes on
-// polling for what an observer that has been removed wanted; adding one, even anew, sets the mode right.
+// The reactor reports errors whether they are watched for or not, and without an observer it would spin. POCO
+// 1.11 goes on polling for what a removed observer wanted; adding any observer, even again, sets the mode
+// right.
 void Connection::watch(bool reading, bool writing) {
-  const bool fewer = (reading_ && !reading) || (writing_ && !writing);
-  if (reading_ != reading) observe(reading_ = reading, &Connection::readable);
-  if (writing_ != writing) observe(writing_ = writing, &Connection::writable);
-  if (alive() != watched_ || (alive() && fewer)) observe(watched_ = alive(), &Connection::failed);
+  const bool watches_less = (reading_ && !reading) || (writing_ && !writing);
+  if (reading_ != reading) {
+    reading_ = reading;
+    observe(reading, &Connection::handle_readable);
+  }
+  if (writing_ != writing) {
+    writing_ = writing;
+    observe(writing, &Connection::handle_writable);
+  }
+  if (alive() != watching_errors_ || (alive() && watches_less)) {
+    watching_errors_ = alive();
+    observe(watching_errors_, &Connection::handle_error);
+  }
 }
 
 }  // namespace ashbeam
--- a/src/transport/event_loop.cpp
+++ b/src/transport/event_loop.cpp
@@ -9,133 +9,173 @@
 #include <sys/socket.h>
 
 #include <algorithm>
+#include <array>
 #include <chrono>
 
 namespace ashbeam {
 
 namespace {
 
+constexpr std::int64_t kMaxPollTimeoutUs = 1'000'000;
+constexpr std::int64_t kMicrosecondsPerMillisecond = 1000;
+
 template <class Clock>
-std::int64_t reading_us() {
+std::int64_t read_clock_us() {
   return std::chrono::duration_cast<std::chrono::microseconds>(Clock::now().time_since_epoch()).count();
 }
 
-constexpr std::int64_t kLongestWaitUs = 1'000'000;
-
-// One callback's exception must not take the others with it; the program's error handler logs it.
-void guarded(const std::function<void()>& what) {
+// An exception of one callback must not keep the others from running; the program's error handler logs it.
+void run_guarded(const std::function<void()>& function) {
   try {
-    what();
-  } catch (const std::exception& e) {
-    Poco::ErrorHandler::handle(e);
+    function();
+  } catch (const std::exception& exception) {
+    Poco::ErrorHandler::handle(exception);
   }
 }
 
 }  // namespace
 
-// POCO 1.11's wakeUp() does not end its poll: a byte on a socket of our own does.
-struct EventLoop::Bell {
-  class End : public Poco::Net::StreamSocket {
+// Ends the loop's wait from another thread. POCO 1.11's wakeUp() does not end its poll; a byte on a socket
+// that the loop reads does.
+class EventLoop::WakeupEvent {
+ public:
+  // Throws Poco::IOException where the machine has no descriptors left.
+  explicit WakeupEvent(EventLoop& loop) : WakeupEvent(loop, make_socket_pair()) {}
+
+  // From any thread. A socket that is full wakes the loop already.
+  void signal() { ::send(write_end_.impl()->sockfd(), "!", 1, MSG_DONTWAIT | MSG_NOSIGNAL); }
+
+ private:
+  class Socket : public Poco::Net::StreamSocket {
    public:
-    explicit End(int fd) : StreamSocket(new Poco::Net::StreamSocketImpl(fd)) {}
+    explicit Socket(int fd) : StreamSocket(new Poco::Net::StreamSocketImpl(fd)) {}
   };
-  Bell(EventLoop& l, const int (&pair)[2]) : loop(l), in(pair[0]), out(pair[1]) {}
-  void rung(const Poco::AutoPtr<Poco::Net::ReadableNotification>&) {
-    char some[64];
-    while (::recv(in.impl()->sockfd(), some, sizeof some, MSG_DONTWAIT) == sizeof some) {
-    }
-    // What was handed over since this turn began has had its byte taken just now: it is not left to the next
-    // event.
-    loop.post([] {});
+  static constexpr std::size_t kReadBytes = 64;
+
+  static std::array<int, 2> make_socket_pair() {
+    std::array<int, 2> fds{};
+    if (::socketpair(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0, fds.data()) != 0)
+      throw Poco::IOException("no socket pair can be had");
+    return fds;
   }
-  void ring() {
-    ::send(out.impl()->sockfd(), "!", 1, MSG_DONTWAIT | MSG_NOSIGNAL);
-  }  // full: it rings already
-  EventLoop& loop;
-  End in, out;
-};
 
-EventLoop::~EventLoop() = default;
+  WakeupEvent(EventLoop& loop, const std::array<int, 2>& fds)
+      : loop_(loop), read_end_(fds[0]), write_end_(fds[1]) {
+    loop.reactor().addEventHandler(read_end_, Poco::NObserver<WakeupEvent, Poco::Net::ReadableNotification>(
+                                                  *this, &WakeupEvent::handle_readable));
+  }
 
-void EventLoop::enable_posts_from_threads() {
-  if (bell_) return;
-  int pair[2];
-  if (::socketpair(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0, pair) != 0)
-    throw Poco::IOException("no socket pair can be had");
-  bell_ = std::make_unique<Bell>(*this, pair);
-  reactor().addEventHandler(bell_->in,
-                            Poco::NObserver<Bell, Poco::Net::ReadableNotification>(*bell_, &Bell::rung));
-}
+  void handle_readable(const Poco::AutoPtr<Poco::Net::ReadableNotification>&) {
+    char bytes[kReadBytes];
+    while (::recv(read_end_.impl()->sockfd(), bytes, sizeof bytes, MSG_DONTWAIT) == sizeof bytes) {
+    }
+    // A function that was posted since this turn began has lost its byte just now: it must not wait for the
+    // next event.
+    loop_.post([] {});
+  }
+
+  EventLoop& loop_;
+  Socket read_end_;
+  Socket write_end_;
+};
 
 EventLoop::EventLoop()
-    : unix_minus_steady_us_(reading_us<std::chrono::system_clock>() -
-                            reading_us<std::chrono::steady_clock>()) {
-  set_wait();
+    : unix_minus_steady_us_(read_clock_us<std::chrono::system_clock>() -
+                            read_clock_us<std::chrono::steady_clock>()) {
+  update_poll_timeout();
 }
 
+EventLoop::~EventLoop() = default;
+
 Instant EventLoop::now() const {
-  return Instant::at_us(reading_us<std::chrono::steady_clock>() + unix_minus_steady_us_);
+  return Instant::at_us(read_clock_us<std::chrono::steady_clock>() + unix_minus_steady_us_);
 }
 
-Span EventLoop::wall_ahead() const {
-  return Span::us(reading_us<std::chrono::system_clock>() - reading_us<std::chrono::steady_clock>() -
+Span EventLoop::wall_clock_offset() const {
+  return Span::us(read_clock_us<std::chrono::system_clock>() - read_clock_us<std::chrono::steady_clock>() -
                   unix_minus_steady_us_);
 }
 
-void EventLoop::post(std::function<void()> what) {
-  put_off_.push_back(std::move(what));
-  if (put_off_.size() == 1) set_wait();
+// ---- Posted functions ----
+
+void EventLoop::post(std::function<void()> function) {
+  posted_.push_back(std::move(function));
+  if (posted_.size() == 1) update_poll_timeout();
+}
+
+void EventLoop::enable_posts_from_threads() {
+  if (!wakeup_event_) wakeup_event_ = std::make_unique<WakeupEvent>(*this);
 }
 
-void EventLoop::post_from_thread(std::function<void()> what) {
+void EventLoop::post_from_thread(std::function<void()> function) {
   {
-    const std::lock_guard lock(handing_);
-    handed_.push_back(std::move(what));
-    any_handed_ = true;
+    const std::lock_guard lock(posts_from_threads_mutex_);
+    posts_from_threads_.push_back(std::move(function));
+    has_posts_from_threads_ = true;
   }
-  if (bell_) bell_->ring();
+  if (wakeup_event_) wakeup_event_->signal();
 }
 
-// POCO waits in whole milliseconds and cuts fractions off: rounded up here, or the last one would be spun
-// away.
-void EventLoop::set_wait() {
-  std::int64_t us = kLongestWaitUs;
-  if (!put_off_.empty()) us = 0;
-  else if (!timers_.empty())
-    us = std::clamp<std::int64_t>((timers_.begin()->first.first - now()).us(), 0, us);
-  setTimeout(Poco::Timespan((us + 999) / 1000 * 1000));
+void EventLoop::collect_posts_from_threads() {
+  if (!has_posts_from_threads_) return;
+  const std::lock_guard lock(posts_from_threads_mutex_);
+  has_posts_from_threads_ = false;
+  for (auto& function : posts_from_threads_) posted_.push_back(std::move(function));
+  posts_from_threads_.clear();
 }
 
-// What was put off comes first, then the timers that are due; a timer set meanwhile waits for the next turn.
-void EventLoop::run_due() {
-  if (any_handed_) {
-    const std::lock_guard lock(handing_);
-    any_handed_ = false;
-    for (auto& what : handed_) put_off_.push_back(std::move(what));
-    handed_.clear();
-  }
-  running_.swap(put_off_);
-  for (auto& what : running_) guarded(what);
+void EventLoop::run_posted() {
+  running_.swap(posted_);
+  for (const auto& function : running_) run_guarded(function);
   running_.clear();
-  const Due until{now(), next_number_};
-  while (!timers_.empty() && timers_.begin()->first <= until) {
+}
+
+// ---- Turns ----
+
+// Posted functions run first, then the timers that are due; what is posted or set meanwhile waits for the
+// next turn.
+void EventLoop::run_due() {
+  collect_posts_from_threads();
+  run_posted();
+  run_timers();
+  update_poll_timeout();
+}
+
+void EventLoop::run_timers() {
+  const TimerOrder last{now(), next_timer_number_};
+  while (!timers_.empty() && timers_.begin()->first <= last) {
     Timer* const timer = timers_.begin()->second;
     timer->off();
-    guarded(timer->then_);
+    run_guarded(timer->callback_);
   }
-  set_wait();
 }
 
-void Timer::at(Instant when) {
+// POCO waits in whole milliseconds and cuts off fractions: the time is rounded up, or the loop would spin
+// through the last millisecond.
+void EventLoop::update_poll_timeout() {
+  std::int64_t wait_us = kMaxPollTimeoutUs;
+  if (!posted_.empty()) {
+    wait_us = 0;
+  } else if (!timers_.empty()) {
+    const Span until_due = timers_.begin()->first.due - now();
+    wait_us = std::clamp<std::int64_t>(until_due.us(), 0, kMaxPollTimeoutUs);
+  }
+  const std::int64_t milliseconds = (wait_us + kMicrosecondsPerMillisecond - 1) / kMicrosecondsPerMillisecond;
+  setTimeout(Poco::Timespan(milliseconds * kMicrosecondsPerMillisecond));
+}
+
+// ---- Timers ----
+
+void Timer::at(Instant due) {
   off();
-  due_ = {when, loop_.next_number_++};
+  order_ = {due, loop_.next_timer_number_++};
   armed_ = true;
-  const auto place = loop_.timers_.emplace(due_, this).first;
-  if (place == loop_.timers_.begin()) loop_.set_wait();
+  const auto position = loop_.timers_.emplace(order_, this).first;
+  if (position == loop_.timers_.begin()) loop_.update_poll_timeout();
 }
 
 void Timer::off() {
-  if (armed_) loop_.timers_.erase(due_);
+  if (armed_) loop_.timers_.erase(order_);
   armed_ = false;
 }
 
--- a/src/transport/event_loop.hpp
+++ b/src/transport/event_loop.hpp
@@ -1,8 +1,11 @@
-// The one reactor: POCO's, with timers and with work put off until the callback at hand has returned.
+// The one event loop: POCO's reactor, with timers, and with functions that are posted to run once the
+// callback at hand has returned. All calls come from the loop's thread but `post_from_thread`.
 #pragma once
 #include <Poco/Net/SocketReactor.h>
 
 #include <atomic>
+#include <compare>
+#include <cstdint>
 #include <functional>
 #include <map>
 #include <memory>
@@ -13,68 +16,88 @@
 
 namespace ashbeam {
 
+class Timer;
+
 class EventLoop : private Poco::Net::SocketReactor {
  public:
   EventLoop();
-  ~EventLoop();
+  ~EventLoop() override;
+  EventLoop(const EventLoop&) = delete;
+  EventLoop& operator=(const EventLoop&) = delete;
 
   // The machine's clock in Unix time, read once at start and carried on by the steady clock: never goes back.
   Instant now() const;
-  // How far the machine's clock is ahead of that by now: it was set since, or stood still with the machine.
-  Span wall_ahead() const;
-  void run() { Poco::Net::SocketReactor::run(); }
+  // How far the machine's clock is ahead of now(): it was set since the start, or the machine was suspended.
+  Span wall_clock_offset() const;
+
+  void run() override { Poco::Net::SocketReactor::run(); }
   void stop() { Poco::Net::SocketReactor::stop(); }
-  // Runs `what` after the callback at hand, before the next wait.
-  void post(std::function<void()> what);
-  // The same from any other thread: the one way in which a worker answers. Only once the loop was told to
-  // expect it, on its own thread or before it runs.
+
+  // Runs `function` after the callback at hand, before the next wait for events.
+  void post(std::function<void()> function);
+  // The same from any other thread, once enabled: on the loop's thread, or before it runs. Throws
+  // Poco::IOException where the machine has no descriptors left.
   void enable_posts_from_threads();
-  void post_from_thread(std::function<void()> what);
-  // Destroys `what` then: a callback may so end its own object.
+  void post_from_thread(std::function<void()> function);
+  // Destroys `object` then, so that a callback may end its own object.
   template <class T>
-  void destroy_later(std::unique_ptr<T> what) {
-    post([kept = std::shared_ptr<T>(std::move(what))] {});
+  void destroy_later(std::unique_ptr<T> object) {
+    post([kept = std::shared_ptr<T>(std::move(object))] {});
   }
+
   Poco::Net::SocketReactor& reactor() { return *this; }
 
  private:
   friend class Timer;
-  using Due = std::pair<Instant, std::uint64_t>;
+  class WakeupEvent;
+  // Timers run by their time, and in the order of their setting where it is the same.
+  struct TimerOrder {
+    Instant due;
+    std::uint64_t number = 0;
+    // NOLINTNEXTLINE(modernize-use-nullptr): a false positive of clang-tidy 14 on defaulted comparisons
+    auto operator<=>(const TimerOrder&) const = default;
+  };
 
-  void onBusy() override { run_due(); }  // before the events of this turn are handed out
+  void onBusy() override { run_due(); }  // before this turn's events are handed out
   void onTimeout() override { run_due(); }
   void onIdle() override { run_due(); }
   void run_due();
-  void set_wait();
+  void run_posted();
+  void run_timers();
+  void collect_posts_from_threads();
+  void update_poll_timeout();
 
   std::int64_t unix_minus_steady_us_;
-  std::map<Due, class Timer*> timers_;
-  std::uint64_t next_number_ = 0;
-  std::vector<std::function<void()>> put_off_, running_;
-  std::mutex handing_;
-  std::vector<std::function<void()>> handed_;  // under the mutex
-  struct Bell;
-  std::unique_ptr<Bell> bell_;
-  std::atomic<bool> any_handed_ = false;
+  std::map<TimerOrder, Timer*> timers_;
+  std::uint64_t next_timer_number_ = 0;
+  std::vector<std::function<void()>> posted_;
+  std::vector<std::function<void()>> running_;  // empty between turns; kept for its capacity
+  std::mutex posts_from_threads_mutex_;
+  std::vector<std::function<void()>> posts_from_threads_;  // under the mutex
+  std::atomic<bool> has_posts_from_threads_ = false;
+  std::unique_ptr<WakeupEvent> wakeup_event_;
 };
 
-// Calls back once at a time that may be moved or taken back; destroying it takes it back.
+// Calls back once, at a time that may be changed or cancelled; destroying the timer cancels it.
 class Timer {
  public:
-  Timer(EventLoop& loop, std::function<void()> then) : loop_(loop), then_(std::move(then)) {}
+  Timer(EventLoop& loop, std::function<void()> callback) : loop_(loop), callback_(std::move(callback)) {}
   ~Timer() { off(); }
   Timer(const Timer&) = delete;
   Timer& operator=(const Timer&) = delete;
-  void at(Instant when);
-  void in(Span wait) { at(loop_.now() + wait); }
+
+  // Each of these replaces the time that was set before.
+  void at(Instant due);
+  void in(Span delay) { at(loop_.now() + delay); }
   void off();
   bool armed() const { return armed_; }
 
  private:
   friend class EventLoop;
+
   EventLoop& loop_;
-  std::function<void()> then_;
-  EventLoop::Due due_;
+  std::function<void()> callback_;
+  EventLoop::TimerOrder order_;  // where armed
   bool armed_ = false;
 };
 
--- /dev/null
+++ b/src/transport/handshake_scheduler.cpp
@@ -0,0 +1,64 @@
+#include "transport/handshake_scheduler.hpp"
+
+#include <algorithm>
+
+#include "transport/tls_server_stream.hpp"
+
+namespace ashbeam {
+
+namespace {
+
+// A handshake that has waited less for its client's bytes is not evicted.
+constexpr Span kMinSilenceBeforeEviction = Span::ms(100);
+constexpr Span kMinDeferral = Span::ms(1);
+
+}  // namespace
+
+HandshakeScheduler::HandshakeScheduler(EventLoop& loop, const TlsSettings& settings)
+    : loop_(loop),
+      budget_(settings.max_handshakes, settings.handshake_cpu_per_second, kMinSilenceBeforeEviction),
+      resumption_(loop, [this] { resume_deferred(); }) {}
+
+void HandshakeScheduler::set_limits(const TlsSettings& settings) {
+  budget_.limits(settings.max_handshakes, settings.handshake_cpu_per_second);
+}
+
+std::optional<HandshakeScheduler::Id> HandshakeScheduler::admit() {
+  const calling::Handshakes::Begun begun = budget_.begin(loop_.now());
+  if (begun.gives_way != calling::Handshakes::kNone) {
+    const auto evicted = streams_.find(begun.gives_way);
+    if (evicted != streams_.end()) evicted->second->evict();
+  }
+  if (begun.id == calling::Handshakes::kNone) return std::nullopt;
+  return begun.id;
+}
+
+bool HandshakeScheduler::may_proceed(Id id) {
+  const bool may = budget_.may_go_on(id, loop_.now());
+  if (!may) schedule_resumption();
+  return may;
+}
+
+void HandshakeScheduler::add_cpu_time(Span cpu_time) { budget_.spent(cpu_time, loop_.now()); }
+
+void HandshakeScheduler::finish(Id id) {
+  streams_.erase(id);
+  budget_.over(id);
+}
+
+void HandshakeScheduler::resume_deferred() {
+  for (;;) {
+    const Id id = budget_.next(loop_.now());
+    if (id == calling::Handshakes::kNone) break;
+    const auto deferred = streams_.find(id);
+    if (deferred != streams_.end()) deferred->second->resume_handshake();
+  }
+  schedule_resumption();
+}
+
+void HandshakeScheduler::schedule_resumption() {
+  if (!budget_.any_waiting() || resumption_.armed()) return;
+  resumption_.in(std::max(kMinDeferral, budget_.wait(loop_.now())));
+}
+
+}  // namespace ashbeam
--- a/src/transport/listener.cpp
+++ b/src/transport/listener.cpp
@@ -10,9 +10,9 @@
 
 namespace {
 
-// Linux hands on errors of the connection that was to be taken, too: the next one may be taken all the same
+// Linux passes on errors of the connection that was to be accepted: the next one may be accepted all the same
 // (accept(2), "Error handling").
-bool of_one_connection(int error) {
+bool concerns_one_connection(int error) {
   switch (error) {
     case EINTR:
     case ECONNABORTED:
@@ -32,8 +32,9 @@
 
 }  // namespace
 
-Listener::Listener(EventLoop& loop, const std::string& address, int backlog, std::function<void(int)> came)
-    : loop_(loop), came_(std::move(came)) {
+Listener::Listener(EventLoop& loop, const std::string& address, int backlog,
+                   std::function<void(int fd)> on_accept)
+    : loop_(loop), on_accept_(std::move(on_accept)) {
   socket_.bind(Poco::Net::SocketAddress(address), true);
   socket_.listen(backlog);
   socket_.setBlocking(false);
@@ -41,19 +42,20 @@
 }
 
 void Listener::pause(bool on) {
-  if (closed_ || watched_ != on) return;
-  const Poco::NObserver<Listener, Poco::Net::ReadableNotification> observer(*this, &Listener::readable);
+  if (closed_ || accepting_ != on) return;
+  const Poco::NObserver<Listener, Poco::Net::ReadableNotification> observer(*this,
+                                                                            &Listener::handle_readable);
   if (on) loop_.reactor().removeEventHandler(socket_, observer);
   else loop_.reactor().addEventHandler(socket_, observer);
-  watched_ = !on;
+  accepting_ = !on;
 }
 
 bool Listener::accept_waiting() {
-  while (!closed_ && watched_) {
+  while (!closed_ && accepting_) {
     const int fd = ::accept4(socket_.impl()->sockfd(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
-    if (fd < 0 && of_one_connection(errno)) continue;
+    if (fd < 0 && concerns_one_connection(errno)) continue;
     if (fd < 0 && errno == EAGAIN) return true;
-    came_(fd);
+    on_accept_(fd);
     if (fd < 0) return false;
   }
   return closed_;
--- a/src/transport/listener.hpp
+++ b/src/transport/listener.hpp
@@ -1,8 +1,10 @@
-// Accepts TCP connections and hands their descriptors on; may pause.
+// Accepts TCP connections and hands their descriptors on; may pause. All calls come from the event loop's
+// thread.
 #pragma once
 #include <Poco/Net/ServerSocket.h>
 #include <Poco/Net/SocketNotification.h>
 
+#include <cstdint>
 #include <functional>
 #include <string>
 
@@ -12,25 +14,29 @@
 
 class Listener {
  public:
-  // `came` owns the descriptor that it is given; a negative one says that the machine has none left, and that
-  // it must pause: a connection that can't be taken is told again and again. Throws Poco::Exception where the
-  // address can't be had.
-  Listener(EventLoop& loop, const std::string& address, int backlog, std::function<void(int)> came);
+  // The callback owns the descriptor that it is given. A negative one says that the machine has none left,
+  // and that the callback must pause the listener, which would be readable again and again. Throws
+  // Poco::Exception where the address can't be bound.
+  Listener(EventLoop& loop, const std::string& address, int backlog, std::function<void(int fd)> on_accept);
   ~Listener() { close(); }
   Listener(const Listener&) = delete;
   Listener& operator=(const Listener&) = delete;
+
   void pause(bool on);
-  // Hands on all that the machine has accepted already; false where it had to pause before the last of them.
+  // Hands on all connections that the kernel has accepted already. False where it had to pause before the
+  // last of them.
   bool accept_waiting();
   void close();
   std::uint16_t port() const { return socket_.address().port(); }
 
  private:
-  void readable(const Poco::AutoPtr<Poco::Net::ReadableNotification>&) { accept_waiting(); }
+  void handle_readable(const Poco::AutoPtr<Poco::Net::ReadableNotification>&) { accept_waiting(); }
+
   EventLoop& loop_;
-  std::function<void(int)> came_;
+  std::function<void(int fd)> on_accept_;
   Poco::Net::ServerSocket socket_;
-  bool watched_ = false, closed_ = false;
+  bool accepting_ = false;
+  bool closed_ = false;
 };
 
 }  // namespace ashbeam
--- a/src/transport/tls_settings.hpp
+++ b/src/transport/tls_settings.hpp
@@ -1,4 +1,4 @@
-// What the operator says of the TLS listener.
+// What the operator's file says of the TLS listener.
 #pragma once
 #include <cstddef>
 #include <string>
@@ -8,22 +8,30 @@
 namespace ashbeam {
 
 struct TlsSettings {
-  enum class Clients { kOff, kOptional, kRequired };  // client certificates
-  std::string listen;                                 // numeric address and port
-  std::string certificate, key;                       // paths of PEM files
-  Clients clients = Clients::kOff;
-  std::string trust, crl, revoked;  // paths; empty: none
-  bool only_13 = false;
-  std::size_t handshakes = 64;  // under way at once
-  Span handshake = Span::s(2);  // from the connection to its end
-  double handshake_cpu = 0.25;  // seconds of CPU a second
-  Span ticket_turn = Span::s(3600);
+  enum class ClientCertificates { kOff, kOptional, kRequired };
+
+  std::string listen;       // numeric address and port
+  std::string certificate;  // path of a PEM file: the leaf, then what leads up to it
+  std::string key;          // path of a PEM file
+  ClientCertificates client_certificates = ClientCertificates::kOff;
+  std::string trust;    // path of a PEM file: who signs clients' certificates; empty: none
+  std::string crl;      // path of a PEM file with CRLs; empty: none
+  std::string revoked;  // path of a list, see revoked_certificates.hpp; empty: none
+  bool tls13_only = false;
+  std::size_t max_handshakes = 64;         // in progress at once
+  Span handshake_timeout = Span::s(2);     // from the connection to the handshake's end
+  double handshake_cpu_per_second = 0.25;  // seconds of CPU
+  Span ticket_key_lifetime = Span::s(3600);
   bool operator==(const TlsSettings&) const = default;
 };
 
-// What stands in the files that the terms name.
+// The contents of the files that the settings name; empty where none is named.
 struct TlsFiles {
-  std::string certificate, key, trust, crl, revoked;
+  std::string certificate;
+  std::string key;
+  std::string trust;
+  std::string crl;
+  std::string revoked;
 };
 
 }  // namespace ashbeam
--- a/src/transport/tls_stream.hpp
+++ b/src/transport/tls_stream.hpp
@@ -1,34 +1,47 @@
-// What stands between a socket and its plain bytes, where there is something: TLS.
+// Encrypted bytes of one connection: what stands between its socket and its plain bytes.
+//
+// Order of calls: `handshake` until it is done or has failed, then `receive` and `send`, at last `shutdown`.
+// All calls come from the event loop's thread.
 #pragma once
 #include <cstddef>
+#include <cstdint>
 #include <functional>
 
 #include "base/time.hpp"
 #include "calling/authorizer.hpp"
+#include "transport/io_result.hpp"
 
 namespace ashbeam {
 
 class TlsStream {
  public:
-  enum class Step { kDone, kRead, kWrite, kLater, kFailed };
-  virtual ~TlsStream() = default;
-  // The handshake, as far as it goes. After kLater `turn` says when to try again; `turn` may come unasked,
-  // too.
-  virtual Step shake() = 0;
-  virtual void on_turn(std::function<void()> turn) = 0;
-  // As recv and send: 0 the other side has ended, -1 with errno, EAGAIN where it must wait.
-  virtual std::ptrdiff_t receive(char* to, std::size_t most) = 0;
-  virtual std::ptrdiff_t send(const char* from, std::size_t size) = 0;
-  virtual bool holds() const = 0;  // bytes that left the socket and were not received yet
-  virtual void finish() = 0;       // tells the other side that nothing more comes
-
+  enum class HandshakeStep : std::uint8_t {
+    kDone,
+    kWantRead,   // call again once the socket is readable
+    kWantWrite,  // call again once the socket is readable or writable
+    kDeferred,   // its CPU budget is spent: call again when the callback says so
+    kFailed,
+  };
   struct PeerProof {
-    const calling::Certificate* certificate = nullptr;  // none was shown
-    bool refused = false;                               // one was, and it does not count any more
+    const calling::Certificate* certificate = nullptr;  // null: none was shown
+    bool refused = false;                               // one was shown, and is not valid any more
   };
-  // Who the other side has proven to be, as things stand now: what was revoked since, or has expired, is
-  // refused.
-  virtual PeerProof proof(Instant now) = 0;  // of the loop
+
+  virtual ~TlsStream() = default;
+
+  // Takes the handshake as far as it goes without blocking.
+  virtual HandshakeStep handshake() = 0;
+  // Called when a deferred handshake may go on, and when it is to fail early; it may come unasked, too.
+  virtual void set_handshake_resume_callback(std::function<void()> callback) = 0;
+  virtual IoResult receive(char* buffer, std::size_t size) = 0;
+  virtual IoResult send(const char* bytes, std::size_t size) = 0;
+  // Are there bytes that left the socket and were not received yet?
+  virtual bool has_buffered_bytes() const = 0;
+  // Tells the other side that nothing more comes (RFC 8446, section 6.1).
+  virtual void shutdown() = 0;
+  // Who the other side has proven to be, as things stand now: a certificate that was revoked since, or has
+  // expired, is refused. `now` is the event loop's time.
+  virtual PeerProof peer_proof(Instant now) = 0;
 };
 
 }  // namespace ashbeam
--- a/tests/tls_test.cpp
+++ b/tests/tls_test.cpp
@@ -48,7 +48,7 @@
   void SetUp() override {
     std::signal(SIGPIPE, SIG_IGN);
     tls_.listen = "127.0.0.1:0";
-    tls_.clients = TlsSettings::Clients::kOptional;
+    tls_.client_certificates = TlsSettings::ClientCertificates::kOptional;
     files_ = {server_.certificate_pem, server_.key_pem, authority_.pem(), "", ""};
   }
   void begin() {
@@ -107,7 +107,9 @@
     over.wait();
   }
   void take() {
-    on(loop_, [this] { service_->tls()->take(tls_, std::make_shared<TlsCredentials>(tls_, files_)); });
+    on(loop_, [this] {
+      service_->tls()->replace_credentials(tls_, std::make_shared<TlsCredentials>(tls_, files_));
+    });
   }
   std::string address() const { return "127.0.0.1:" + std::to_string(service_->tls_port()); }
   std::shared_ptr<ClientTls> tls(const fakes::Identity* id, bool resume = false, int newest = 0x0304,
@@ -191,7 +193,7 @@
   EXPECT_EQ(status(&forged), 0U);
   EXPECT_EQ(status(&expired), 0U);
   EXPECT_EQ(status(&server_), 0U);  // not meant for clients
-  tls_.clients = TlsSettings::Clients::kRequired;
+  tls_.client_certificates = TlsSettings::ClientCertificates::kRequired;
   take();
   EXPECT_EQ(status(nullptr), 0U);
   EXPECT_EQ(status(&van_), 200U);
@@ -303,7 +305,7 @@
 }
 
 TEST_F(TlsTest, RubbishIsClosedAndToldOnceASecond) {
-  tls_.handshake = Span::ms(300);
+  tls_.handshake_timeout = Span::ms(300);
   begin();
   for (int i = 0; i < 20; ++i) {
     Stream http = raw();
@@ -348,8 +350,8 @@
 }
 
 TEST_F(TlsTest, SilentHandshakesGiveWayToThoseThatGoOn) {
-  tls_.handshakes = 8;
-  tls_.handshake = Span::s(5);
+  tls_.max_handshakes = 8;
+  tls_.handshake_timeout = Span::s(5);
   begin();
   std::vector<Stream> silent;
   for (int i = 0; i < 40; ++i) silent.push_back(raw());
@@ -362,8 +364,8 @@
 }
 
 TEST_F(TlsTest, AFloodOfHandshakesKeepsToItsBudget) {
-  tls_.handshake_cpu = 0.02;
-  tls_.handshake = Span::ms(400);
+  tls_.handshake_cpu_per_second = 0.02;
+  tls_.handshake_timeout = Span::ms(400);
   begin();
   Owned kept = client(tls(&van_));
   EXPECT_EQ(ask(kept).status, 200U);
