--- a/proofs/calling.cpp
+++ b/proofs/calling.cpp
@@ -309,7 +309,8 @@
   fakes::Served serve(const http::Head& head) {
     fakes::Served s;
     s.takes = Span::ms(10 + chance_.below(10));
-    if (head.word(1).starts_with("/pay") && !paid_.insert(std::string(*head.find("X-Correlation-Id"))).second)
+    if (head.target().starts_with("/pay") &&
+        !paid_.insert(std::string(*head.find("X-Correlation-Id"))).second)
       ++counts_.duplicates;
     s.body = std::string(head.find("X-Caller").value_or("-"));
     return s;
--- a/proofs/metadata.cpp
+++ b/proofs/metadata.cpp
@@ -233,7 +233,7 @@
   fakes::Served serve(unsigned host, const http::Head& head) {
     fakes::Served s;
     s.takes = Span::ms(2 + chance_.below(4));
-    const std::string path(head.word(1)), name = path.substr(kPrefix.size());
+    const std::string path(head.target()), name = path.substr(kPrefix.size());
     // Under consistent snapshots a host may hold what its timestamp does not name yet.
     const auto& files = name == "timestamp.json" ? versions_[held_[host]] : versions_.back();
     const auto at = files.find(name);
--- a/proofs/soak_world.hpp
+++ b/proofs/soak_world.hpp
@@ -75,21 +75,21 @@
       const std::size_t had = bytes.size();
       const auto got = requests_.feed(bytes);
       connection_.consume(had - bytes.size());
-      if (got != http::Messages::Got::kWhole) return;
+      if (got != http::ParseResult::kComplete) return;
       const http::Head& head = requests_.head();
       const std::string id(head.find("X-Correlation-Id").value_or(""));
-      const bool unsafe = head.word(0) == "POST" && !head.find("Idempotency-Key");
+      const bool unsafe = head.method() == "POST" && !head.find("Idempotency-Key");
       const bool runs = !server_.draining_;
       server_.came_(server_, id, unsafe, runs);
       connection_.write(runs ? "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(id.size()) +
                                    "\r\n\r\n" + id
                              : "HTTP/1.1 503 X\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n");
-      requests_.next();
+      requests_.start_next();
     }
     void on_closed() override { server_.remove(this); }
     Server& server_;
     Connection connection_;
-    http::Messages requests_;
+    http::MessageParser requests_;
   };
   void remove(Link* link) {
     const auto at =
--- a/src/calling/authorizer.cpp
+++ b/src/calling/authorizer.cpp
@@ -34,7 +34,7 @@
 // After "Bearer", in whatever case (RFC 9110, section 11.1); nothing where another scheme stands there.
 bool bearer(std::string_view value, std::string_view& token) {
   constexpr std::string_view kScheme = "Bearer";
-  if (value.size() < kScheme.size() || !http::same_name(value.substr(0, kScheme.size()), kScheme))
+  if (value.size() < kScheme.size() || !http::field_names_equal(value.substr(0, kScheme.size()), kScheme))
     return false;
   value.remove_prefix(kScheme.size());
   if (!value.empty() && value[0] != ' ') return false;
--- a/src/fakes/client.cpp
+++ b/src/fakes/client.cpp
@@ -6,7 +6,7 @@
 
 void Client::ask(const std::string& request, Next next) {
   next_ = std::move(next);
-  answers_.next();
+  answers_.start_next();
   if (connection_ && !connection_->is_idle()) hang_up();  // closed between requests, as a router may
   if (!connection_) {
     Connection::TlsStreamFactory veil;
@@ -32,13 +32,13 @@
   }
   const auto got = answers_.feed(bytes);
   connection_->consume(had - bytes.size());
-  if (got == http::Messages::Got::kMore) return;
+  if (got == http::ParseResult::kIncomplete) return;
   if (!bytes.empty()) ++stray_;
-  if (got == http::Messages::Got::kBad) {
+  if (got == http::ParseResult::kInvalid) {
     hang_up();
     return finish({});
   }
-  if (answers_.last()) hang_up();
+  if (answers_.closes_connection()) hang_up();
   finish({answers_.status(), &answers_, true});
 }
 
--- a/src/fakes/client.hpp
+++ b/src/fakes/client.hpp
@@ -16,7 +16,7 @@
  public:
   struct Answer {
     unsigned status = 0;  // 0: none, the connection ended
-    const http::Messages* message = nullptr;
+    const http::MessageParser* message = nullptr;
     bool whole_before_end = false;  // the request had been written
   };
   using Next = std::function<void(const Answer&)>;
@@ -41,7 +41,7 @@
   std::string address_;
   std::shared_ptr<ClientTls> tls_;
   std::unique_ptr<Connection> connection_;
-  http::Messages answers_;
+  http::MessageParser answers_;
   Next next_;
   std::uint64_t stray_ = 0;
 };
--- a/src/fakes/endpoint.cpp
+++ b/src/fakes/endpoint.cpp
@@ -18,8 +18,8 @@
     const std::size_t had = bytes.size();
     const auto got = requests_.feed(bytes);
     connection_.consume(had - bytes.size());
-    if (got == http::Messages::Got::kMore) return;
-    if (got == http::Messages::Got::kBad) return host_.remove(this);
+    if (got == http::ParseResult::kIncomplete) return;
+    if (got == http::ParseResult::kInvalid) return host_.remove(this);
     ++host_.ran_;
     served_ = host_.serve_(requests_.head(), requests_.raw_body());
     answer_.in(served_.takes);
@@ -28,14 +28,14 @@
     if (served_.breaks) return host_.remove(this);
     connection_.write("HTTP/1.1 " + std::to_string(served_.status) + " X\r\nContent-Length: " +
                       std::to_string(served_.body.size()) + "\r\n\r\n" + served_.body);
-    requests_.next();
+    requests_.start_next();
     if (!connection_.unread().empty()) host_.loop_.post([this] { on_data(); });
   }
   void on_closed() override { host_.remove(this); }
 
   Endpoint& host_;
   Connection connection_;
-  http::Messages requests_;
+  http::MessageParser requests_;
   Served served_;
   Timer answer_;
 };
--- a/src/fakes/release_platform.cpp
+++ b/src/fakes/release_platform.cpp
@@ -50,7 +50,7 @@
   }
   ReleasePlatform& desk_;
   Connection connection_;
-  Lines lines_;
+  LineReader lines_;
   bool subscribed_ = false;
 };
 
--- a/src/fakes/release_platform.hpp
+++ b/src/fakes/release_platform.hpp
@@ -6,6 +6,7 @@
 #include <vector>
 
 #include "base/limits.hpp"
+#include "protocol/json.hpp"
 #include "protocol/lines.hpp"
 #include "transport/connection.hpp"
 #include "transport/event_loop.hpp"
--- a/src/program/environment.cpp
+++ b/src/program/environment.cpp
@@ -18,11 +18,11 @@
 void put(SettingsMap& pairs, const std::string& path, const Json& value) {
   const std::string inside = path.empty() ? "" : path + ".";
   if (value.is_object()) {
-    value.each_member([&](const std::string& name, const Json& v) { put(pairs, inside + name, v); });
-  } else if (value.is_list()) {
+    value.for_each_member([&](const std::string& name, const Json& v) { put(pairs, inside + name, v); });
+  } else if (value.is_array()) {
     std::string joined;
     std::size_t count = 0, objects = 0;
-    value.each_item([&](const Json& v) {
+    value.for_each_element([&](const Json& v) {
       if (v.is_object()) ++objects, put(pairs, inside + std::to_string(count), v);
       else joined.append(count > 0 ? "," : "").append(plain(v));
       ++count;
--- a/src/program/keys_command.cpp
+++ b/src/program/keys_command.cpp
@@ -103,7 +103,7 @@
   }
   l.from = std::floor(now_s() + span(o.from).s());
   write_file(folder.secret(l.kid),
-             "{\"keys\":[{\"kid\":" + json_text(l.kid) + "," + l.key.members(true) + "}]}\n", 0600);
+             "{\"keys\":[{\"kid\":" + json_quoted(l.kid) + "," + l.key.members(true) + "}]}\n", 0600);
   folder.keys().push_back(l);
   if (folder.keys().size() > tokens::kMostKeys)
     throw std::runtime_error("more than 64 keys: remove old ones");
@@ -156,11 +156,11 @@
   const tokens::KeySet set = tokens::read_key_set(read_file(folder.secret(with->kid), tokens::kLongestSet));
   if (set.keys.size() != 1) throw FileError(folder.secret(with->kid), set.problem);
   const auto now = static_cast<long long>(now_s());
-  std::string claims = "{\"sub\":" + json_text(o.subject) + ",\"tenant\":" + json_text(o.tenant) +
+  std::string claims = "{\"sub\":" + json_quoted(o.subject) + ",\"tenant\":" + json_quoted(o.tenant) +
                        ",\"iat\":" + std::to_string(now) + ",\"exp\":" +
                        std::to_string(now + static_cast<long long>(std::ceil(span(o.life).s())));
-  if (!o.issuer.empty()) claims += ",\"iss\":" + json_text(o.issuer);
-  if (!o.audience.empty()) claims += ",\"aud\":" + json_text(o.audience);
+  if (!o.issuer.empty()) claims += ",\"iss\":" + json_quoted(o.issuer);
+  if (!o.audience.empty()) claims += ",\"aud\":" + json_quoted(o.audience);
   if (!o.certificate.empty()) claims += ",\"cnf\":{\"x5t#S256\":\"" + print_of(o.certificate) + "\"}";
   std::printf("%s\n", tokens::issue(set.keys[0].key, with->kid, claims + "}").c_str());
 }
--- a/src/program/log_sink.hpp
+++ b/src/program/log_sink.hpp
@@ -49,9 +49,9 @@
     const int digits = std::snprintf(time, sizeof time, "%lld.%06lld", static_cast<long long>(us / 1000000),
                                      static_cast<long long>(us % 1000000));
     const auto level = spdlog::level::to_string_view(msg.level);
-    std::string text = json_text(std::string_view(msg.payload.data(), msg.payload.size()));
+    std::string text = json_quoted(std::string_view(msg.payload.data(), msg.payload.size()));
     for (std::size_t keep = msg.payload.size(); text.size() > kMostText; keep = keep * 3 / 4)
-      text = json_text(std::string_view(msg.payload.data(), keep));
+      text = json_quoted(std::string_view(msg.payload.data(), keep));
     const auto add = [&](std::string_view s) { to.append(s.data(), s.data() + s.size()); };
     add("{\"time\":");
     add({time, static_cast<std::size_t>(digits)});
--- /dev/null
+++ b/src/protocol/http_head.cpp
@@ -0,0 +1,132 @@
+#include "protocol/http_head.hpp"
+
+#include <algorithm>
+
+namespace ashbeam::http {
+
+namespace {
+
+constexpr std::string_view kLineEnd = "\r\n";
+constexpr std::string_view kVersionPrefix = "HTTP/1.";
+constexpr std::size_t kMaxMethodBytes = 32;
+
+}  // namespace
+
+ParseResult Head::feed(std::string_view& bytes) {
+  std::size_t used = 0;
+  while (used < bytes.size()) {
+    used += append_plain_bytes(bytes.substr(used));
+    if (used == bytes.size()) break;
+    const ParseResult result = append(bytes[used]);
+    ++used;
+    if (result == ParseResult::kComplete) bytes.remove_prefix(used);
+    if (result != ParseResult::kIncomplete) return result;
+  }
+  bytes = {};
+  return ParseResult::kIncomplete;
+}
+
+// Within a field line, bytes are copied at once up to the next that needs a look. Returns their number.
+std::size_t Head::append_plain_bytes(std::string_view bytes) {
+  if (line_begin_ == 0 || raw_.back() == '\r') return 0;
+  const std::string_view fitting = bytes.substr(0, max_bytes_ - std::min(max_bytes_, raw_.size()));
+  std::size_t count = 0;
+  while (count < fitting.size() && fitting[count] != '\r' && fitting[count] != '\n' && fitting[count] != '\0')
+    ++count;
+  raw_.append(fitting.substr(0, count));
+  return count;
+}
+
+ParseResult Head::append(char c) {
+  if (raw_.size() >= max_bytes_) return ParseResult::kTooLong;
+  const bool after_carriage_return = !raw_.empty() && raw_.back() == '\r';
+  if ((c == '\n') != after_carriage_return || c == '\0') return ParseResult::kInvalid;
+  if (line_begin_ == 0 && !fits_start_line(c)) return ParseResult::kInvalid;
+  raw_.push_back(c);
+  return c == '\n' ? end_line() : ParseResult::kIncomplete;
+}
+
+ParseResult Head::end_line() {
+  const std::string_view line = std::string_view(raw_).substr(line_begin_);
+  const bool empty_line = line == kLineEnd;
+  if (empty_line && line_begin_ == 0) {  // RFC 9112, section 2.2: passed over before a start line
+    raw_.clear();
+    return ParseResult::kIncomplete;
+  }
+  if (empty_line) {
+    split();
+    return ParseResult::kComplete;
+  }
+  if (line_begin_ > 0 && !is_field_line(line)) return ParseResult::kInvalid;
+  line_begin_ = raw_.size();
+  return ParseResult::kIncomplete;
+}
+
+void Head::clear() {
+  raw_.clear();
+  fields_.clear();
+  start_line_ = {};
+  line_begin_ = 0;
+}
+
+// May `next` follow what has come of the start line? A request begins with its method, an answer with the
+// protocol's version; an empty line may come before a request.
+bool Head::fits_start_line(char next) const {
+  if (side_ == Side::kAnswers)
+    return raw_.size() >= kVersionPrefix.size() || next == kVersionPrefix[raw_.size()];
+  if (raw_.find(' ') != std::string::npos) return true;
+  if (raw_.size() >= kMaxMethodBytes) return false;
+  if (is_token_char(next)) return true;
+  return raw_.empty() ? next == '\r' : next == ' ' || raw_ == "\r";
+}
+
+void Head::split() {
+  split_start_line();
+  std::string_view rest = std::string_view(raw_).substr(start_line_.size());
+  while (rest.size() > kLineEnd.size()) {
+    Field field;
+    field.line = rest.substr(0, rest.find(kLineEnd) + kLineEnd.size());
+    rest.remove_prefix(field.line.size());
+    const std::size_t colon = field.line.find(':');
+    field.name = field.line.substr(0, colon);
+    field.value = trimmed(field.line.substr(colon + 1, field.line.size() - colon - 1 - kLineEnd.size()));
+    fields_.push_back(field);
+  }
+}
+
+// The last word takes the rest of the line, spaces included.
+void Head::split_start_line() {
+  start_line_ = std::string_view(raw_).substr(0, raw_.find(kLineEnd) + kLineEnd.size());
+  std::string_view rest = start_line_.substr(0, start_line_.size() - kLineEnd.size());
+  for (std::size_t i = 0; i < kStartLineWords; ++i) {
+    const bool last = i + 1 == kStartLineWords;
+    const std::size_t end = last ? rest.size() : std::min(rest.find(' '), rest.size());
+    words_[i] = rest.substr(0, end);
+    rest.remove_prefix(std::min(end + 1, rest.size()));
+  }
+}
+
+std::optional<std::string_view> Head::find(std::string_view name) const {
+  for (const Field& field : fields_) {
+    if (field_names_equal(field.name, name)) return field.value;
+  }
+  return std::nullopt;
+}
+
+unsigned Head::count(std::string_view name) const {
+  return static_cast<unsigned>(std::count_if(fields_.begin(), fields_.end(), [&](const Field& field) {
+    return field_names_equal(field.name, name);
+  }));
+}
+
+bool Head::has_token(std::string_view name, std::string_view token) const {
+  bool found = false;
+  for (const Field& field : fields_) {
+    if (!field_names_equal(field.name, name)) continue;
+    for_each_list_element(
+        field.value, [&](std::string_view element) { found = found || field_names_equal(element, token); });
+  }
+  return found;
+}
+
+}  // namespace ashbeam::http
--- /dev/null
+++ b/src/protocol/http_syntax.cpp
@@ -0,0 +1,65 @@
+#include "protocol/http_syntax.hpp"
+
+#include <algorithm>
+#include <charconv>
+
+namespace ashbeam::http {
+
+namespace {
+
+constexpr std::string_view kLineEnd = "\r\n";
+constexpr char kDelete = 0x7f;
+
+char to_lower(char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c - 'A' + 'a') : c; }
+
+bool is_space(char c) { return c == ' ' || c == '\t'; }
+
+bool is_control_char(char c) { return (static_cast<unsigned char>(c) < ' ' && c != '\t') || c == kDelete; }
+
+}  // namespace
+
+bool field_names_equal(std::string_view a, std::string_view b) {
+  return std::equal(a.begin(), a.end(), b.begin(), b.end(),
+                    [](char x, char y) { return to_lower(x) == to_lower(y); });
+}
+
+std::string_view trimmed(std::string_view text) {
+  while (!text.empty() && is_space(text.front())) text.remove_prefix(1);
+  while (!text.empty() && is_space(text.back())) text.remove_suffix(1);
+  return text;
+}
+
+std::optional<std::uint64_t> parse_decimal(std::string_view text) {
+  std::uint64_t number = 0;
+  const char* const end = text.data() + text.size();
+  const auto [stop, error] = std::from_chars(text.data(), end, number);
+  if (text.empty() || stop != end || error != std::errc()) return std::nullopt;
+  return number;
+}
+
+bool is_token_char(char c) {
+  return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9') ||
+         std::string_view("!#$%&'*+-.^_`|~").find(c) != std::string_view::npos;
+}
+
+bool is_token(std::string_view text) {
+  return !text.empty() && std::all_of(text.begin(), text.end(), is_token_char);
+}
+
+// A control character in a value could hide a length or a coding from one of two readers, and they would
+// disagree on where the message ends.
+bool is_field_line(std::string_view line) {
+  const std::size_t colon = line.find(':');
+  if (colon == std::string_view::npos || !is_token(line.substr(0, colon))) return false;
+  const std::string_view value = line.substr(colon + 1, line.size() - colon - 1 - kLineEnd.size());
+  return std::none_of(value.begin(), value.end(), is_control_char);
+}
+
+std::optional<unsigned> parse_hex_digit(char c) {
+  if (c >= '0' && c <= '9') return static_cast<unsigned>(c - '0');
+  c = to_lower(c);
+  if (c >= 'a' && c <= 'f') return static_cast<unsigned>(c - 'a' + 10);
+  return std::nullopt;
+}
+
+}  // namespace ashbeam::http
--- /dev/null
+++ b/src/protocol/http_syntax.hpp
@@ -0,0 +1,36 @@
+// The small parts of HTTP's syntax (RFC 9110, section 5): field names and values, lists, decimal numbers.
+// Views point into the text that they are made of.
+#pragma once
+#include <cstdint>
+#include <optional>
+#include <string_view>
+
+namespace ashbeam::http {
+
+// RFC 9110, section 5.1: without regard to case.
+bool field_names_equal(std::string_view a, std::string_view b);
+// Without spaces and tabs at its ends.
+std::string_view trimmed(std::string_view text);
+// Decimal digits and nothing else; nothing where the text is not that, or the number is too large.
+std::optional<std::uint64_t> parse_decimal(std::string_view text);
+// Calls `visit` with each element of a comma-separated value (RFC 9110, section 5.6.1), trimmed.
+template <class Visit>
+void for_each_list_element(std::string_view list, Visit&& visit) {
+  while (!list.empty()) {
+    const std::size_t comma = list.find(',');
+    visit(trimmed(list.substr(0, comma)));
+    if (comma == std::string_view::npos) return;
+    list.remove_prefix(comma + 1);
+  }
+}
+
+// RFC 9110, section 5.6.2.
+bool is_token_char(char c);
+bool is_token(std::string_view text);
+// Is it `name: value` with CR LF at its end, with no space in the name and no control character but tabs in
+// the value?
+bool is_field_line(std::string_view line);
+// The value of a digit, or nothing.
+std::optional<unsigned> parse_hex_digit(char c);
+
+}  // namespace ashbeam::http
--- a/src/protocol/json.cpp
+++ b/src/protocol/json.cpp
@@ -8,223 +8,289 @@
 
 namespace {
 
-void skip_blanks(std::string_view& s) {
-  while (!s.empty() && (s[0] == ' ' || s[0] == '\t' || s[0] == '\n' || s[0] == '\r')) s.remove_prefix(1);
+constexpr std::size_t kHexDigits = 4;  // of an escaped UTF-16 code unit
+constexpr unsigned kReplacementCharacter = 0xfffd;
+constexpr unsigned kFirstHighSurrogate = 0xd800;
+constexpr unsigned kFirstLowSurrogate = 0xdc00;
+constexpr unsigned kAfterSurrogates = 0xe000;
+
+// ---- Syntax (RFC 8259): each removes what it is named by from the front of `text`, and is false where
+// something else stands there ----
+
+void skip_blanks(std::string_view& text) {
+  while (!text.empty() && (text[0] == ' ' || text[0] == '\t' || text[0] == '\n' || text[0] == '\r'))
+    text.remove_prefix(1);
+}
+
+bool skip_char(std::string_view& text, char c) {
+  if (text.empty() || text[0] != c) return false;
+  text.remove_prefix(1);
+  return true;
 }
 
-bool skip_char(std::string_view& s, char c) {
-  if (s.empty() || s[0] != c) return false;
-  s.remove_prefix(1);
+bool skip_word(std::string_view& text, std::string_view word) {
+  if (!text.starts_with(word)) return false;
+  text.remove_prefix(word.size());
   return true;
 }
 
-bool digit(char c) { return c >= '0' && c <= '9'; }
+bool is_digit(char c) { return c >= '0' && c <= '9'; }
 
-std::optional<unsigned> hex4(std::string_view s) {
+std::optional<unsigned> parse_hex4(std::string_view text) {
+  if (text.size() < kHexDigits) return std::nullopt;
   unsigned code = 0;
-  if (s.size() < 4) return std::nullopt;
-  const auto [end, error] = std::from_chars(s.data(), s.data() + 4, code, 16);
-  if (error != std::errc() || end != s.data() + 4) return std::nullopt;
+  const char* const expected_end = text.data() + kHexDigits;
+  const auto [end, error] = std::from_chars(text.data(), expected_end, code, 16);
+  if (error != std::errc() || end != expected_end) return std::nullopt;
   return code;
 }
 
-bool skip_text(std::string_view& s) {
-  if (!skip_char(s, '"')) return false;
-  while (!s.empty()) {
-    const char c = s[0];
-    s.remove_prefix(1);
+// What stands behind a backslash.
+bool skip_escape(std::string_view& text) {
+  if (text.empty()) return false;
+  const char kind = text[0];
+  text.remove_prefix(1);
+  if (kind != 'u') return std::string_view("\"\\/bfnrt").find(kind) != std::string_view::npos;
+  if (!parse_hex4(text)) return false;
+  text.remove_prefix(kHexDigits);
+  return true;
+}
+
+bool skip_string(std::string_view& text) {
+  if (!skip_char(text, '"')) return false;
+  while (!text.empty()) {
+    const char c = text[0];
+    text.remove_prefix(1);
     if (c == '"') return true;
-    if (static_cast<unsigned char>(c) < 0x20) return false;
-    if (c != '\\') continue;
-    if (s.empty()) return false;
-    const char escaped = s[0];
-    s.remove_prefix(1);
-    if (escaped == 'u') {
-      if (!hex4(s)) return false;
-      s.remove_prefix(4);
-    } else if (std::string_view("\"\\/bfnrt").find(escaped) == std::string_view::npos) {
-      return false;
-    }
+    if (static_cast<unsigned char>(c) < ' ') return false;
+    if (c == '\\' && !skip_escape(text)) return false;
   }
   return false;
 }
 
-bool skip_digits(std::string_view& s) {
-  if (s.empty() || !digit(s[0])) return false;
-  while (!s.empty() && digit(s[0])) s.remove_prefix(1);
+bool skip_digits(std::string_view& text) {
+  if (text.empty() || !is_digit(text[0])) return false;
+  while (!text.empty() && is_digit(text[0])) text.remove_prefix(1);
   return true;
 }
 
-bool skip_number(std::string_view& s) {
-  skip_char(s, '-');
-  if (s.size() > 1 && s[0] == '0' && digit(s[1])) return false;
-  if (!skip_digits(s)) return false;
-  if (skip_char(s, '.') && !skip_digits(s)) return false;
-  if (skip_char(s, 'e') || skip_char(s, 'E')) {
-    if (!skip_char(s, '+')) skip_char(s, '-');
-    return skip_digits(s);
+bool skip_number(std::string_view& text) {
+  skip_char(text, '-');
+  if (text.size() > 1 && text[0] == '0' && is_digit(text[1])) return false;
+  if (!skip_digits(text)) return false;
+  if (skip_char(text, '.') && !skip_digits(text)) return false;
+  if (skip_char(text, 'e') || skip_char(text, 'E')) {
+    if (!skip_char(text, '+')) skip_char(text, '-');
+    return skip_digits(text);
   }
   return true;
 }
 
-bool skip_word(std::string_view& s, std::string_view word) {
-  if (!s.starts_with(word)) return false;
-  s.remove_prefix(word.size());
-  return true;
+bool skip_member_name(std::string_view& text) {
+  skip_blanks(text);
+  if (!skip_string(text)) return false;
+  skip_blanks(text);
+  return skip_char(text, ':');
 }
 
-bool skip_value(std::string_view& s, int depth) {
-  skip_blanks(s);
-  if (s.empty() || depth > Json::kDeepest) return false;
-  const char first = s[0];
-  if (first == '"') return skip_text(s);
-  if (first == 't') return skip_word(s, "true");
-  if (first == 'f') return skip_word(s, "false");
-  if (first == 'n') return skip_word(s, "null");
-  if (first != '{' && first != '[') return skip_number(s);
-  const char last = first == '{' ? '}' : ']';
-  s.remove_prefix(1);
-  skip_blanks(s);
-  if (skip_char(s, last)) return true;
-  while (true) {
-    if (first == '{') {
-      skip_blanks(s);
-      if (!skip_text(s)) return false;
-      skip_blanks(s);
-      if (!skip_char(s, ':')) return false;
+bool skip_value(std::string_view& text, int depth);
+
+// The members of an object or the elements of an array, and the bracket behind them.
+bool skip_contents(std::string_view& text, bool object, int depth) {
+  const char closing = object ? '}' : ']';
+  skip_blanks(text);
+  if (skip_char(text, closing)) return true;
+  for (;;) {
+    if (object && !skip_member_name(text)) return false;
+    if (!skip_value(text, depth + 1)) return false;
+    skip_blanks(text);
+    if (skip_char(text, closing)) return true;
+    if (!skip_char(text, ',')) return false;
+  }
+}
+
+bool skip_value(std::string_view& text, int depth) {
+  skip_blanks(text);
+  if (text.empty() || depth > Json::kMaxDepth) return false;
+  switch (text[0]) {
+    case '"':
+      return skip_string(text);
+    case 't':
+      return skip_word(text, "true");
+    case 'f':
+      return skip_word(text, "false");
+    case 'n':
+      return skip_word(text, "null");
+    case '{':
+    case '[': {
+      const bool object = text[0] == '{';
+      text.remove_prefix(1);
+      return skip_contents(text, object, depth);
     }
-    if (!skip_value(s, depth + 1)) return false;
-    skip_blanks(s);
-    if (skip_char(s, last)) return true;
-    if (!skip_char(s, ',')) return false;
+    default:
+      return skip_number(text);
   }
 }
 
-// The next value of text that is known to be good.
-std::string_view next_value(std::string_view& s) {
-  skip_blanks(s);
-  const char* const from = s.data();
-  skip_value(s, 0);
-  return {from, static_cast<std::size_t>(s.data() - from)};
+// Removes and returns the next value of text that is known to be valid.
+std::string_view take_value(std::string_view& text) {
+  skip_blanks(text);
+  const char* const begin = text.data();
+  skip_value(text, 0);
+  return {begin, static_cast<std::size_t>(text.data() - begin)};
 }
 
-void put_utf8(std::string& to, unsigned code) {
-  const auto put = [&](unsigned byte) { to.push_back(static_cast<char>(byte)); };
-  if (code < 0x80) {
-    put(code);
-  } else if (code < 0x800) {
-    put(0xc0 | code >> 6U), put(0x80 | (code & 0x3fU));
-  } else if (code < 0x10000) {
-    put(0xe0 | code >> 12U), put(0x80 | (code >> 6U & 0x3fU)), put(0x80 | (code & 0x3fU));
+// ---- Characters ----
+
+// RFC 3629, section 3.
+void append_utf8(std::string& out, unsigned code_point) {
+  const auto append = [&](unsigned byte) { out.push_back(static_cast<char>(byte)); };
+  const auto append_continuation = [&](unsigned shift) { append(0x80U | (code_point >> shift & 0x3fU)); };
+  if (code_point < 0x80) {
+    append(code_point);
+  } else if (code_point < 0x800) {
+    append(0xc0U | code_point >> 6U);
+    append_continuation(0);
+  } else if (code_point < 0x10000) {
+    append(0xe0U | code_point >> 12U);
+    append_continuation(6);
+    append_continuation(0);
   } else {
-    put(0xf0 | code >> 18U), put(0x80 | (code >> 12U & 0x3fU)), put(0x80 | (code >> 6U & 0x3fU)),
-        put(0x80 | (code & 0x3fU));
+    append(0xf0U | code_point >> 18U);
+    append_continuation(12);
+    append_continuation(6);
+    append_continuation(0);
   }
 }
 
-std::string unescaped(std::string_view s) {  // without its quotes
+// Appends the character of the `\u` escape whose digits begin at `index`, and moves `index` past it. Half of
+// a surrogate pair stands for no character.
+void append_unicode_escape(std::string& out, std::string_view escaped, std::size_t& index) {
+  unsigned code = parse_hex4(escaped.substr(index)).value_or(kReplacementCharacter);
+  index += kHexDigits;
+  if (code >= kFirstHighSurrogate && code < kAfterSurrogates) {
+    const std::string_view rest = escaped.substr(index);
+    const auto low = rest.starts_with("\\u") ? parse_hex4(rest.substr(2)) : std::nullopt;
+    const bool pair =
+        code < kFirstLowSurrogate && low && *low >= kFirstLowSurrogate && *low < kAfterSurrogates;
+    if (pair) {
+      code = 0x10000 + ((code - kFirstHighSurrogate) << 10U) + (*low - kFirstLowSurrogate);
+      index += 2 + kHexDigits;
+    } else {
+      code = kReplacementCharacter;
+    }
+  }
+  append_utf8(out, code);
+}
+
+// `escaped`: what stands between a string's quotes.
+std::string unescaped(std::string_view escaped) {
+  constexpr std::string_view kControlEscapes = "bfnrt";
+  constexpr std::string_view kControlCharacters = "\b\f\n\r\t";
   std::string out;
-  for (std::size_t i = 0; i < s.size(); ++i) {
-    if (s[i] != '\\') {
-      out.push_back(s[i]);
+  std::size_t index = 0;
+  while (index < escaped.size()) {
+    const char c = escaped[index++];
+    if (c != '\\') {
+      out.push_back(c);
       continue;
     }
-    const char c = s[++i];
-    if (c != 'u') {
-      const std::size_t at = std::string_view("bfnrt").find(c);
-      out.push_back(at == std::string_view::npos ? c : "\b\f\n\r\t"[at]);
+    const char kind = escaped[index++];
+    if (kind == 'u') {
+      append_unicode_escape(out, escaped, index);
       continue;
     }
-    unsigned code = *hex4(s.substr(i + 1));
-    i += 4;
-    if (code >= 0xd800 && code < 0xe000) {  // half of a pair; alone it stands for nothing
-      const auto low = s.substr(i + 1).starts_with("\\u") ? hex4(s.substr(i + 3)) : std::nullopt;
-      if (code < 0xdc00 && low && *low >= 0xdc00 && *low < 0xe000) {
-        code = 0x10000 + ((code - 0xd800) << 10U) + (*low - 0xdc00);
-        i += 6;
-      } else {
-        code = 0xfffd;
-      }
-    }
-    put_utf8(out, code);
+    const std::size_t control = kControlEscapes.find(kind);
+    out.push_back(control == std::string_view::npos ? kind : kControlCharacters[control]);
   }
   return out;
 }
 
-// Noise among good bytes is seldom good UTF-8.
-bool utf8(std::string_view s) {
-  for (std::size_t i = 0; i < s.size(); ++i) {
-    const auto first = static_cast<unsigned char>(s[i]);
-    const std::size_t more = first < 0x80 ? 0 : first < 0xe0 ? 1 : first < 0xf0 ? 2 : 3;
-    if ((first >= 0x80 && first < 0xc2) || first > 0xf4 || i + more >= s.size()) return false;
-    for (std::size_t end = i + more; i < end;) {
-      if ((static_cast<unsigned char>(s[++i]) & 0xc0U) != 0x80U) return false;
+// How many continuation bytes follow the first byte of a character; nothing where it can't be a first byte.
+std::optional<std::size_t> utf8_continuation_bytes(unsigned char first) {
+  if (first < 0x80) return 0;
+  if (first < 0xc2 || first > 0xf4) return std::nullopt;
+  if (first < 0xe0) return 1;
+  return first < 0xf0 ? 2 : 3;
+}
+
+// Checks the number of bytes of each character: random bytes are seldom valid.
+bool is_utf8(std::string_view text) {
+  std::size_t index = 0;
+  while (index < text.size()) {
+    const auto continuation_bytes = utf8_continuation_bytes(static_cast<unsigned char>(text[index]));
+    if (!continuation_bytes || index + *continuation_bytes >= text.size()) return false;
+    for (std::size_t i = 1; i <= *continuation_bytes; ++i) {
+      if ((static_cast<unsigned char>(text[index + i]) & 0xc0U) != 0x80U) return false;
     }
+    index += 1 + *continuation_bytes;
   }
   return true;
 }
 
+std::string_view without_quotes(std::string_view quoted) { return quoted.substr(1, quoted.size() - 2); }
+
 }  // namespace
 
 std::optional<Json> Json::parse(std::string_view text) {
-  if (!utf8(text)) return std::nullopt;
+  if (!is_utf8(text)) return std::nullopt;
   skip_blanks(text);
   std::string_view rest = text;
   if (!skip_value(rest, 0)) return std::nullopt;
-  const Json found(text.substr(0, text.size() - rest.size()));
+  const Json value(text.substr(0, text.size() - rest.size()));
   skip_blanks(rest);
   if (!rest.empty()) return std::nullopt;
-  return found;
+  return value;
 }
 
 std::optional<double> Json::number() const {
-  double v = 0;
+  double value = 0;
   const char* const end = text_.data() + text_.size();
-  const auto [stop, error] = std::from_chars(text_.data(), end, v);
-  if (error != std::errc() || stop != end || !std::isfinite(v)) return std::nullopt;
-  return v;
+  const auto [stop, error] = std::from_chars(text_.data(), end, value);
+  if (error != std::errc() || stop != end || !std::isfinite(value)) return std::nullopt;
+  return value;
 }
 
-std::optional<bool> Json::truth() const {
+std::optional<bool> Json::boolean() const {
   if (text_ == "true") return true;
   if (text_ == "false") return false;
   return std::nullopt;
 }
 
 std::optional<std::string> Json::text() const {
-  if (!is_text()) return std::nullopt;
-  return unescaped(text_.substr(1, text_.size() - 2));
+  if (!is_string()) return std::nullopt;
+  return unescaped(without_quotes(text_));
 }
 
-void Json::each_member(const std::function<void(const std::string&, const Json&)>& what) const {
+void Json::for_each_member(const std::function<void(const std::string&, const Json&)>& visit) const {
   if (!is_object()) return;
   std::string_view rest = text_.substr(1);
   skip_blanks(rest);
   while (!skip_char(rest, '}')) {
     skip_char(rest, ',');
-    const std::string_view name = next_value(rest);
+    const std::string_view name = take_value(rest);
     skip_blanks(rest);
     skip_char(rest, ':');
-    what(unescaped(name.substr(1, name.size() - 2)), Json(next_value(rest)));
+    visit(unescaped(without_quotes(name)), Json(take_value(rest)));
     skip_blanks(rest);
   }
 }
 
-void Json::each_item(const std::function<void(const Json&)>& what) const {
-  if (!is_list()) return;
+void Json::for_each_element(const std::function<void(const Json&)>& visit) const {
+  if (!is_array()) return;
   std::string_view rest = text_.substr(1);
   skip_blanks(rest);
   while (!skip_char(rest, ']')) {
     skip_char(rest, ',');
-    what(Json(next_value(rest)));
+    visit(Json(take_value(rest)));
     skip_blanks(rest);
   }
 }
 
 std::optional<Json> Json::member(std::string_view name) const {
   std::optional<Json> found;
-  each_member([&](const std::string& key, const Json& value) {
-    if (key == name) found = value;
+  for_each_member([&](const std::string& member_name, const Json& value) {
+    if (member_name == name) found = value;
   });
   return found;
 }
@@ -239,16 +305,16 @@
   return found ? found->text().value_or("") : "";
 }
 
-std::string json_text(std::string_view plain) {
+std::string json_quoted(std::string_view plain) {
   std::string out = "\"";
   for (const char c : plain) {
     if (c == '"' || c == '\\') {
       out.push_back('\\');
       out.push_back(c);
-    } else if (static_cast<unsigned char>(c) < 0x20) {
-      char code[8];
-      std::snprintf(code, sizeof code, "\\u%04x", static_cast<unsigned>(c));
-      out += code;
+    } else if (static_cast<unsigned char>(c) < ' ') {
+      char escape[8];
+      std::snprintf(escape, sizeof escape, "\\u%04x", static_cast<unsigned>(c));
+      out += escape;
     } else {
       out.push_back(c);
     }
--- a/src/protocol/json.hpp
+++ b/src/protocol/json.hpp
@@ -1,4 +1,5 @@
-// JSON as a view of its text: checked once as a whole, then read in place, without types of its own.
+// JSON (RFC 8259) as a view of its text: checked once as a whole, then read in place, without types of its
+// own.
 #pragma once
 #include <functional>
 #include <optional>
@@ -9,30 +10,36 @@
 
 class Json {
  public:
-  // Nothing where the text is not one whole JSON value, or is nested deeper than `kDeepest`. The text must
-  // outlive what is read from it.
+  // Nothing where the text is not one complete JSON value in UTF-8, or is nested deeper than `kMaxDepth`. The
+  // text must outlive what is read from it.
   static std::optional<Json> parse(std::string_view text);
-  static constexpr int kDeepest = 32;
+  static constexpr int kMaxDepth = 32;
 
   bool is_object() const { return text_[0] == '{'; }
-  bool is_list() const { return text_[0] == '['; }
-  bool is_text() const { return text_[0] == '"'; }
+  bool is_array() const { return text_[0] == '['; }
+  bool is_string() const { return text_[0] == '"'; }
   std::string_view raw() const { return text_; }
 
+  // Nothing where the value is of another type; a number also where it is too large for a double.
   std::optional<double> number() const;
-  std::optional<bool> truth() const;
+  std::optional<bool> boolean() const;
   std::optional<std::string> text() const;
-  std::optional<Json> member(std::string_view name) const;  // of an object
+
+  // Of an object: the last member of that name.
+  std::optional<Json> member(std::string_view name) const;
   double number(std::string_view name, double otherwise) const;
   std::string text(std::string_view name) const;  // empty where there is none
-  void each_member(const std::function<void(const std::string&, const Json&)>& what) const;
-  void each_item(const std::function<void(const Json&)>& what) const;
+  // These visit nothing where the value is of another type.
+  void for_each_member(const std::function<void(const std::string&, const Json&)>& visit) const;
+  void for_each_element(const std::function<void(const Json&)>& visit) const;
 
  private:
   explicit Json(std::string_view text) : text_(text) {}
-  std::string_view text_;  // without blanks around it
+
+  std::string_view text_;  // of the value, without blanks around it
 };
 
-std::string json_text(std::string_view plain);  // quoted and escaped
+// A JSON string: quoted and escaped.
+std::string json_quoted(std::string_view plain);
 
 }  // namespace ashbeam
--- /dev/null
+++ b/src/protocol/json_rpc.hpp
@@ -0,0 +1,19 @@
+// JSON-RPC 2.0 requests, one a line.
+#pragma once
+#include <cstdint>
+#include <string>
+#include <string_view>
+
+#include "protocol/json.hpp"
+
+namespace ashbeam {
+
+// With its line end; `params` is a JSON object, or empty for none.
+inline std::string json_rpc_request(std::uint64_t id, std::string_view method, std::string_view params) {
+  std::string line =
+      "{\"jsonrpc\":\"2.0\",\"id\":" + std::to_string(id) + ",\"method\":" + json_quoted(method);
+  if (!params.empty()) line.append(",\"params\":").append(params);
+  return line + "}\n";
+}
+
+}  // namespace ashbeam
--- a/src/protocol/lines.hpp
+++ b/src/protocol/lines.hpp
@@ -1,45 +1,41 @@
-// Lines off a byte stream, at any split, and JSON-RPC calls as lines. No sockets here.
+// Lines off a byte stream, at any split.
 #pragma once
+#include <cstddef>
 #include <string>
 #include <string_view>
-
-#include "protocol/json.hpp"
+#include <utility>
 
 namespace ashbeam {
 
-class Lines {
+class LineReader {
  public:
-  explicit Lines(std::size_t most) : most_(most) {}
-  // Hands on each whole line without its end; false once one is longer than may be, or `what` says that it is
-  // not good.
-  template <class What>
-  bool feed(std::string_view bytes, What&& what) {
+  // `max_bytes` bounds a line, with the CR of its end if it has one.
+  explicit LineReader(std::size_t max_bytes) : max_bytes_(max_bytes) {}
+
+  // Calls `handle` with each complete line, without its end (LF or CR LF). False once a line is too long, or
+  // `handle` returns false: nothing more may be fed then.
+  template <class Handle>
+  bool feed(std::string_view bytes, Handle&& handle) {
     while (!bytes.empty()) {
       const std::size_t end = bytes.find('\n');
-      held_.append(bytes.substr(0, end));
-      if (held_.size() > most_) return false;
+      partial_line_.append(bytes.substr(0, end));
+      if (partial_line_.size() > max_bytes_) return false;
       if (end == std::string_view::npos) return true;
       bytes.remove_prefix(end + 1);
-      if (!held_.empty() && held_.back() == '\r') held_.pop_back();
-      const std::string line = std::move(held_);
-      held_.clear();
-      if (!what(std::string_view(line))) return false;
+      if (!partial_line_.empty() && partial_line_.back() == '\r') partial_line_.pop_back();
+      const std::string line = std::move(partial_line_);
+      partial_line_.clear();
+      if (!handle(std::string_view(line))) return false;
     }
     return true;
   }
-  void clear() { held_.clear(); }
-  bool begun() const { return !held_.empty(); }  // a line without its end yet
+  void clear() { partial_line_.clear(); }
+  // Has a line begun whose end has not come yet?
+  bool has_partial_line() const { return !partial_line_.empty(); }
 
  private:
-  std::size_t most_;
-  std::string held_;
+  std::size_t max_bytes_;
+  std::string partial_line_;
 };
 
-// A call as a line; `params` is a JSON object, or empty for none.
-inline std::string rpc_call(std::uint64_t id, std::string_view method, std::string_view params) {
-  std::string line = "{\"jsonrpc\":\"2.0\",\"id\":" + std::to_string(id) + ",\"method\":" + json_text(method);
-  if (!params.empty()) line.append(",\"params\":").append(params);
-  return line + "}\n";
-}
-
 }  // namespace ashbeam
--- a/src/routing/callers.cpp
+++ b/src/routing/callers.cpp
@@ -9,8 +9,7 @@
 Caller::Caller(Callers& callers, int accepted, std::unique_ptr<TlsStream> veil, std::size_t place)
     : callers_(callers), place_(place), since_(callers.loop_.now()),
       connection_(callers.loop_, callers.limits_, *this, accepted, std::move(veil)),
-      requests_(http::Messages::Side::kRequests, callers.limits_.max_head_bytes,
-                callers.limits_.max_body_bytes),
+      requests_(http::Side::kRequests, callers.limits_.max_head_bytes, callers.limits_.max_body_bytes),
       timer_(callers.loop_, [this] { late(); }) {
   // Guards against clients that connect and say nothing, or never come to an end of what they say.
   serial = ++callers.serials_;
@@ -35,11 +34,11 @@
   std::string_view bytes = connection_.unread();
   if (bytes.empty()) return;
   const std::size_t had = bytes.size();
-  const bool begun = requests_.begun();
+  const bool begun = requests_.started();
   const auto got = requests_.feed(bytes);
   connection_.consume(had - bytes.size());
-  if (got == http::Messages::Got::kMore) {
-    if (!begun && requests_.begun()) {
+  if (got == http::ParseResult::kIncomplete) {
+    if (!begun && requests_.started()) {
       since_ = callers_.loop_.now();
       if (asked_) timer_.in(callers_.limits_.request_read_timeout);
     }
@@ -48,17 +47,17 @@
   }
   timer_.off();
   at_ = At::kAnswering;
-  if (got == http::Messages::Got::kWhole) {
-    last_ = last_ || requests_.last();
+  if (got == http::ParseResult::kComplete) {
+    last_ = last_ || requests_.closes_connection();
     return callers_.came_(*this, requests_);
   }
   last_ = true;
-  const unsigned fault = requests_.fault();
+  const unsigned fault = requests_.error_status();
   answer_plain(fault);
 }
 
 void Caller::answer_plain(unsigned status, std::string_view fields) {
-  const std::string words = std::string(http::reason(status)) + "\n";
+  const std::string words = std::string(http::reason_phrase(status)) + "\n";
   std::string all(fields);
   all += "Content-Type: text/plain\r\nContent-Length: " + std::to_string(words.size()) + "\r\n";
   answer(status, all, words);
@@ -70,7 +69,7 @@
   bad_ = status >= 400 && status < 500;
   last_ = last_ || callers_.winding_down_ || callers_.enough_stand();
   std::string bytes = "HTTP/1.1 " + std::to_string(status) + " ";
-  bytes.append(http::reason(status)).append("\r\n").append(fields);
+  bytes.append(http::reason_phrase(status)).append("\r\n").append(fields);
   if (last_) bytes += "Connection: close\r\n";
   bytes.append("\r\n").append(body);
   timer_.in(callers_.limits_.answer_write_timeout);
@@ -89,7 +88,7 @@
     return linger();
   }
   asked_ = true;
-  requests_.next();
+  requests_.start_next();
   if (bad_) {  // guards against a client that sends the same again as soon as it is turned away
     at_ = At::kPausing;
     return timer_.in(callers_.limits_.bad_request_pause);
@@ -130,8 +129,8 @@
     at_ = At::kReading;
     if (connection_.unread().empty()) return wait_for_more();
   }
-  if (at_ == At::kReading && !connection_.unread().empty() && !requests_.begun()) return on_data();
-  if (at_ == At::kReading && requests_.begun()) {
+  if (at_ == At::kReading && !connection_.unread().empty() && !requests_.started()) return on_data();
+  if (at_ == At::kReading && requests_.started()) {
     at_ = At::kAnswering;
     last_ = true;
     return answer_plain(408);
@@ -194,7 +193,7 @@
   for (const auto& c : callers_) {
     const bool lingers = c->at_ == Caller::At::kLingering, reads = c->at_ == Caller::At::kReading;
     if (!lingers && !reads && c->at_ != Caller::At::kPausing) continue;
-    const bool kept = c->asked_ && reads, begun = reads && c->requests_.begun();
+    const bool kept = c->asked_ && reads, begun = reads && c->requests_.started();
     Span spared = limits_.new_connection_grace;
     if (begun && kept) spared = limits_.partial_request_timeout;
     else if (kept) spared = limits_.min_idle_before_close;
@@ -212,7 +211,7 @@
     }
     return false;
   }
-  if (idlest->at_ == Caller::At::kReading && idlest->requests_.begun()) {
+  if (idlest->at_ == Caller::At::kReading && idlest->requests_.started()) {
     idlest->at_ = Caller::At::kAnswering;
     idlest->last_ = true;
     idlest->answer_plain(503);
@@ -250,7 +249,7 @@
 void Callers::part_idle() {
   const Instant now = loop_.now();
   for (const auto& c : callers_) {
-    const bool reads = c->at_ == Caller::At::kReading && !c->requests_.begun();
+    const bool reads = c->at_ == Caller::At::kReading && !c->requests_.started();
     const bool waited = c->asked_ || now - c->since_ >= limits_.min_idle_before_close;
     if ((reads || c->at_ == Caller::At::kPausing) && waited && c->connection_.is_idle()) c->part();
   }
--- a/src/routing/callers.hpp
+++ b/src/routing/callers.hpp
@@ -45,7 +45,7 @@
   void written();
   void wait_for_more();
   void late();
-  bool stands() const { return at_ == At::kReading && asked_ && !requests_.begun(); }  // between requests
+  bool stands() const { return at_ == At::kReading && asked_ && !requests_.started(); }  // between requests
   void linger();  // no more is written, what still comes is read and dropped, up to the client's end
   void part();    // ends it between requests: no more is written, what crosses that is read and dropped
   Callers& callers_;
@@ -57,14 +57,14 @@
   bool parted_ = false;  // ended between requests
   Instant since_;
   Connection connection_;
-  http::Messages requests_;
+  http::MessageParser requests_;
   Timer timer_;
 };
 
 class Callers {
  public:
   // A whole request: answer it on the caller now or later. A caller that has gone must not be answered.
-  using Came = std::function<void(Caller&, http::Messages&)>;
+  using Came = std::function<void(Caller&, http::MessageParser&)>;
   using Left = std::function<void(Caller&)>;
   Callers(EventLoop& loop, const Limits& limits, const std::string& address, Came came, Left left,
           Left overdue);
--- a/src/routing/discovery.cpp
+++ b/src/routing/discovery.cpp
@@ -27,12 +27,12 @@
   const auto entries = list->member("targets");
   const double version = list->number("rev", -1);
   const auto whole = list->member("all");
-  if (!entries || !entries->is_list() || !whole || !whole->truth() || version < 0 || version > 9e15)
+  if (!entries || !entries->is_array() || !whole || !whole->boolean() || version < 0 || version > 9e15)
     return false;
   // Guards against entries spoilt on their way: asked for again, the line comes whole. If it does not, that
   // is how discovery has it, and the rest counts.
   bool good = true;
-  entries->each_item([&](const Json& entry) { good = good && readable(entry); });
+  entries->for_each_element([&](const Json& entry) { good = good && readable(entry); });
   const auto at = static_cast<std::uint64_t>(version);
   if (!good && doubted_ != at) return doubted_ = at, false;
   if (any_ && at < version_) {
@@ -40,15 +40,15 @@
     if (stands_) return true;
     // At a watch's beginning it may be that discovery counts anew, or that it lags behind itself: it is asked
     // once more, from nothing where it sent changes alone, and believed then.
-    if (!*whole->truth()) return any_ = false, false;
+    if (!*whole->boolean()) return any_ = false, false;
     if (!older_) return older_ = true, false;
   }
   older_ = false;
   version_ = at;
   any_ = true;
   detail_.line(LogTopic::kDiscovery, loop_.now(), "discovery: version %llu%s",
-               static_cast<unsigned long long>(at), *whole->truth() ? ", whole" : "");
-  events_.listed(*whole->truth(), *entries);
+               static_cast<unsigned long long>(at), *whole->boolean() ? ", whole" : "");
+  events_.listed(*whole->boolean(), *entries);
   return true;
 }
 
@@ -116,7 +116,9 @@
   begin(stood && in_place_ == 1 ? limits_.replacement_watch_timeout : limits_.discovery_call_timeout);
 }
 
-bool Discovery::begun() const { return in_body_ && (!stands_ || lines_.begun() || body_.begun()); }
+bool Discovery::begun() const {
+  return in_body_ && (!stands_ || lines_.has_partial_line() || body_.inside_chunk());
+}
 
 void Discovery::watch_for_stall() {
   if (!begun()) return stall_.off();
@@ -144,11 +146,11 @@
                  static_cast<unsigned long long>(bytes_), (loop_.now() - begun_at_).ms());
   if (!in_body_) {
     const auto got = head_.feed(bytes);
-    if (got == http::Head::Got::kMore) return connection_->consume(had);
-    if (got != http::Head::Got::kWhole) return fail("answers no HTTP");
-    if (head_.word(1) != "200") return fail("has no answer");
-    if (head_.says("Transfer-Encoding", "chunked")) body_.by_chunks();
-    else body_.until_end();
+    if (got == http::ParseResult::kIncomplete) return connection_->consume(had);
+    if (got != http::ParseResult::kComplete) return fail("answers no HTTP");
+    if (head_.status_code() != "200") return fail("has no answer");
+    if (head_.has_token("Transfer-Encoding", "chunked")) body_.expect_chunks();
+    else body_.expect_until_stream_ends();
     in_body_ = true;
   }
   events_.list_begun();
@@ -156,10 +158,11 @@
   plain_.clear();
   const auto got = body_.feed(bytes, raw_, &plain_);
   connection_->consume(had);
-  if (got == http::Body::Got::kBad || got == http::Body::Got::kTooLong) return fail("sends no good chunks");
+  if (got == http::ParseResult::kInvalid || got == http::ParseResult::kTooLong)
+    return fail("sends no good chunks");
   const bool good = lines_.feed(plain_, [&](std::string_view text) { return line(text); });
   if (!good) return fail("sends a line that is no list");
-  if (got == http::Body::Got::kWhole) return fail("ended");
+  if (got == http::ParseResult::kComplete) return fail("ended");
   watch_for_stall();
 }
 
@@ -169,9 +172,9 @@
                  "discovery: call %llu closed: %s, after %.1f ms, %llu bytes, %s", calls_number(), why,
                  (loop_.now() - begun_at_).ms(), static_cast<unsigned long long>(bytes_),
                  connection_->connecting() ? "not connected"
-                 : stands_              ? "watch stood"
-                 : in_body_             ? "line begun"
-                                        : "no answer");
+                 : stands_                 ? "watch stood"
+                 : in_body_                ? "line begun"
+                                           : "no answer");
   }
   silence_.off();
   stall_.off();
--- a/src/routing/discovery.hpp
+++ b/src/routing/discovery.hpp
@@ -7,6 +7,7 @@
 #include "base/detail_log.hpp"
 #include "base/limits.hpp"
 #include "protocol/http.hpp"
+#include "protocol/json.hpp"
 #include "protocol/lines.hpp"
 #include "transport/connection.hpp"
 #include "transport/event_loop.hpp"
@@ -66,7 +67,7 @@
   http::Body body_;
   bool in_body_ = false;
   std::string raw_, plain_;
-  Lines lines_;
+  LineReader lines_;
   // For the log: calls so far, when the one at hand began, and the bytes that came on it.
   std::uint64_t calls_ = 0, bytes_ = 0;
   Instant begun_at_;
--- a/src/routing/host_pools.cpp
+++ b/src/routing/host_pools.cpp
@@ -12,7 +12,7 @@
   Link(HostPools& pools, EndpointIndex host, std::size_t place)
       : pools_(pools), host_(host), place_(place),
         connection_(pools.loop_, pools.limits_, *this, pools.hosts_[host].address),
-        answers_(http::Messages::Side::kAnswers, pools.limits_.max_head_bytes, pools.limits_.max_body_bytes),
+        answers_(http::Side::kAnswers, pools.limits_.max_head_bytes, pools.limits_.max_body_bytes),
         timer_(pools.loop_, [this] { late(); }) {}
 
   EndpointIndex host() const { return host_; }
@@ -30,7 +30,7 @@
   void send(Bytes bytes, Instant until, Next next) {
     next_ = std::move(next);
     until_ = until;
-    answers_.next();
+    answers_.start_next();
     if (!connection_.connecting()) return timer_.at(until), connection_.write(bytes(until));
     bytes_ = std::move(bytes);
     timer_.at(std::min(until, pools_.loop_.now() + pools_.connect_));
@@ -62,22 +62,22 @@
   void on_data() override {
     std::string_view bytes = connection_.unread();
     const std::size_t had = bytes.size();
-    const auto got = waiting() ? answers_.feed(bytes) : http::Messages::Got::kBad;
+    const auto got = waiting() ? answers_.feed(bytes) : http::ParseResult::kInvalid;
     connection_.consume(had - bytes.size());
-    if (got == http::Messages::Got::kMore) return;
+    if (got == http::ParseResult::kIncomplete) return;
     if (!waiting()) {
       pools_.hosts_[host_].unasked_at = pools_.loop_.now();
       return pools_.remove(this);
     }
-    if (got == http::Messages::Got::kBad) return finish(unless_unwritten(AttemptResult::kReset), true);
+    if (got == http::ParseResult::kInvalid) return finish(unless_unwritten(AttemptResult::kReset), true);
     if (!bytes.empty()) pools_.hosts_[host_].unasked_at = pools_.loop_.now();
-    answered(bytes.empty() && !answers_.last());
+    answered(bytes.empty() && !answers_.closes_connection());
   }
 
   void on_closed() override {
     if (!waiting()) return pools_.remove(this);
     // Only an end in order ends a body of no length: a reset may come in the midst of it.
-    if (!connection_.broken() && answers_.stream_ended() == http::Messages::Got::kWhole)
+    if (!connection_.broken() && answers_.end_of_stream() == http::ParseResult::kComplete)
       return answered(false);
     finish(unless_unwritten(AttemptResult::kReset), true);
   }
@@ -109,7 +109,7 @@
   EndpointIndex host_;
   std::size_t place_;
   Connection connection_;
-  http::Messages answers_;
+  http::MessageParser answers_;
   Timer timer_;
   Next next_;
   Bytes bytes_;  // until the connection is there
--- a/src/routing/host_pools.hpp
+++ b/src/routing/host_pools.hpp
@@ -17,7 +17,7 @@
  public:
   class Link;  // one connection
   // What comes next for a forward. The answer stands during the call only; there is none where none came.
-  using Next = std::function<void(AttemptResult, const http::Messages*)>;
+  using Next = std::function<void(AttemptResult, const http::MessageParser*)>;
 
   // `connect` bounds how long a forward waits to be written.
   HostPools(EventLoop& loop, const Limits& limits, Span connect);
--- a/src/routing/release_client.cpp
+++ b/src/routing/release_client.cpp
@@ -3,6 +3,8 @@
 #include <algorithm>
 #include <utility>
 
+#include "protocol/json_rpc.hpp"
+
 namespace ashbeam {
 
 namespace {
@@ -52,7 +54,7 @@
 
 void ReleaseClient::call(const char* method, const std::string& params, bool vote) {
   calls_.push_back({next_id_, vote, loop_.now() + limits_.platform_answer_timeout});
-  connection_->write(rpc_call(next_id_++, method, params));
+  connection_->write(json_rpc_request(next_id_++, method, params));
   if (vote && !answers_.armed()) answers_.at(calls_.back().until);
 }
 
--- a/src/routing/release_client.hpp
+++ b/src/routing/release_client.hpp
@@ -9,6 +9,7 @@
 #include "base/limits.hpp"
 #include "base/pcg.hpp"
 #include "policy/router_policy.hpp"
+#include "protocol/json.hpp"
 #include "protocol/lines.hpp"
 #include "transport/connection.hpp"
 #include "transport/event_loop.hpp"
@@ -55,7 +56,7 @@
   Answered answered_;
   Note note_;
   std::unique_ptr<Connection> connection_;
-  Lines lines_;
+  LineReader lines_;
   std::deque<Call> calls_;  // written, not answered
   std::uint64_t next_id_ = 1;
   bool opened_ = false;
--- a/src/routing/service.cpp
+++ b/src/routing/service.cpp
@@ -21,14 +21,14 @@
 bool goes_on(const http::Head& head, std::string_view name) {
   for (const char* own : {"Connection", "Keep-Alive", "Proxy-Connection", "TE", "Upgrade", "Expect",
                           "X-Time-Left-Ms", "X-Backend-Load", "X-Unprocessed"}) {
-    if (http::same_name(name, own)) return false;
+    if (http::field_names_equal(name, own)) return false;
   }
   // Guards against a sender that names as its connection's own what a message's end or name hangs on.
   for (const char* always :
        {"Host", "Content-Length", "Transfer-Encoding", "X-Correlation-Id", "Idempotency-Key"}) {
-    if (http::same_name(name, always)) return true;
+    if (http::field_names_equal(name, always)) return true;
   }
-  return !head.says("Connection", name);
+  return !head.has_token("Connection", name);
 }
 
 std::string kept_lines(const http::Head& head) {
@@ -53,7 +53,7 @@
   std::string lines;
   for (const http::Field& f : head.fields()) {
     if (!goes_on(head, f.name) || says_caller(f.name)) continue;
-    if (!who.caller.empty() && !token_goes_on && http::same_name(f.name, "Authorization")) continue;
+    if (!who.caller.empty() && !token_goes_on && http::field_names_equal(f.name, "Authorization")) continue;
     lines += f.line;
   }
   if (!who.caller.empty()) lines.append("X-Caller: ").append(who.caller).append("\r\n");
@@ -74,7 +74,7 @@
 // Calls back with each name=value of a comma-separated list whose value is a number.
 template <class What>
 void each_figure(std::string_view list, What&& what) {
-  http::each_listed(list, [&](std::string_view one) {
+  http::for_each_list_element(list, [&](std::string_view one) {
     const std::size_t eq = one.find('=');
     if (eq == std::string_view::npos) return;
     const std::string_view text = one.substr(eq + 1);
@@ -104,7 +104,7 @@
                  const Site& site, Note note)
     : loop_(loop), limits_(limits), door_(door), site_(site), note_(std::move(note)), detail_(note_),
       callers_(
-          loop, limits, site.listen, [this](Caller& c, http::Messages& m) { came(c, m); },
+          loop, limits, site.listen, [this](Caller& c, http::MessageParser& m) { came(c, m); },
           [this](Caller& c) { left(c); }, [this](Caller& c) { overdue(c.hit); }),
       pools_(loop, limits, std::min(limits.connect_timeout, terms.drain_grace * 0.5)),
       lease_(lease_terms(limits, terms, pools_.connect())),
@@ -153,12 +153,12 @@
 
 // ---- Clients ----
 
-void Service::came(Caller& caller, http::Messages& request) {
+void Service::came(Caller& caller, http::MessageParser& request) {
   const http::Head& head = request.head();
-  std::string_view path = head.word(1);
+  std::string_view path = head.target();
   path = path.substr(0, path.find('?'));
   if (path == "/health/ready") {
-    if (head.word(0) != "GET") return caller.answer_plain(405, "Allow: GET\r\n");
+    if (head.method() != "GET") return caller.answer_plain(405, "Allow: GET\r\n");
     return caller.answer_plain(ready_ && !winding_down_ ? 200 : 503);
   }
   const Instant now = loop_.now();
@@ -174,9 +174,9 @@
   if (group >= door_.request_classes.size()) return caller.answer_plain(404);
   const Idempotency repeats = repeats_[group];
   const std::string method = repeats == Idempotency::kIdempotent ? "GET" : "POST";
-  if (head.word(0) != method) return caller.answer_plain(405, "Allow: " + method + "\r\n");
+  if (head.method() != method) return caller.answer_plain(405, "Allow: " + method + "\r\n");
   if (unclear(head, repeats, limits_.max_request_id_bytes)) return caller.answer_plain(400);
-  const auto left_ms = http::whole_number(*head.find("X-Time-Left-Ms"));
+  const auto left_ms = http::parse_decimal(*head.find("X-Time-Left-Ms"));
   // What may run again has no body: a host might take one for a request behind it.
   if (!left_ms || (repeats == Idempotency::kIdempotent && !request.raw_body().empty()))
     return caller.answer_plain(400);
@@ -204,7 +204,7 @@
   hit.ticket = ticket;
   if (warden_) {
     std::string_view file;
-    const std::string_view whole = head.word(1);
+    const std::string_view whole = head.target();
     const std::uint32_t repository = warden_->repository_of(whole.substr(0, whole.find('?')), file);
     if (repository != metadata::MetadataVerifier::kNone) {
       // Who has proven nothing is known by the connection.
@@ -212,7 +212,7 @@
       hit.metadata = std::make_unique<Metadata>(Metadata{repository, std::string(file), client, {}});
     }
   }
-  hit.head.assign(head.first_line());
+  hit.head.assign(head.start_line());
   hit.head += gate_ ? vouched_lines(head, who, token_goes_on_) : kept_lines(head);
   hit.body = request.take_raw_body();
   caller.answer_by(give_up_at + limits_.overdue_answer_delay);
@@ -368,14 +368,14 @@
 
 // ---- Metadata ----
 
-bool Service::fit(Hit& hit, EndpointIndex host, const http::Messages& answer) {
+bool Service::fit(Hit& hit, EndpointIndex host, const http::MessageParser& answer) {
   std::string plain;
   metadata::Refusal why;
   if (answer.head().find("Content-Encoding")) {
     why = {metadata::Why::kUnreadable, "a coded body", "TUF 4.1"};
   } else if (answer.head().find("Transfer-Encoding")) {
     http::Body body(limits_.max_body_bytes);
-    body.by_chunks();
+    body.expect_chunks();
     std::string_view bytes = answer.raw_body();
     std::string raw;
     body.feed(bytes, raw, &plain);
@@ -415,8 +415,8 @@
   hit.legs.push_back({host, now, nullptr});
   ++hit.out;
   ++hosts_[host].out;
-  hit.legs.back().link =
-      pools_.send(host, bytes, until, [this, id, leg](AttemptResult result, const http::Messages* answer) {
+  hit.legs.back().link = pools_.send(
+      host, bytes, until, [this, id, leg](AttemptResult result, const http::MessageParser* answer) {
         forward_ended(id, leg, result, answer);
       });
 }
@@ -429,7 +429,8 @@
   pools_.cancel(link);
 }
 
-void Service::forward_ended(RequestId id, unsigned leg, AttemptResult result, const http::Messages* answer) {
+void Service::forward_ended(RequestId id, unsigned leg, AttemptResult result,
+                            const http::MessageParser* answer) {
   Hit& hit = hits_[id];
   Leg& forward = hit.legs[leg];
   const Instant opened = HostPools::opened_at(forward.link);
@@ -456,7 +457,7 @@
   if (result == AttemptResult::kOk) {
     if (Caller* const caller = take_caller(id)) {
       std::string fields = kept_lines(answer->head());
-      if (answer->body_by_stream_end())
+      if (answer->body_ends_with_stream())
         fields += "Content-Length: " + std::to_string(answer->raw_body().size()) + "\r\n";
       caller->answer(status, fields, answer->raw_body());
       terminal = true;
@@ -499,7 +500,7 @@
   if (whole) {
     for (Known& known : hosts_) known.listed = false;
   }
-  entries.each_item([this](const Json& entry) { list_entry(entry); });
+  entries.for_each_element([this](const Json& entry) { list_entry(entry); });
   if (whole) {
     for (EndpointIndex h = 0; h < hosts_.size(); ++h) {
       if (hosts_[h].listed || hosts_[h].gone_at < Instant::never()) continue;
--- a/src/routing/service.hpp
+++ b/src/routing/service.hpp
@@ -127,12 +127,12 @@
   void refuse(Caller& caller, calling::Refusal why, Span retry_after);
   void tell_refused();
   // Is this answer fit for the client? What is not counts as an error of its host.
-  bool fit(Hit& hit, EndpointIndex host, const http::Messages& answer);
+  bool fit(Hit& hit, EndpointIndex host, const http::MessageParser& answer);
 
   // What comes in.
-  void came(Caller& caller, http::Messages& request);
+  void came(Caller& caller, http::MessageParser& request);
   void left(Caller& caller);
-  void forward_ended(RequestId id, unsigned leg, AttemptResult result, const http::Messages* answer);
+  void forward_ended(RequestId id, unsigned leg, AttemptResult result, const http::MessageParser* answer);
   void recall_earlier(std::uint64_t key, double build);
   void listed(bool whole, const Json& entries) override;
   void list_confirmed() override;
--- a/src/tokens/jws.cpp
+++ b/src/tokens/jws.cpp
@@ -16,7 +16,7 @@
   if (!all || !all->is_object()) return std::nullopt;
   std::set<std::string> names;
   bool twice = false;
-  all->each_member(
+  all->for_each_member(
       [&](const std::string& name, const Json&) { twice = twice || !names.insert(name).second; });
   return twice ? std::nullopt : all;
 }
@@ -86,7 +86,7 @@
       good = good && text && text->size() <= kLongestName && c.audiences.size() < kMostAudiences;
       if (good) c.audiences.push_back(*text);
     };
-    if (aud->is_list()) aud->each_item(one);
+    if (aud->is_array()) aud->for_each_element(one);
     else one(*aud);
   }
   if (const auto cnf = all->member("cnf")) {
@@ -103,7 +103,7 @@
 
 std::string issue(const Key& key, std::string_view kid, std::string_view payload) {
   const std::string header = R"({"alg":")" + std::string(name_of(key.algorithm())) +
-                             R"(","typ":"JWT","kid":)" + json_text(kid) + "}";
+                             R"(","typ":"JWT","kid":)" + json_quoted(kid) + "}";
   const std::string input = to_base64url(header) + "." + to_base64url(payload);
   return input + "." + to_base64url(key.sign(input));
 }
--- a/src/tokens/keys.cpp
+++ b/src/tokens/keys.cpp
@@ -196,7 +196,8 @@
 std::optional<Listed> read_key(const Json& key) {
   std::set<std::string> names;
   bool twice = false;
-  key.each_member([&](const std::string& name, const Json&) { twice = twice || !names.insert(name).second; });
+  key.for_each_member(
+      [&](const std::string& name, const Json&) { twice = twice || !names.insert(name).second; });
   if (twice) throw std::runtime_error("a member stands twice");
   const std::string kind = key.text("kty"), curve = key.text("crv"), use = key.text("use"),
                     alg = key.text("alg");
@@ -224,12 +225,12 @@
   KeySet set;
   const auto whole = text.size() <= kLongestSet ? Json::parse(text) : std::nullopt;
   const auto keys = whole && whole->is_object() ? whole->member("keys") : std::nullopt;
-  if (!keys || !keys->is_list()) {
+  if (!keys || !keys->is_array()) {
     set.problem = "wanted a JSON object with a list 'keys'";
     return set;
   }
   unsigned at = 0;
-  keys->each_item([&](const Json& key) {
+  keys->for_each_element([&](const Json& key) {
     ++at;
     if (!set.problem.empty()) return;
     try {
@@ -250,7 +251,7 @@
 std::string key_set_text(const std::vector<Listed>& keys) {
   std::string all = "{\"keys\":[";
   for (const Listed& l : keys) {
-    all += std::string(all.back() == '[' ? "\n" : ",\n") + "{\"kid\":" + json_text(l.kid) + "," +
+    all += std::string(all.back() == '[' ? "\n" : ",\n") + "{\"kid\":" + json_quoted(l.kid) + "," +
            l.key.members(false);
     const auto time = [&](const char* name, double s) {
       if (s > 0) all += std::string(",\"") + name + "\":" + std::to_string(static_cast<long long>(s));
--- a/src/transport/failure.hpp
+++ b/src/transport/failure.hpp
@@ -1,4 +1,4 @@
-// Why a connection could not be made or did not last: what this machine refused, told apart from what the
+// Why a connection could not be made or did not last: what this machine refused, kept distinct from what the
 // other side did. An error of this machine (no descriptor, no port, no memory, no route) says nothing about
 // the other one. Source: socket(7), connect(2), send(2) and recv(2) of Linux.
 #pragma once
--- a/tests/protocol_test.cpp
+++ b/tests/protocol_test.cpp
@@ -1,4 +1,4 @@
-// The parsers: every split point, the bad-input table, and generated garbage.
+// The parsers of src/protocol/: every split of valid input, a table of invalid requests, and generated input.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -10,58 +10,65 @@
 namespace ashbeam {
 namespace {
 
-using http::Messages;
+using http::MessageParser;
+using http::ParseResult;
 
-// What one message and then another come to, fed in two pieces split at `at`; -1 where it is not whole.
-int outcome(Messages& messages, std::string_view first, std::string_view second = {}) {
+// Feeds two pieces, the second unless the first is a message or invalid already.
+ParseResult feed_pieces(MessageParser& parser, std::string_view first, std::string_view second = {}) {
+  ParseResult result = ParseResult::kIncomplete;
   for (std::string_view piece : {first, second}) {
-    const auto got = messages.feed(piece);
-    if (got == Messages::Got::kBad) return static_cast<int>(messages.fault());
-    if (got == Messages::Got::kWhole) return 0;
+    result = parser.feed(piece);
+    if (result != ParseResult::kIncomplete) break;
   }
-  return -1;
+  return result;
 }
 
-TEST(Http, AMessageIsTheSameAtEverySplit) {
-  const std::string plain =
+TEST(HttpMessageParser, AMessageIsTheSameAtEverySplit) {
+  const std::string with_length =
       "POST /book/7?x=1 HTTP/1.1\r\nHost: a\r\ncontent-length:  5 \r\nX-Odd:\r\n\r\nhello";
   const std::string chunked =
       "POST /book HTTP/1.1\r\nTransfer-Encoding: "
       "Chunked\r\n\r\n3;ext=1\r\nabc\r\n1f\r\n0123456789012345678901234567890"
       "\r\n0\r\nTrailer: x\r\n\r\n";
-  for (const std::string& text : {plain, chunked}) {
+  for (const std::string& text : {with_length, chunked}) {
     const std::string body = text.substr(text.find("\r\n\r\n") + 4);
-    for (std::size_t at = 0; at <= text.size(); ++at) {
-      Messages m(Messages::Side::kRequests, 1024, 1024);
-      ASSERT_EQ(outcome(m, text.substr(0, at), text.substr(at)), 0) << at;
-      EXPECT_EQ(m.raw_body(), body) << at;
-      EXPECT_EQ(m.head().word(0), "POST");
+    for (std::size_t split = 0; split <= text.size(); ++split) {
+      MessageParser parser(http::Side::kRequests, 1024, 1024);
+      ASSERT_EQ(feed_pieces(parser, text.substr(0, split), text.substr(split)), ParseResult::kComplete)
+          << split;
+      EXPECT_EQ(parser.raw_body(), body) << split;
+      EXPECT_EQ(parser.head().method(), "POST");
     }
   }
 }
 
-TEST(Http, OneByteAtATimeAndTheNextMessageStaysUnread) {
+TEST(HttpMessageParser, OneByteAtATimeAndTheNextMessageStaysUnread) {
   const std::string text =
       "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\nA: b, close\r\n\r\nokHTTP/1.1";
-  Messages m(Messages::Side::kAnswers, 256, 256);
+  MessageParser parser(http::Side::kAnswers, 256, 256);
   std::size_t used = 0;
   while (used < text.size()) {
-    std::string_view one = std::string_view(text).substr(used, 1);
-    const auto got = m.feed(one);
-    ASSERT_NE(got, Messages::Got::kBad);
+    std::string_view byte = std::string_view(text).substr(used, 1);
+    const ParseResult result = parser.feed(byte);
+    ASSERT_NE(result, ParseResult::kInvalid);
     ++used;
-    if (got == Messages::Got::kWhole) break;
+    if (result == ParseResult::kComplete) break;
   }
   EXPECT_EQ(text.substr(used), "HTTP/1.1");
-  EXPECT_EQ(m.status(), 200U);
-  EXPECT_EQ(m.raw_body(), "ok");
-  EXPECT_TRUE(m.head().says("a", "CLOSE"));
-  EXPECT_FALSE(m.last());
+  EXPECT_EQ(parser.status(), 200U);
+  EXPECT_EQ(parser.raw_body(), "ok");
+  EXPECT_TRUE(parser.head().has_token("a", "CLOSE"));
+  EXPECT_FALSE(parser.closes_connection());
 }
 
-TEST(Http, BadRequestsAreNamed) {
+struct InvalidRequest {
+  std::string bytes;
+  unsigned error_status;
+};
+
+TEST(HttpMessageParser, InvalidRequestsHaveTheirStatus) {
   const std::string ok = "GET / HTTP/1.1\r\n";
-  const std::pair<std::string, int> table[] = {
+  const InvalidRequest requests[] = {
       {ok + "Content-Length: 1\r\nContent-Length: 1\r\n\r\na", 400},
       {ok + "Content-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n", 400},
       {ok + "Content-Length: +1\r\n\r\na", 400},
@@ -92,25 +99,30 @@
       {"nonsense\r\n\r\n", 400},
       {ok + std::string(300, 'a'), 431},
   };
-  for (const auto& [text, fault] : table) {
-    for (std::size_t at = 0; at <= text.size(); at += 3) {
-      Messages m(Messages::Side::kRequests, 256, 64);
-      EXPECT_EQ(outcome(m, text.substr(0, at), text.substr(at)), fault) << text;
+  for (const InvalidRequest& request : requests) {
+    const std::string& bytes = request.bytes;
+    for (std::size_t split = 0; split <= bytes.size(); split += 3) {
+      MessageParser parser(http::Side::kRequests, 256, 64);
+      EXPECT_EQ(feed_pieces(parser, bytes.substr(0, split), bytes.substr(split)), ParseResult::kInvalid)
+          << bytes;
+      EXPECT_EQ(parser.error_status(), request.error_status) << bytes;
     }
   }
 }
 
-TEST(Http, AnAnswerMayEndWithItsStream) {
-  Messages m(Messages::Side::kAnswers, 256, 64);
-  EXPECT_EQ(outcome(m, "HTTP/1.1 200 OK\r\n\r\npart"), -1);
-  EXPECT_EQ(m.stream_ended(), Messages::Got::kWhole);
-  EXPECT_EQ(m.raw_body(), "part");
-  EXPECT_TRUE(m.last());
-  m.next();
-  EXPECT_EQ(outcome(m, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\npart"), -1);
-  EXPECT_EQ(m.stream_ended(), Messages::Got::kBad);
-  m.next();
-  EXPECT_EQ(outcome(m, "HTTP/1.1 2x0 OK\r\n\r\n"), 400);
+TEST(HttpMessageParser, AnAnswerMayEndWithItsStream) {
+  MessageParser parser(http::Side::kAnswers, 256, 64);
+  EXPECT_EQ(feed_pieces(parser, "HTTP/1.1 200 OK\r\n\r\npart"), ParseResult::kIncomplete);
+  EXPECT_EQ(parser.end_of_stream(), ParseResult::kComplete);
+  EXPECT_EQ(parser.raw_body(), "part");
+  EXPECT_TRUE(parser.closes_connection());
+  parser.start_next();
+  EXPECT_EQ(feed_pieces(parser, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\npart"),
+            ParseResult::kIncomplete);
+  EXPECT_EQ(parser.end_of_stream(), ParseResult::kInvalid);
+  parser.start_next();
+  EXPECT_EQ(feed_pieces(parser, "HTTP/1.1 2x0 OK\r\n\r\n"), ParseResult::kInvalid);
+  EXPECT_EQ(parser.error_status(), 400U);
 }
 
 TEST(Json, ValuesAreReadInPlace) {
@@ -119,18 +131,18 @@
   const auto json = Json::parse(text);
   ASSERT_TRUE(json);
   std::vector<std::string> items;
-  json->member("a")->each_item([&](const Json& v) { items.emplace_back(v.raw()); });
+  json->member("a")->for_each_element([&](const Json& item) { items.emplace_back(item.raw()); });
   ASSERT_EQ(items.size(), 3U);
   EXPECT_EQ(Json::parse(items[1])->number(), -25.0);
   EXPECT_EQ(Json::parse(items[2])->text("b"), "x\"\xc3\xa9\xf0\x9f\x98\x80\xef\xbf\xbd");
-  EXPECT_EQ(json->member("t")->truth(), true);
+  EXPECT_EQ(json->member("t")->boolean(), true);
   EXPECT_EQ(json->number("n", 7), 7);
   EXPECT_EQ(json->text("a2"), "\n");
   EXPECT_FALSE(json->member("none"));
-  EXPECT_EQ(Json::parse(json_text("q\"\\\x01z"))->text(), "q\"\\\x01z");
+  EXPECT_EQ(Json::parse(json_quoted("q\"\\\x01z"))->text(), "q\"\\\x01z");
 }
 
-TEST(Json, WhatIsNoneIsRefused) {
+TEST(Json, InvalidTextIsRefused) {
   for (const char* text : {"",    "{",     "{\"a\"}", "{\"a\":}", "[1,]",        "[1 2]",       "01",
                            "1.",  "-",     "1e",      "\"\\x\"",  "\"\\u12g4\"", "\"a\nb\"",    "tru",
                            "{}x", "{a:1}", "\"open",  "\"\xff\"", "\"\xc3\"",    "\"\xe2\x82\""}) {
@@ -140,23 +152,27 @@
   EXPECT_FALSE(Json::parse("1e999")->number());
 }
 
-TEST(Lines, AnySplitAndABound) {
+TEST(LineReader, AnySplitAndABound) {
   const std::string text = "one\r\n\ntwo\nrest";
-  for (std::size_t at = 0; at <= text.size(); ++at) {
-    Lines lines(8);
-    std::vector<std::string> got;
-    for (const std::string& piece : {text.substr(0, at), text.substr(at)}) {
-      ASSERT_TRUE(lines.feed(piece, [&](std::string_view line) { return got.emplace_back(line), true; }));
-    }
-    EXPECT_EQ(got, (std::vector<std::string>{"one", "", "two"}));
+  for (std::size_t split = 0; split <= text.size(); ++split) {
+    LineReader reader(8);
+    std::vector<std::string> lines;
+    const auto keep = [&](std::string_view line) {
+      lines.emplace_back(line);
+      return true;
+    };
+    for (const std::string& piece : {text.substr(0, split), text.substr(split)})
+      ASSERT_TRUE(reader.feed(piece, keep));
+    EXPECT_EQ(lines, (std::vector<std::string>{"one", "", "two"}));
   }
-  Lines lines(8);
-  EXPECT_FALSE(lines.feed("012345678", [](std::string_view) { return true; }));
+  LineReader reader(8);
+  EXPECT_FALSE(reader.feed("012345678", [](std::string_view) { return true; }));
 }
 
-// Pieces of good input shuffled with noise: nothing may crash, read outside, or take more than it was given.
-TEST(Parsers, GarbageIsSurvived) {
-  std::mt19937 chance(7);
+// Pieces of valid input shuffled with random bytes: nothing may crash, read outside, or take more than it was
+// given.
+TEST(Parsers, GeneratedInputIsSurvived) {
+  std::mt19937 random(7);
   const std::string pieces[] = {"GET /a HTTP/1.1\r\n",
                                 "HTTP/1.1 200 OK\r\n",
                                 "Content-Length: 3\r\n",
@@ -175,29 +191,30 @@
                                 std::string(1, '\0'),
                                 "abc",
                                 "0\r\n\r\n"};
-  unsigned whole = 0, parsed = 0;
+  unsigned complete_messages = 0;
+  unsigned parsed_values = 0;
   for (int round = 0; round < 20000; ++round) {
     std::string text;
-    for (auto n = chance() % 8; n-- > 0;) {
+    for (auto n = random() % 8; n-- > 0;) {
       text +=
-          chance() % 4 ? pieces[chance() % std::size(pieces)] : std::string(1, static_cast<char>(chance()));
+          random() % 4 ? pieces[random() % std::size(pieces)] : std::string(1, static_cast<char>(random()));
     }
-    for (const auto side : {Messages::Side::kRequests, Messages::Side::kAnswers}) {
-      Messages m(side, 64, 64);
+    for (const auto side : {http::Side::kRequests, http::Side::kAnswers}) {
+      MessageParser parser(side, 64, 64);
       std::string_view rest = text;
-      const auto got = m.feed(rest);
+      const ParseResult result = parser.feed(rest);
       ASSERT_LE(rest.size(), text.size());
-      whole += got == Messages::Got::kWhole;
-      m.stream_ended();
+      if (result == ParseResult::kComplete) ++complete_messages;
+      parser.end_of_stream();
     }
     if (const auto json = Json::parse(text)) {
-      ++parsed;
-      json->each_member([](const std::string&, const Json& v) { v.text(); });
-      json->each_item([](const Json& v) { v.number(); });
+      ++parsed_values;
+      json->for_each_member([](const std::string&, const Json& value) { value.text(); });
+      json->for_each_element([](const Json& value) { value.number(); });
     }
   }
-  EXPECT_GT(whole, 20U);
-  EXPECT_GT(parsed, 20U);
+  EXPECT_GT(complete_messages, 20U);
+  EXPECT_GT(parsed_values, 20U);
 }
 
 }  // namespace
