--- a/src/program/access_config_loader.cpp
+++ b/src/program/access_config_loader.cpp
@@ -64,7 +64,7 @@
     return taken_ + 2;
   }
   begin_reading();
-  worker_->run([this, by = reading_by_]() -> std::function<void()> {
+  worker_->submit([this, by = reading_by_]() -> std::function<void()> {
     return [this, fresh = by->read("")] {
       reading_ = false;
       ++taken_;
@@ -87,7 +87,7 @@
     note_("calling: reading keys and files has taken 5 s and goes on; the old ring and rights stand");
   if (reading_ || standing_.calling->keys.empty() || now - reading_since_ < standing_.calling->reread) return;
   begin_reading();
-  worker_->run(
+  worker_->submit(
       [this, by = reading_by_, folder = standing_.calling->keys, stamp = stamp_]() -> std::function<void()> {
         Fresh fresh;
         bool changed = true;
--- a/src/store/files.cpp
+++ b/src/store/files.cpp
@@ -13,107 +13,129 @@
 
 namespace {
 
-constexpr std::size_t kMostFiles = 64;
+constexpr std::size_t kReadBytes = std::size_t{16} * 1024;
+constexpr unsigned kModeBitsOfOthers = 077;  // of the group and of everybody else
 
 class Descriptor {
  public:
   explicit Descriptor(int fd) : fd_(fd) {}
   ~Descriptor() {
-    if (fd_ >= 0) ::close(fd_);
+    if (valid()) ::close(fd_);
   }
   Descriptor(const Descriptor&) = delete;
   Descriptor& operator=(const Descriptor&) = delete;
+
+  bool valid() const { return fd_ >= 0; }
   int get() const { return fd_; }
 
  private:
   int fd_;
 };
 
-std::string last_error() { return std::strerror(errno); }
+FileError system_error(const std::string& path) { return {path, std::strerror(errno)}; }
+
+struct stat status_of(const std::string& path) {
+  struct stat status {};
+  if (::stat(path.c_str(), &status) != 0) throw system_error(path);
+  return status;
+}
 
-std::vector<std::string> sets_of(const std::string& folder) {
+void write_all(const Descriptor& file, const std::string& path, std::string_view bytes) {
+  while (!bytes.empty()) {
+    const auto count = ::write(file.get(), bytes.data(), bytes.size());
+    if (count < 0 && errno == EINTR) continue;
+    if (count < 0) throw system_error(path);
+    bytes.remove_prefix(static_cast<std::size_t>(count));
+  }
+}
+
+void write_new_file(const std::string& path, std::string_view bytes, unsigned mode) {
+  ::unlink(path.c_str());
+  const Descriptor file(::open(path.c_str(), O_WRONLY | O_CREAT | O_EXCL | O_CLOEXEC, mode));
+  if (!file.valid()) throw system_error(path);
+  write_all(file, path, bytes);
+  if (::fsync(file.get()) != 0) throw system_error(path);
+}
+
+// So that the rename lasts. Some file systems can't sync a folder: the file is there all the same.
+void sync_folder_of(const std::string& path) {
+  const std::filesystem::path folder = std::filesystem::path(path).parent_path();
+  const Descriptor descriptor(
+      ::open(folder.empty() ? "." : folder.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
+  if (descriptor.valid()) ::fsync(descriptor.get());
+}
+
+std::vector<std::string> key_set_paths(const std::string& folder) {
   std::error_code error;
-  std::vector<std::string> all;
-  for (auto at = std::filesystem::directory_iterator(folder, error);
-       !error && at != std::filesystem::directory_iterator(); at.increment(error)) {
-    const std::string name = at->path().filename().string();
-    if (name.ends_with(".json") && name[0] != '.') all.push_back(at->path().string());
-    if (all.size() > kMostFiles) throw FileError(folder, "more than 64 key sets");
+  std::vector<std::string> paths;
+  for (auto entry = std::filesystem::directory_iterator(folder, error);
+       !error && entry != std::filesystem::directory_iterator(); entry.increment(error)) {
+    const std::string name = entry->path().filename().string();
+    if (name.ends_with(".json") && name[0] != '.') paths.push_back(entry->path().string());
+    if (paths.size() > kMaxKeySets)
+      throw FileError(folder, "more than " + std::to_string(kMaxKeySets) + " key sets");
   }
   if (error) throw FileError(folder, error.message());
-  std::sort(all.begin(), all.end());
-  return all;
+  std::sort(paths.begin(), paths.end());
+  return paths;
 }
 
 }  // namespace
 
-std::string read_file(const std::string& path, std::size_t most) {
+// Opened without blocking: a pipe of that name would wait for its writer.
+std::string read_file(const std::string& path, std::size_t max_bytes) {
   const Descriptor file(::open(path.c_str(), O_RDONLY | O_CLOEXEC | O_NONBLOCK));
-  struct stat about {};
-  if (file.get() < 0 || ::fstat(file.get(), &about) != 0) throw FileError(path, last_error());
-  if (!S_ISREG(about.st_mode)) throw FileError(path, "no plain file");
-  std::string all;
-  char some[16384];
+  struct stat status {};
+  if (!file.valid() || ::fstat(file.get(), &status) != 0) throw system_error(path);
+  if (!S_ISREG(status.st_mode)) throw FileError(path, "no plain file");
+  std::string contents;
+  char buffer[kReadBytes];
   for (;;) {
-    const auto n = ::read(file.get(), some, sizeof some);
-    if (n < 0 && errno == EINTR) continue;
-    if (n < 0) throw FileError(path, last_error());
-    if (n == 0) return all;
-    all.append(some, static_cast<std::size_t>(n));
-    if (all.size() > most) throw FileError(path, "longer than " + std::to_string(most) + " bytes");
+    const auto count = ::read(file.get(), buffer, sizeof buffer);
+    if (count < 0 && errno == EINTR) continue;
+    if (count < 0) throw system_error(path);
+    if (count == 0) return contents;
+    contents.append(buffer, static_cast<std::size_t>(count));
+    if (contents.size() > max_bytes)
+      throw FileError(path, "longer than " + std::to_string(max_bytes) + " bytes");
   }
 }
 
 void write_file(const std::string& path, std::string_view bytes, unsigned mode) {
-  const std::string beside = path + ".new";
-  const std::filesystem::path folder = std::filesystem::path(path).parent_path();
-  {
-    ::unlink(beside.c_str());
-    const Descriptor file(::open(beside.c_str(), O_WRONLY | O_CREAT | O_EXCL | O_CLOEXEC, mode));
-    if (file.get() < 0) throw FileError(beside, last_error());
-    while (!bytes.empty()) {
-      const auto n = ::write(file.get(), bytes.data(), bytes.size());
-      if (n < 0 && errno == EINTR) continue;
-      if (n < 0) throw FileError(beside, last_error());
-      bytes.remove_prefix(static_cast<std::size_t>(n));
-    }
-    if (::fsync(file.get()) != 0) throw FileError(beside, last_error());
-  }
-  if (::rename(beside.c_str(), path.c_str()) != 0) throw FileError(path, last_error());
-  const Descriptor within(::open(folder.empty() ? "." : folder.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
-  if (within.get() >= 0) ::fsync(within.get());
+  const std::string new_path = path + ".new";
+  write_new_file(new_path, bytes, mode);
+  if (::rename(new_path.c_str(), path.c_str()) != 0) throw system_error(path);
+  sync_folder_of(path);
 }
 
 void need_private(const std::string& path) {
-  struct stat about {};
-  if (::stat(path.c_str(), &about) != 0) throw FileError(path, last_error());
-  if ((about.st_mode & 077U) != 0)
+  if ((status_of(path).st_mode & kModeBitsOfOthers) != 0)
     throw FileError(path, "a private key that others may read (wanted mode 0600)");
 }
 
 std::string key_folder_stamp(const std::string& path) {
   std::string stamp;
-  for (const std::string& file : sets_of(path)) {
-    struct stat about {};
-    if (::stat(file.c_str(), &about) != 0) throw FileError(file, last_error());
-    stamp += file + ":" + std::to_string(about.st_ino) + ":" + std::to_string(about.st_size) + ":" +
-             std::to_string(about.st_mode) + ":" + std::to_string(about.st_mtim.tv_sec) + "." +
-             std::to_string(about.st_mtim.tv_nsec) + "\n";
+  for (const std::string& file : key_set_paths(path)) {
+    const struct stat status = status_of(file);
+    stamp += file + ":" + std::to_string(status.st_ino) + ":" + std::to_string(status.st_size) + ":" +
+             std::to_string(status.st_mode) + ":" + std::to_string(status.st_mtim.tv_sec) + "." +
+             std::to_string(status.st_mtim.tv_nsec) + "\n";
   }
   return stamp;
 }
 
 KeyFolder read_key_folder(const std::string& path) {
-  KeyFolder all;
-  all.stamp = key_folder_stamp(path);  // first: what changes while we read is read again
-  for (const std::string& file : sets_of(path)) {
+  KeyFolder folder;
+  // Taken first: a file that changes while the folder is read gives another stamp, and is read again.
+  folder.stamp = key_folder_stamp(path);
+  for (const std::string& file : key_set_paths(path)) {
     tokens::KeySet set = tokens::read_key_set(read_file(file, tokens::kLongestSet));
     if (!set.problem.empty()) throw FileError(file, set.problem);
     if (set.holds_private) need_private(file);
-    all.passed_over += set.passed_over;
-    for (auto& listed : set.keys) all.keys.push_back(std::move(listed));
+    folder.passed_over += set.passed_over;
+    for (tokens::Listed& listed : set.keys) folder.keys.push_back(std::move(listed));
   }
-  return all;
+  return folder;
 }
 
 }  // namespace ashbeam
--- a/src/store/files.hpp
+++ b/src/store/files.hpp
@@ -1,5 +1,10 @@
-// Files read and written whole. Throws FileError, whose text begins with the path.
+// Files read and written as a whole, and folders of key sets. These block: on the worker's thread, or before
+// the event loop runs. Every function throws FileError, whose text begins with the path.
+//
+// What a process that is killed may lose: nothing of a file that `write_file` replaces, which stands as it
+// was or as it is to be; a file named `<path>.new` may be left behind, and the next write removes it.
 #pragma once
+#include <cstddef>
 #include <string>
 #include <string_view>
 #include <vector>
@@ -9,20 +14,23 @@
 
 namespace ashbeam {
 
-std::string read_file(const std::string& path, std::size_t most);  // a plain file of at most so many bytes
-// The file is there whole or as it was: written beside it, synced, renamed, the folder synced.
+// Of a regular file of at most `max_bytes`.
+std::string read_file(const std::string& path, std::size_t max_bytes);
+// Written beside its place, synced, renamed, and the folder synced. `mode` as chmod(2).
 void write_file(const std::string& path, std::string_view bytes, unsigned mode);
-// Guards against private keys that others on the machine may read.
+// Throws where others than the owner may read or write the file: for private keys.
 void need_private(const std::string& path);
 
-// All key sets (*.json) of a folder, in the names' order, at most 64 files; one that can't be used spoils
-// all, so that a file half written never takes keys away. `stamp` tells whether the folder has changed since.
 struct KeyFolder {
   std::vector<tokens::Listed> keys;
-  unsigned passed_over = 0;
-  std::string stamp;
+  unsigned passed_over = 0;  // keys of other kinds than this program uses
+  std::string stamp;         // as key_folder_stamp
 };
+// Changes whenever a key set of the folder does.
 std::string key_folder_stamp(const std::string& path);
+// All key sets (*.json) of a folder in the order of their names, at most kMaxKeySets. One that can't be used
+// makes the whole folder unusable, so that a file that is half written takes no keys away.
 KeyFolder read_key_folder(const std::string& path);
+constexpr std::size_t kMaxKeySets = 64;
 
 }  // namespace ashbeam
--- a/tests/access_config_loader_test.cpp
+++ b/tests/access_config_loader_test.cpp
@@ -254,7 +254,7 @@
   {
     Worker worker(loop);
     auto hangs = never.get_future().share();
-    worker.run([hangs]() -> std::function<void()> {
+    worker.submit([hangs]() -> std::function<void()> {
       hangs.wait();
       return [] { ADD_FAILURE() << "answered though its worker is gone"; };
     });
