--- a/proofs/metadata.cpp
+++ b/proofs/metadata.cpp
@@ -220,7 +220,7 @@
   fakes::Served serve(unsigned endpoint, const http::Head& head) {
     fakes::Served answer;
     answer.takes = Span::ms(2 + random_.below(4));
-    const std::string path(head.word(1));
+    const std::string path(head.target());
     const std::string name = path.substr(kPrefix.size());
     const std::string* const file = repository_.find(endpoint, name);
     if (!file) {
--- a/src/fakes/client.cpp
+++ b/src/fakes/client.cpp
@@ -6,10 +6,10 @@
 
 void Client::ask(const std::string& request, Next next) {
   next_ = std::move(next);
-  answers_.next();
-  if (connection_ && !connection_->quiet()) hang_up();  // closed between requests, as a router may
+  answers_.start_next();
+  if (connection_ && !connection_->is_idle()) hang_up();  // closed between requests, as a router may
   if (!connection_) {
-    Connection::MakeTlsStream veil;
+    Connection::TlsStreamFactory veil;
     if (tls_) veil = [tls = tls_](int fd) { return tls->veil(fd); };
     connection_ = std::make_unique<Connection>(loop_, limits_, *this, address_, std::move(veil));
   }
@@ -27,23 +27,23 @@
   const std::size_t had = bytes.size();
   if (!next_) {
     ++stray_;
-    connection_->take(had);
+    connection_->consume(had);
     return;
   }
   const auto got = answers_.feed(bytes);
-  connection_->take(had - bytes.size());
-  if (got == http::Messages::Got::kMore) return;
+  connection_->consume(had - bytes.size());
+  if (got == http::ParseResult::kIncomplete) return;
   if (!bytes.empty()) ++stray_;
-  if (got == http::Messages::Got::kBad) {
+  if (got == http::ParseResult::kInvalid) {
     hang_up();
     return finish({});
   }
-  if (answers_.last()) hang_up();
+  if (answers_.closes_connection()) hang_up();
   finish({answers_.status(), &answers_, true});
 }
 
 void Client::on_closed() {
-  const bool written = !connection_->unwritten();
+  const bool written = !connection_->has_pending_output();
   hang_up();
   if (next_) finish({0, nullptr, written});
 }
--- a/src/program/access_config_loader.cpp
+++ b/src/program/access_config_loader.cpp
@@ -64,7 +64,7 @@
     return taken_ + 2;
   }
   begin_reading();
-  worker_->run([this, by = reading_by_]() -> std::function<void()> {
+  worker_->submit([this, by = reading_by_]() -> std::function<void()> {
     return [this, fresh = by->read("")] {
       reading_ = false;
       ++taken_;
@@ -78,7 +78,7 @@
 // A folder on a file system that hangs must not go unnoticed: what is revoked there is not known here.
 void AccessConfigLoader::look() {
   look_.in(std::min(standing_.calling->reread, Span::s(1)));
-  const Span ahead = loop_.wall_ahead(), before = service_.gate()->wall_ahead();
+  const Span ahead = loop_.wall_clock_offset(), before = service_.gate()->wall_ahead();
   if (ahead > before + Span::s(1) || ahead < before - Span::s(1))
     note_("calling: the machine's clock was set by " + std::to_string((ahead - before).us() / 1000) + " ms");
   service_.gate()->wall_ahead(ahead);
@@ -87,7 +87,7 @@
     note_("calling: reading keys and files has taken 5 s and goes on; the old ring and rights stand");
   if (reading_ || standing_.calling->keys.empty() || now - reading_since_ < standing_.calling->reread) return;
   begin_reading();
-  worker_->run(
+  worker_->submit(
       [this, by = reading_by_, folder = standing_.calling->keys, stamp = stamp_]() -> std::function<void()> {
         Fresh fresh;
         bool changed = true;
@@ -122,7 +122,7 @@
       return note_(
           "operator's file: the old one stands: calling, tls and its listener come and go by a restart");
     standing_ = fresh.operators;
-    if (fresh.tls) service_.tls()->take(*standing_.tls, fresh.tls);
+    if (fresh.tls) service_.tls()->replace_credentials(*standing_.tls, fresh.tls);
     if (!standing_.calling) return note_("operator's file read again");
     service_.gate()->terms(standing_.calling->terms, loop_.now());
     note_("operator's file read again: " + std::to_string(standing_.calling->terms.tenants.size()) +
