--- a/benches/calling.cpp
+++ b/benches/calling.cpp
@@ -48,7 +48,7 @@
 
 void quota_decision(benchmark::State& state) {
   const auto subjects = static_cast<std::uint32_t>(state.range(0));
-  Subjects table(static_cast<std::size_t>(subjects), kBegin);
+  Subjects table(static_cast<std::size_t>(subjects));
   const Rate each = Rate::part({5, 5, 4}, 2, 4, Span::s(10)),
              all = Rate::part({1e6, 1e4, 0}, 8, 4, Span::s(10));
   Bucket tenant;
--- a/proofs/calling.cpp
+++ b/proofs/calling.cpp
@@ -513,7 +513,7 @@
   std::vector<Subjects> tables;
   std::vector<Bucket> tenant(routers);
   for (unsigned r = 0; r < routers; ++r) {
-    tables.emplace_back(std::max(64U, subjects * 3 / routers), begin);
+    tables.emplace_back(std::max(64U, subjects * 3 / routers));
     tenant[r].start(begin.us() * 1000, INT64_MIN, INT64_MIN);
   }
   struct Waiting {
--- a/src/calling/authorizer.cpp
+++ b/src/calling/authorizer.cpp
@@ -53,7 +53,7 @@
 
 Authorizer::Authorizer(const CallingSettings& terms, std::uint64_t seed, Instant now)
     : terms_(terms), directory_(std::make_unique<Directory>(terms)), seed_(seed), ring_(times_of(terms)),
-      granted_(terms.cached_tokens), refused_tokens_(1024), subjects_(terms.subjects, now),
+      granted_(terms.cached_tokens), refused_tokens_(1024), subjects_(terms.subjects),
       unproven_(terms.verifications_per_s, std::max(1.0, terms.verifications_per_s / 10)),
       proven_(terms.verifications_per_s, std::max(1.0, terms.verifications_per_s / 10)),
       named_(4096, 2, 4), decoys_{tokens::Key::fresh(tokens::Algorithm::kEdDsa),
@@ -63,7 +63,6 @@
 
 // Tenants keep their places by name; one that is gone keeps it until its last hit is over.
 void Authorizer::place_tenants(Instant now) {
-  for (Standing& s : tenants_) s.entry = Directory::kNone;
   std::erase_if(ids_, [&](const auto& named) {
     return tenants_[named.second].in_hand == 0 && directory_->by_name(named.first) == Directory::kNone;
   });
@@ -85,7 +84,6 @@
       tenants_[id] = Standing{};
       tenants_[id].bucket.start(now.us() * 1000, INT64_MIN, INT64_MIN);
     }
-    tenants_[id].entry = i;
     place_of_[i] = id;
   }
 }
--- a/src/calling/authorizer.hpp
+++ b/src/calling/authorizer.hpp
@@ -84,7 +84,6 @@
   struct Standing {  // of a tenant, whatever the terms are told anew
     Bucket bucket;
     std::uint32_t in_hand = 0;
-    std::uint32_t entry = Directory::kNone;  // in the directory
   };
   Refusal count(Refusal why) {
     ++refused_[static_cast<std::size_t>(why)];
--- a/src/calling/key_ring.cpp
+++ b/src/calling/key_ring.cpp
@@ -12,11 +12,6 @@
 
 }  // namespace
 
-std::string_view word_of(KeyState state) {
-  constexpr std::string_view kWords[] = {"coming", "current", "retiring", "retired", "revoked"};
-  return kWords[static_cast<std::size_t>(state)];
-}
-
 bool KeyRing::over(const Held& h, Instant now) const {
   if (h.listed) return false;
   return h.revoked ? now - h.revoked_at > times_.revoked_kept : now > h.retired + times_.overlap;
@@ -123,13 +118,4 @@
   return Refusal::kNone;
 }
 
-KeyState KeyRing::state(KeyRef key, Instant now) const {
-  const Held* const h = find(key);
-  if (!h) return KeyState::kRetired;
-  if (h->revoked) return KeyState::kRevoked;
-  if (now < h->from) return KeyState::kComing;
-  if (now < h->retired) return KeyState::kCurrent;
-  return now <= h->retired + times_.overlap ? KeyState::kRetiring : KeyState::kRetired;
-}
-
 }  // namespace ashbeam::calling
--- a/src/calling/key_ring.hpp
+++ b/src/calling/key_ring.hpp
@@ -14,9 +14,6 @@
 
 namespace ashbeam::calling {
 
-enum class KeyState : std::uint8_t { kComing, kCurrent, kRetiring, kRetired, kRevoked };
-std::string_view word_of(KeyState state);
-
 struct KeyRef {
   std::uint32_t slot = UINT32_MAX, made = 0;  // `made` tells a slot's keys apart
   bool operator==(const KeyRef&) const = default;
@@ -63,7 +60,6 @@
 
   // Does this key's word count now for what it signed at `issued`? kNone, kRevoked, kRetired or kEarly.
   Refusal accepts(KeyRef key, Instant issued, Instant now) const;
-  KeyState state(KeyRef key, Instant now) const;
   const tokens::Key& key(KeyRef ref) const { return held_[ref.slot].listed_as.key; }
   std::uint64_t epoch() const { return epoch_; }  // grows with each change
   std::size_t size() const;
--- a/src/calling/quota.cpp
+++ b/src/calling/quota.cpp
@@ -52,7 +52,7 @@
   return slot - now;
 }
 
-Subjects::Subjects(std::size_t subjects, Instant)
+Subjects::Subjects(std::size_t subjects)
     : sets_(std::max<std::size_t>(1, subjects * 5 / 4 / kWays)), floors_(sets_.size()) {}
 
 std::uint32_t Subjects::find(std::uint64_t hash) const {
--- a/src/calling/quota.hpp
+++ b/src/calling/quota.hpp
@@ -51,7 +51,7 @@
 class Subjects {
  public:
   static constexpr std::uint32_t kNone = UINT32_MAX;
-  Subjects(std::size_t subjects, Instant now);
+  explicit Subjects(std::size_t subjects);
 
   std::uint32_t find(std::uint64_t hash) const;                 // kNone: it is not there
   std::uint32_t find_or_make(std::uint64_t hash, Instant now);  // kNone: no room
--- a/tests/quota_test.cpp
+++ b/tests/quota_test.cpp
@@ -126,7 +126,7 @@
 TEST(Subjects, BeingForgottenNeverGainsAHit) {
   Pcg chance(11);
   const Rate rate = Rate::part({0.2, 2, 0}, 1, 1, Span());
-  Subjects table(64, kBegin);
+  Subjects table(64);
   std::map<std::uint64_t, Bucket> plain;  // each subject's own, never forgotten
   Instant now = kBegin;
   unsigned more = 0, fewer = 0, same = 0;
@@ -150,7 +150,7 @@
 }
 
 TEST(Subjects, WhoHasHitsInHandIsNotForgotten) {
-  Subjects table(1, kBegin);  // one set of eight
+  Subjects table(1);  // one set of eight
   std::vector<std::uint32_t> places;
   for (std::uint64_t i = 1; i <= 8; ++i) {
     places.push_back(table.find_or_make(i * 0x9e3779b97f4a7c15ULL, kBegin));
