--- a/benches/calling.cpp
+++ b/benches/calling.cpp
@@ -27,16 +27,16 @@
 std::string token_of(const tokens::Key& key, const std::string& subject, Instant now,
                      const std::string& more = "") {
   const auto s = now.us() / 1'000'000;
-  return tokens::issue(key, "k",
-                       R"({"aud":"ashbeam","tenant":"shop","sub":")" + subject + R"(","iat":)" +
-                           std::to_string(s) + R"(,"exp":)" + std::to_string(s + 3600) + more + "}");
+  return tokens::sign_token(key, "k",
+                            R"({"aud":"ashbeam","tenant":"shop","sub":")" + subject + R"(","iat":)" +
+                                std::to_string(s) + R"(,"exp":)" + std::to_string(s + 3600) + more + "}");
 }
 
 CallingSettings terms_of() {
   CallingSettings t;
   t.required = true;
   t.audience = "ashbeam";
-  t.path_groups = {"look"};
+  t.request_classes = {"look"};
   t.verifications_per_s = 1e5;
   TenantSettings shop;
   shop.name = "shop";
@@ -48,27 +48,28 @@
 
 void quota_decision(benchmark::State& state) {
   const auto subjects = static_cast<std::uint32_t>(state.range(0));
-  Subjects table(static_cast<std::size_t>(subjects));
-  const Rate each = Rate::part({5, 5, 4}, 2, 4, Span::s(10)),
-             all = Rate::part({1e6, 1e4, 0}, 8, 4, Span::s(10));
+  SubjectTable table(static_cast<std::size_t>(subjects));
+  const Rate each = Rate::per_router({5, 5, 4}, 2, 4, Span::s(10)),
+             all = Rate::per_router({1e6, 1e4, 0}, 8, 4, Span::s(10));
   Bucket tenant;
   tenant.start(kBegin.us() * 1000, INT64_MIN, INT64_MIN);
   Pcg chance(3);
   std::int64_t ns = kBegin.us() * 1000;
   std::uint64_t in = 0;
   const auto hash = [&] { return (chance.below(subjects) + 1) * 0x9e3779b97f4a7c15ULL; };
-  for (std::uint32_t i = 0; i < subjects; ++i) table.find_or_make((i + 1) * 0x9e3779b97f4a7c15ULL, kBegin);
+  for (std::uint32_t i = 0; i < subjects; ++i) table.find_or_insert((i + 1) * 0x9e3779b97f4a7c15ULL, kBegin);
   std::uint64_t next = hash();
   for (auto _ : state) {
     const std::uint64_t h = next;
     next = hash();
     table.prefetch(next);  // as the gate does between the token and the quota
     ns += 1000;
-    const std::uint32_t place = table.find_or_make(h, Instant::at_us(ns / 1000));
-    if (place == Subjects::kNone) continue;
+    const std::uint32_t place = table.find_or_insert(h, Instant::at_us(ns / 1000));
+    if (place == SubjectTable::kNone) continue;
     Bucket& own = table.bucket(place);
-    if (own.wait(each, ns) == 0 && tenant.wait(all, ns) == 0) own.take(each, ns), tenant.take(all, ns), ++in;
-    else benchmark::DoNotOptimize(own.promise(each, ns));
+    if (own.wait_ns(each, ns) == 0 && tenant.wait_ns(all, ns) == 0)
+      own.take(each, ns), tenant.take(all, ns), ++in;
+    else benchmark::DoNotOptimize(own.promise_ns(each, ns));
   }
   benchmark::DoNotOptimize(in);
   state.counters["bytes_per_subject"] = static_cast<double>(table.bytes()) / subjects;
@@ -78,26 +79,27 @@
 // ---- Tokens ----
 
 void token(benchmark::State& state, tokens::Algorithm algorithm, bool cached) {
-  const tokens::Key key = tokens::Key::fresh(algorithm);
+  const tokens::Key key = tokens::Key::generate(algorithm);
   CallingSettings terms = terms_of();
-  terms.cached_tokens = 4096;
+  terms.max_cached_tokens = 4096;
   Authorizer gate(terms, 7, kBegin);
-  tokens::Listed listed;
+  tokens::KeyEntry listed;
   listed.key = key, listed.kid = "k";
-  gate.keys(std::vector{listed}, kBegin);
+  gate.update_keys(std::vector{listed}, kBegin);
   std::vector<std::string> fields;
   for (int i = 0; i < (cached ? 512 : 8192); ++i)
     fields.push_back("Bearer " + token_of(key, "s" + std::to_string(i), kBegin));
-  Presence presence{true};
+  ConnectionHistory history{true};
   Identity who;
   Span wait;
   Instant now = kBegin;
   std::size_t at = 0;
   for (auto _ : state) {
     now = now + Span::us(100);
-    Asked asked;
-    asked.authorization = fields[at = (at + 1) % fields.size()];
-    if (gate.identify(asked, presence, now, who, wait) != Refusal::kNone) state.SkipWithError("refused");
+    Credentials credentials;
+    credentials.authorization = fields[at = (at + 1) % fields.size()];
+    if (gate.authenticate(credentials, history, now, who, wait) != Refusal::kNone)
+      state.SkipWithError("refused");
   }
   state.SetItemsProcessed(state.iterations());
 }
@@ -123,7 +125,7 @@
 // The router's thread alone is what is measured: its CPU by the hit, or by the handshake.
 class Whole {
  public:
-  explicit Whole(Kind kind) : kind_(kind), key_(tokens::Key::fresh(tokens::Algorithm::kEs256)) {
+  explicit Whole(Kind kind) : kind_(kind), key_(tokens::Key::generate(tokens::Algorithm::kEs256)) {
     const Start start = start_from(kSettings, Site{"bench", "127.0.0.1:0", "", "", 7, "", ""});
     terms_ = read_router_settings(start.settings), door_ = read_wire_settings(start.settings);
     limits_ = limits_for(1024, door_, terms_);
@@ -213,9 +215,9 @@
                    tls, TlsFiles{server.certificate_pem, server.key_pem, authority_.pem(), "", ""}));
     }
     auto gate = std::make_unique<Authorizer>(terms_of(), 7, loop.now());
-    tokens::Listed listed;
+    tokens::KeyEntry listed;
     listed.key = key_, listed.kid = "k";
-    gate->keys(std::vector{listed}, loop.now());
+    gate->update_keys(std::vector{listed}, loop.now());
     service.guard(std::move(gate), false);
   }
   void ask(std::size_t i) {
--- a/proofs/calling.cpp
+++ b/proofs/calling.cpp
@@ -17,7 +17,7 @@
 #include <utility>
 #include <vector>
 
-#include "calling/quota.hpp"
+#include "calling/subject_table.hpp"
 #include "fakes/client.hpp"
 #include "fakes/discovery.hpp"
 #include "fakes/endpoint.hpp"
@@ -27,6 +27,7 @@
 #include "program/environment.hpp"
 #include "tokens/base64url.hpp"
 #include "tokens/jws.hpp"
+#include "tokens/key_set.hpp"
 
 namespace ashbeam {
 namespace {
@@ -81,7 +82,7 @@
   Files(const Files&) = delete;
   Files& operator=(const Files&) = delete;
   std::string at(const std::string& name) const { return folder_ + "/" + name; }
-  void keys(const std::vector<tokens::Listed>& keys) const {
+  void keys(const std::vector<tokens::KeyEntry>& keys) const {
     write_file(at("keys/ring.json"), tokens::key_set_text(keys), 0644);
   }
   void revoked(const std::string& lines) const { write_file(at("revoked"), lines, 0644); }
@@ -178,8 +179,8 @@
 class Flood {
  public:
   Flood(const std::string& address, const std::string& kid, std::uint64_t seed)
-      : address_(address), chance_(seed), signer_(tokens::Key::fresh(tokens::Algorithm::kEdDsa)), kid_(kid),
-        thread_([this] { run(); }) {}
+      : address_(address), chance_(seed), signer_(tokens::Key::generate(tokens::Algorithm::kEdDsa)),
+        kid_(kid), thread_([this] { run(); }) {}
   // Returns once it is over.
   void stop(Counts& into) {
     stopping_ = true;
@@ -201,9 +202,9 @@
     const auto now = std::to_string(loop.now().us() / 1000000 + 60);
     for (unsigned i = 0; i < 128; ++i) {
       const std::string whole =
-          tokens::issue(signer_, kid_,
-                        R"({"aud":"ashbeam","tenant":"shop","sub":"f)" + std::to_string(i) +
-                            R"(","iat":1700000000,"exp":)" + now + "}");
+          tokens::sign_token(signer_, kid_,
+                             R"({"aud":"ashbeam","tenant":"shop","sub":"f)" + std::to_string(i) +
+                                 R"(","iat":1700000000,"exp":)" + now + "}");
       begun_.push_back(whole.substr(0, whole.rfind('.') + 1));
       all.push_back(std::make_unique<One>(*this, limits, loop));
       all.back()->timer.in(Span::ms(chance_.below(20)));
@@ -221,7 +222,7 @@
     std::string noise(64, '\0');
     for (char& b : noise) b = static_cast<char>(chance_.below(256));
     const std::string token =
-        begun_[chance_.below(static_cast<std::uint32_t>(begun_.size()))] + tokens::to_base64url(noise);
+        begun_[chance_.below(static_cast<std::uint32_t>(begun_.size()))] + tokens::encode_base64url(noise);
     ++asked_;
     o.client.ask("GET /look/1 HTTP/1.1\r\nX-Correlation-Id: f" + std::to_string(asked_) +
                      "\r\nX-Time-Left-Ms: 1500\r\nAuthorization: Bearer " + token + "\r\n\r\n",
@@ -328,15 +329,16 @@
     const double now = static_cast<double>(loop_.now().us()) / 1e6;
     if (!listed_.empty()) signs_ = listed_.back();
     for (auto& l : listed_) {
-      if (signs_.kid != l.kid && l.retired == 0 && l.kid[0] == 'k') l.retired = std::ceil(now);
+      if (signs_.kid != l.kid && l.retired_at_unix_s == 0 && l.kid[0] == 'k')
+        l.retired_at_unix_s = std::ceil(now);
     }
     std::erase_if(listed_, [&](const auto& l) {
-      return l.retired > 0 && l.retired + (rotations_ % 2 == 0 ? 0 : 4) < now;
+      return l.retired_at_unix_s > 0 && l.retired_at_unix_s + (rotations_ % 2 == 0 ? 0 : 4) < now;
     });
-    tokens::Listed fresh;
+    tokens::KeyEntry fresh;
     fresh.kid = "k" + std::to_string(++rotations_);
     fresh.key =
-        tokens::Key::fresh(rotations_ % 2 == 0 ? tokens::Algorithm::kEdDsa : tokens::Algorithm::kEs256);
+        tokens::Key::generate(rotations_ % 2 == 0 ? tokens::Algorithm::kEdDsa : tokens::Algorithm::kEs256);
     listed_.push_back(fresh);
     ++counts_.key_rotations;
     write_keys();
@@ -382,9 +384,9 @@
     if (certificate) {
       c->identity = files_.authority.issue("shop", "doomed", Span::s(3600));
     } else {
-      tokens::Listed l;
+      tokens::KeyEntry l;
       l.kid = "d" + c->subject;
-      l.key = tokens::Key::fresh(tokens::Algorithm::kEdDsa);
+      l.key = tokens::Key::generate(tokens::Algorithm::kEdDsa);
       listed_.insert(listed_.begin(), l);
       c->token = token(l, *c, Span::s(3600));
       c->token_until = Instant::never();
@@ -404,13 +406,13 @@
     router_->reread(c.revoked);
   }
 
-  std::string token(const tokens::Listed& with, const One& c, Span life) {
+  std::string token(const tokens::KeyEntry& with, const One& c, Span life) {
     const auto now = loop_.now().us() / 1000000;
     std::string claims = R"({"aud":"ashbeam","tenant":"shop","sub":")" + c.subject + R"(","iat":)" +
                          std::to_string(now) + R"(,"exp":)" +
                          std::to_string(now + static_cast<std::int64_t>(life.s()));
     if (c.kind == "bound") claims += R"(,"cnf":{"x5t#S256":")" + c.identity.print + "\"}";
-    return tokens::issue(with.key, with.kid, claims + "}");
+    return tokens::sign_token(with.key, with.kid, claims + "}");
   }
 
   // ---- Asking ----
@@ -483,8 +485,8 @@
   std::vector<std::unique_ptr<fakes::Endpoint>> hosts_;
   fakes::Discovery discovery_;
   fakes::ReleasePlatform desk_;
-  std::vector<tokens::Listed> listed_;
-  tokens::Listed signs_;
+  std::vector<tokens::KeyEntry> listed_;
+  tokens::KeyEntry signs_;
   unsigned rotations_ = 0, ids_ = 0, doomed_ = 0;
   std::string revoked_;
   std::set<std::string> paid_;
@@ -497,20 +499,20 @@
 
 // ---- Quotas in simulated time ----
 
-// Subjects of one tenant on two routers each, as a front deals out two connections, and on two others every
-// 15 s; a thousandth cheat, on fifty at once. Half ask for less than their limit, half for three times as
-// much. The tenant's own limit is what all its subjects' limits come to.
+// SubjectTable of one tenant on two routers each, as a front deals out two connections, and on two others
+// every 15 s; a thousandth cheat, on fifty at once. Half ask for less than their limit, half for three times
+// as much. The tenant's own limit is what all its subjects' limits come to.
 void quotas(Proof& proof, unsigned routers, unsigned subjects, double seconds) {
   using namespace calling;
   constexpr double kPerS = 0.5, kBurst = 4, kReach = 2;
   const Span bank = Span::s(10);
   const double lend = 4;
-  const Rate each = Rate::part({kPerS, kBurst, 0}, kReach, lend, bank);
+  const Rate each = Rate::per_router({kPerS, kBurst, 0}, kReach, lend, bank);
   const Limit tenant_limit{kPerS * subjects, 1000.0 * routers, 0};
-  const Rate all = Rate::part(tenant_limit, routers, lend, bank);
+  const Rate all = Rate::per_router(tenant_limit, routers, lend, bank);
   Pcg chance(proof.seed);
   const Instant begin = Instant::at_us(1'700'000'000'000'000);
-  std::vector<Subjects> tables;
+  std::vector<SubjectTable> tables;
   std::vector<Bucket> tenant(routers);
   for (unsigned r = 0; r < routers; ++r) {
     tables.emplace_back(std::max(64U, subjects * 3 / routers));
@@ -525,14 +527,15 @@
   const auto ask = [&](unsigned s, unsigned r, Instant now) {
     const std::int64_t ns = now.us() * 1000;
     const std::uint64_t hash = (s + 1) * 0x9e3779b97f4a7c15ULL;
-    Bucket& own = tables[r].bucket(tables[r].find_or_make(hash, now));
-    const std::int64_t own_wait = own.wait(each, ns), all_wait = tenant[r].wait(all, ns);
+    Bucket& own = tables[r].bucket(tables[r].find_or_insert(hash, now));
+    const std::int64_t own_wait = own.wait_ns(each, ns), all_wait = tenant[r].wait_ns(all, ns);
     if (own_wait == 0 && all_wait == 0) {
       own.take(each, ns), tenant[r].take(all, ns);
       ++admitted[s], ++tenant_admitted;
       return std::int64_t(0);
     }
-    return std::max(own_wait > 0 ? own.promise(each, ns) : 0, all_wait > 0 ? tenant[r].promise(all, ns) : 0);
+    return std::max(own_wait > 0 ? own.promise_ns(each, ns) : 0,
+                    all_wait > 0 ? tenant[r].promise_ns(all, ns) : 0);
   };
   const auto cheats = [&](unsigned s) { return s % 1000 == 7; };
   const auto greedy = [&](unsigned s) { return s % 2 == 0 || cheats(s); };
@@ -595,9 +598,10 @@
                 0.25);
   proof.at_most("cheats_ratio", cheated / (static_cast<double>(cheating) * fair), 50 / kReach);
   proof.at_most("tenant_over_limit_ratio",
-                static_cast<double>(tenant_admitted) / (tenant_limit.per_s * seconds + tenant_limit.burst),
-                (tenant_limit.per_s * (seconds + bank.s()) + tenant_limit.burst) /
-                    (tenant_limit.per_s * seconds + tenant_limit.burst));
+                static_cast<double>(tenant_admitted) /
+                    (tenant_limit.requests_per_s * seconds + tenant_limit.burst_requests),
+                (tenant_limit.requests_per_s * (seconds + bank.s()) + tenant_limit.burst_requests) /
+                    (tenant_limit.requests_per_s * seconds + tenant_limit.burst_requests));
   if (waited > 0)
     proof.at_least("waited_taken_ratio", static_cast<double>(waited_taken) / static_cast<double>(waited),
                    0.6);
--- a/src/calling/authorizer.hpp
+++ b/src/calling/authorizer.hpp
@@ -1,121 +1,111 @@
-// Who is calling, and may they: decides on each hit before it is taken. No I/O; the time is an argument.
+// Who sends a request, and may they: the decision on each request before it is taken. No I/O; the time is an
+// argument and never goes back.
 //
-// Order of calls, for a hit: identify(), and if it is known who calls let_in() with its path group; if that
-// lets it in, ended() exactly once with the ticket when the hit has left the router. keys() and terms() at
-// any time between: both count from the next call on, also for what was verified before.
+// Order of calls, for a request: authenticate(), then admit() with its request class; if that admits it,
+// release() exactly once with the admission token, when the request has left the router. update_keys() and
+// update_settings() at any time between: both count from the next call on, also for tokens that were verified
+// before. Errors: a Refusal.
 //
 // A token is verified once and then known by its hash; its key's state, its times and its tenant's rights are
-// looked at again at each hit. A refused one costs one verification the first time, whatever is wrong with
-// it: what takes as long tells nothing. Verifications are limited by the second, apart
-// for those who have reason to be heard: connections that have proven somebody before, and tokens that name a
-// subject that was let in lately, two a second for each name. A flood that knows no such names does not stop
-// these; one that knows many can keep their new tokens on new connections waiting, nothing else.
+// checked again at each request. A refused one costs one verification the first time, and none for the same
+// text again. Verifications are limited by the second, apart for those who have reason to be heard:
+// connections on which a principal has been proven, and tokens that name a subject that was admitted lately,
+// two a second for each name. A flood that knows no such names does not stop these; one that knows many can
+// keep their new tokens on new connections waiting, nothing else.
 #pragma once
+#include <array>
 #include <cstdint>
-#include <map>
 #include <memory>
+#include <span>
 #include <string>
 #include <string_view>
 
-#include "calling/directory.hpp"
+#include "calling/budget.hpp"
 #include "calling/key_ring.hpp"
-#include "calling/quota.hpp"
+#include "calling/principal.hpp"
 #include "calling/refusal.hpp"
+#include "calling/refused_token_cache.hpp"
 #include "calling/settings.hpp"
+#include "calling/subject_table.hpp"
+#include "calling/tenant_directory.hpp"
+#include "calling/tenant_usage.hpp"
 #include "calling/token_cache.hpp"
+#include "calling/token_verifier.hpp"
 
 namespace ashbeam::calling {
 
-// A client certificate as its handshake proved it.
-struct Certificate {
-  std::string organisation, name;  // O and CN of its subject
-  tokens::Digest print{};          // SHA-256 of its DER: x5t#S256 (RFC 8705, section 3.1)
-  Instant not_before, not_after;
-};
-
-// What is known of a connection between its hits.
-struct Presence {
-  bool proven = false;  // somebody, once
-};
-
-struct Asked {
-  std::string_view authorization;  // the field's value; empty: none
-  bool twice = false;              // the field stands more than once
-  std::string_view account;        // X-Account
-  const Certificate* certificate = nullptr;
-};
-
-struct Identity {
-  std::uint32_t tenant = UINT32_MAX, rule = 0;  // no tenant: nobody has proven anything, and none need
-  std::uint64_t hash = 0;
-  std::uint32_t customer = 0;
-  std::string caller;  // "tenant/subject", as hosts are told; empty: nobody
-};
-
+// Stands for the request's place in its quotas, from admit() to release().
 struct AdmissionToken {
-  std::uint32_t tenant = UINT32_MAX, subject = UINT32_MAX;
+  static constexpr std::uint32_t kNone = UINT32_MAX;
+  std::uint32_t tenant_slot = kNone;  // kNone: nothing is to be released
+  std::uint32_t subject_slot = kNone;
 };
 
 class Authorizer {
  public:
-  Authorizer(const CallingSettings& terms, std::uint64_t seed, Instant now);
+  // `hash_seed` keeps clients from choosing the slots that they fall on.
+  Authorizer(const CallingSettings& settings, std::uint64_t hash_seed, Instant now);
 
-  // kNone: `into` says who it is. kBusy: `retry_after` says when.
-  Refusal identify(const Asked& asked, Presence& presence, Instant now, Identity& into, Span& retry_after);
-  // kNone: `ticket` is to be given back. kRate, kInHand: `retry_after` says when there is room.
-  Refusal let_in(const Identity& who, unsigned path_group, Instant now, AdmissionToken& ticket,
-                 Span& retry_after);
-  void ended(const AdmissionToken& ticket);
+  // kNone: `identity` says who it is. kVerificationsBusy: `retry_after` says when to try again.
+  Refusal authenticate(const Credentials& credentials, ConnectionHistory& history, Instant now,
+                       Identity& identity, Span& retry_after);
+  // kNone: `token` is to be released. kRateLimit, kInFlightLimit: `retry_after` says when there is capacity.
+  Refusal admit(const Identity& identity, unsigned request_class, Instant now, AdmissionToken& token,
+                Span& retry_after);
+  void release(const AdmissionToken& token);
 
-  KeyRing::Change keys(std::span<const tokens::Listed> set, Instant now) {
-    return ring_.told(set, now + wall_ahead_);
+  KeyRing::Change update_keys(std::span<const tokens::KeyEntry> listed, Instant now) {
+    return key_ring_.update(listed, wall_clock(now));
   }
+  // What is in flight and has been used up stands. Rates of verifications and the sizes of tables do not
+  // change.
+  void update_settings(const CallingSettings& settings, Instant now);
   // Times of tokens, keys and certificates are of the machine's clock, which may be set while we run; rates
-  // and waits are of the time handed in, which never goes back.
-  void wall_ahead(Span ahead) { wall_ahead_ = ahead; }
-  Span wall_ahead() const { return wall_ahead_; }
-  void terms(const CallingSettings& terms, Instant now);  // what is in hand and was used up stands
-  const KeyRing& ring() const { return ring_; }
-  std::size_t cached() const { return granted_.size(); }
-  std::uint64_t verifications() const { return verifications_; }
-  std::uint64_t refused(Refusal why) const { return refused_[static_cast<std::size_t>(why)]; }
+  // and waits are of the time handed in.
+  void set_wall_clock_ahead(Span ahead) { wall_clock_ahead_ = ahead; }
+  Span wall_clock_ahead() const { return wall_clock_ahead_; }
+
+  const KeyRing& key_ring() const { return key_ring_; }
+  std::size_t cached_tokens() const { return verified_tokens_.size(); }
+  std::uint64_t verifications() const { return verifier_.verifications(); }
+  std::uint64_t refused(Refusal refusal) const { return refused_[static_cast<std::size_t>(refusal)]; }
 
  private:
-  struct Standing {  // of a tenant, whatever the terms are told anew
-    Bucket bucket;
-    std::uint32_t in_hand = 0;
-  };
-  Refusal count(Refusal why) {
-    ++refused_[static_cast<std::size_t>(why)];
-    return why;
+  Refusal count(Refusal refusal) {
+    ++refused_[static_cast<std::size_t>(refusal)];
+    return refusal;
   }
-  Refusal token(std::string_view text, const Asked& asked, Presence& presence, Instant now, Identity& into,
-                Span& retry_after);
-  Refusal verify(std::string_view text, Grant& grant, Instant now);
-  Refusal times(const Grant& grant, const Certificate* certificate, Instant now) const;
-  std::uint64_t hash_of(const std::string& caller) const;
-  Refusal resolve(Grant& grant) const;
-  Refusal certificate(const Certificate& certificate, Instant now, Identity& into) const;
-  void identity(const Grant& grant, Identity& into) const;
-  void place_tenants(Instant now);
+  Instant wall_clock(Instant now) const { return now + wall_clock_ahead_; }
+  std::uint64_t hash_of(const std::string& principal) const;
+
+  Refusal authenticate_certificate(const ClientCertificate& certificate, Instant now,
+                                   Identity& identity) const;
+  Refusal authenticate_token(std::string_view text, const Credentials& credentials,
+                             const ConnectionHistory& history, Instant now, Identity& identity,
+                             Span& retry_after);
+  Refusal verify_new_token(std::string_view text, const tokens::Digest& digest,
+                           const ConnectionHistory& history, Instant now, VerifiedToken*& token,
+                           Span& retry_after);
+  bool may_verify(std::string_view text, const ConnectionHistory& history, Instant now, Span& retry_after);
+  bool names_known_subject(std::string_view text, Instant now);
+  Refusal check_validity(const VerifiedToken& token, const ClientCertificate* certificate, Instant now) const;
+  Refusal look_up_tenant(VerifiedToken& token) const;
 
-  Span wall_ahead_;
-  CallingSettings terms_;
-  std::unique_ptr<Directory> directory_;
-  std::uint64_t epoch_ = 1, seed_;  // of the directory
-  KeyRing ring_;
-  TokenCache granted_;
-  RefusedTokens refused_tokens_;
-  Subjects subjects_;
-  std::map<std::string, std::uint32_t, std::less<>> ids_;  // tenants' places, by name
-  std::vector<Standing> tenants_;
-  std::vector<std::uint32_t> place_of_;  // by the directory's index
-  bool may_verify(std::string_view text, const Presence& presence, Instant now, Span& retry_after);
-  Budget unproven_, proven_;
-  NamedBudgets named_;
-  tokens::Key decoys_[2];
-  std::uint64_t verifications_ = 0;
-  std::uint64_t refused_[static_cast<std::size_t>(Refusal::kCount)] = {};
+  CallingSettings settings_;
+  std::unique_ptr<TenantDirectory> directory_;
+  std::uint64_t directory_epoch_ = 1;  // grows with each new directory
+  std::uint64_t hash_seed_;
+  Span wall_clock_ahead_;
+  KeyRing key_ring_;
+  TokenVerifier verifier_;
+  TokenCache verified_tokens_;
+  RefusedTokenCache refused_tokens_;
+  SubjectTable subjects_;
+  TenantUsage tenant_usage_;
+  Budget unproven_verifications_;
+  Budget proven_verifications_;
+  NamedBudgets known_subject_verifications_;
+  std::array<std::uint64_t, kRefusalCount> refused_{};
 };
 
 }  // namespace ashbeam::calling
--- /dev/null
+++ b/src/calling/handshake_limiter.cpp
@@ -0,0 +1,57 @@
+#include "calling/handshake_limiter.hpp"
+
+#include <algorithm>
+
+namespace ashbeam::calling {
+
+HandshakeLimiter::HandshakeLimiter(std::size_t max_in_progress, double cpu_s_per_s, Span max_silence)
+    : max_in_progress_(max_in_progress), cpu_(cpu_budget(cpu_s_per_s)), max_silence_(max_silence) {}
+
+void HandshakeLimiter::set_limits(std::size_t max_in_progress, double cpu_s_per_s) {
+  max_in_progress_ = max_in_progress;
+  cpu_ = cpu_budget(cpu_s_per_s);
+}
+
+HandshakeLimiter::Started HandshakeLimiter::start(Instant now) {
+  Started started;
+  if (in_progress_.size() >= max_in_progress_) {
+    const auto silent = std::find_if(in_progress_.begin(), in_progress_.end(), [&](const Handshake& h) {
+      return !h.waits_for_cpu && now - h.last_step > max_silence_;
+    });
+    if (silent == in_progress_.end()) return started;
+    started.evicted = silent->id;
+    in_progress_.erase(silent);
+  }
+  started.id = ++last_id_;
+  in_progress_.push_back({started.id, now, false});
+  return started;
+}
+
+void HandshakeLimiter::finish(Id id) {
+  std::erase_if(in_progress_, [id](const Handshake& h) { return h.id == id; });
+  std::erase(waiting_, id);
+}
+
+bool HandshakeLimiter::may_continue(Id id, Instant now) {
+  const bool may = cpu_.wait(now) <= Span();
+  if (may) {
+    std::erase(waiting_, id);
+  } else if (std::find(waiting_.begin(), waiting_.end(), id) == waiting_.end()) {
+    waiting_.push_back(id);
+  }
+  for (Handshake& handshake : in_progress_) {
+    if (handshake.id != id) continue;
+    handshake.waits_for_cpu = !may;
+    handshake.last_step = now;
+  }
+  return may;
+}
+
+HandshakeLimiter::Id HandshakeLimiter::next_waiting(Instant now) {
+  if (waiting_.empty() || cpu_.wait(now) > Span()) return kNone;
+  const Id id = waiting_.back();
+  waiting_.pop_back();
+  return id;
+}
+
+}  // namespace ashbeam::calling
--- a/src/calling/key_ring.cpp
+++ b/src/calling/key_ring.cpp
@@ -6,116 +6,164 @@
 
 namespace {
 
-Instant at_s(double s, Instant otherwise) {
-  return s > 0 ? Instant::at_us(static_cast<std::int64_t>(s * 1e6)) : otherwise;
+Instant at_unix_s(double unix_s, Instant if_not_given) {
+  return unix_s > 0 ? Instant::at_us(static_cast<std::int64_t>(unix_s * 1e6)) : if_not_given;
 }
 
 }  // namespace
 
-bool KeyRing::over(const Held& h, Instant now) const {
-  if (h.listed) return false;
-  return h.revoked ? now - h.revoked_at > times_.revoked_kept : now > h.retired + times_.overlap;
+const KeyRing::HeldKey* KeyRing::find(KeyRef key) const {
+  if (key.slot >= keys_.size()) return nullptr;
+  const HeldKey& held = keys_[key.slot];
+  return held.live && held.generation == key.generation ? &held : nullptr;
 }
 
-KeyRing::Held* KeyRing::place(Instant now) {
-  for (Held& h : held_) {
-    if (!h.live) return &h;
+// A key is its name and its public bytes: other bytes under the same name are another key.
+KeyRing::HeldKey* KeyRing::find(const tokens::KeyEntry& entry) {
+  const auto found = std::find_if(keys_.begin(), keys_.end(), [&](const HeldKey& held) {
+    return held.live && held.kid == entry.kid && held.key.thumbprint() == entry.key.thumbprint();
+  });
+  return found == keys_.end() ? nullptr : &*found;
+}
+
+const KeyRing::HeldKey* KeyRing::find_revoked(const std::string& thumbprint) const {
+  const auto found = std::find_if(keys_.begin(), keys_.end(), [&](const HeldKey& held) {
+    return held.live && held.revoked && held.key.thumbprint() == thumbprint;
+  });
+  return found == keys_.end() ? nullptr : &*found;
+}
+
+bool KeyRing::may_be_forgotten(const HeldKey& held, Instant now) const {
+  if (held.listed) return false;
+  if (held.revoked) return now - held.revoked_at > settings_.revoked_retention;
+  return now > held.retired_at + settings_.overlap;
+}
+
+unsigned KeyRing::forget_old_keys(Instant now) {
+  unsigned forgotten = 0;
+  for (HeldKey& held : keys_) {
+    if (!held.live || !may_be_forgotten(held, now)) continue;
+    held = HeldKey{};
+    ++forgotten;
   }
-  if (held_.size() < kMost) {
-    held_.emplace_back();
-    return &held_.back();
+  return forgotten;
+}
+
+KeyRing::HeldKey* KeyRing::slot_for_new_key(Instant now) {
+  for (HeldKey& held : keys_) {
+    if (!held.live) return &held;
   }
-  Held* first = nullptr;
-  for (Held& h : held_) {
-    if (h.revoked || h.listed || h.retired > now) continue;
-    if (!first || h.retired < first->retired) first = &h;
+  if (keys_.size() < kMaxKeys) return &keys_.emplace_back();
+  HeldKey* first_retired = nullptr;
+  for (HeldKey& held : keys_) {
+    if (held.revoked || held.listed || held.retired_at > now) continue;
+    if (!first_retired || held.retired_at < first_retired->retired_at) first_retired = &held;
   }
-  return first;
+  return first_retired;
 }
 
-KeyRing::Change KeyRing::told(std::span<const tokens::Listed> set, Instant now) {
-  Change change;
-  for (Held& h : held_) {
-    if (h.live && over(h, now)) h = Held{}, ++change.forgotten;
+KeyRing::HeldKey* KeyRing::insert(const tokens::KeyEntry& entry, Instant now) {
+  HeldKey* const slot = slot_for_new_key(now);
+  if (!slot) return nullptr;
+  HeldKey fresh;
+  fresh.kid = entry.kid;
+  fresh.key = entry.key;
+  fresh.active_from = at_unix_s(entry.active_from_unix_s, Instant());
+  fresh.live = true;
+  fresh.generation = ++last_generation_;
+  // The public bytes may have been revoked under another name.
+  if (const HeldKey* const revoked = find_revoked(entry.key.thumbprint())) {
+    fresh.revoked = true;
+    fresh.revoked_at = revoked->revoked_at;
   }
-  std::vector<bool> named(held_.size(), false);
-  for (const tokens::Listed& l : set) {
-    // A key is its name and its public bytes: another key under the same name is another key.
-    const auto known = std::find_if(held_.begin(), held_.end(), [&](const Held& h) {
-      return h.live && h.listed_as.kid == l.kid && h.listed_as.key.thumbprint() == l.key.thumbprint();
-    });
-    Held* h = known == held_.end() ? nullptr : &*known;
-    const Instant from = at_s(l.from, Instant()), retired = at_s(l.retired, Instant::never());
-    if (!h) {
-      h = place(now);
-      if (!h) continue;
-      // The public bytes may have been revoked under another name.
-      const auto revoked = std::find_if(held_.begin(), held_.end(), [&](const Held& o) {
-        return o.live && o.revoked && o.listed_as.key.thumbprint() == l.key.thumbprint();
-      });
-      const bool barred = revoked != held_.end();
-      const Instant since = barred ? revoked->revoked_at : Instant();
-      *h = Held{};
-      h->live = true;
-      h->made = ++made_;
-      h->listed_as = l;
-      h->from = from;
-      h->revoked = barred;
-      h->revoked_at = since;
-      ++change.added;
-    } else if (!h->listed) {
-      ++change.back;
-    } else if (h->retired != retired) {
-      ++change.retiring;
-    }
-    if (h->from != from) h->from = from, ++change.retiring;
-    if (l.revoked && !h->revoked) h->revoked = true, h->revoked_at = now, ++change.revoked;
-    h->retired = retired;
-    h->listed = true;
-    const auto at = static_cast<std::size_t>(h - held_.data());
-    if (at >= named.size()) named.resize(at + 1, false);
-    named[at] = true;
+  *slot = std::move(fresh);
+  return slot;
+}
+
+void KeyRing::take_entry(const tokens::KeyEntry& entry, Instant now, Change& change) {
+  const Instant active_from = at_unix_s(entry.active_from_unix_s, Instant());
+  const Instant retired_at = at_unix_s(entry.retired_at_unix_s, Instant::never());
+  HeldKey* held = find(entry);
+  if (!held) {
+    held = insert(entry, now);
+    if (!held) return;
+    ++change.added;
+  } else if (!held->listed) {
+    ++change.restored;
+  } else if (held->retired_at != retired_at) {
+    ++change.retiring;
+  }
+  if (held->active_from != active_from) {
+    held->active_from = active_from;
+    ++change.retiring;
   }
-  // Revoking is of the public bytes, whatever they are called.
-  for (const Held& r : held_) {
-    if (!r.live || !r.revoked) continue;
-    for (Held& h : held_) {
-      if (h.live && !h.revoked && h.listed_as.key.thumbprint() == r.listed_as.key.thumbprint())
-        h.revoked = true, h.revoked_at = r.revoked_at, ++change.revoked;
+  if (entry.revoked && !held->revoked) {
+    held->revoked = true;
+    held->revoked_at = now;
+    ++change.revoked;
+  }
+  held->retired_at = retired_at;
+  held->listed = true;
+  held->last_listed = updates_;
+}
+
+// Revoking is of the public bytes, whatever name they are listed under.
+unsigned KeyRing::revoke_same_public_keys() {
+  unsigned revoked = 0;
+  for (const HeldKey& source : keys_) {
+    if (!source.live || !source.revoked) continue;
+    for (HeldKey& held : keys_) {
+      if (!held.live || held.revoked || held.key.thumbprint() != source.key.thumbprint()) continue;
+      held.revoked = true;
+      held.revoked_at = source.revoked_at;
+      ++revoked;
     }
   }
-  named.resize(held_.size(), false);
-  for (std::size_t i = 0; i < held_.size(); ++i) {
-    Held& h = held_[i];
-    if (!h.live || !h.listed || named[i]) continue;
-    h.listed = false;
-    h.retired = std::min(h.retired, now);
-    ++change.retiring;
+  return revoked;
+}
+
+unsigned KeyRing::retire_unlisted_keys(Instant now) {
+  unsigned retiring = 0;
+  for (HeldKey& held : keys_) {
+    if (!held.live || !held.listed || held.last_listed == updates_) continue;
+    held.listed = false;
+    held.retired_at = std::min(held.retired_at, now);
+    ++retiring;
   }
+  return retiring;
+}
+
+KeyRing::Change KeyRing::update(std::span<const tokens::KeyEntry> listed, Instant now) {
+  ++updates_;
+  Change change;
+  change.forgotten = forget_old_keys(now);
+  for (const tokens::KeyEntry& entry : listed) take_entry(entry, now, change);
+  change.revoked += revoke_same_public_keys();
+  change.retiring += retire_unlisted_keys(now);
   if (change.any()) ++epoch_;
   return change;
 }
 
-bool KeyRing::names(std::string_view kid) const {
-  return std::any_of(held_.begin(), held_.end(),
-                     [&](const Held& h) { return h.live && h.listed_as.kid == kid; });
+bool KeyRing::has_kid(std::string_view kid) const {
+  return std::any_of(keys_.begin(), keys_.end(),
+                     [&](const HeldKey& held) { return held.live && held.kid == kid; });
 }
 
 std::size_t KeyRing::size() const {
   return static_cast<std::size_t>(
-      std::count_if(held_.begin(), held_.end(), [](const Held& h) { return h.live; }));
+      std::count_if(keys_.begin(), keys_.end(), [](const HeldKey& held) { return held.live; }));
 }
 
-Refusal KeyRing::accepts(KeyRef key, Instant issued, Instant now) const {
-  const Held* const h = find(key);
-  if (!h) return Refusal::kRetired;
-  if (h->revoked) return Refusal::kRevoked;
-  if (now < h->from - times_.leeway || issued < h->from - times_.leeway) return Refusal::kEarly;
-  // What it signed once it no longer should, or what comes too late after that.
-  if (h->retired < Instant::never() &&
-      (issued > h->retired + times_.leeway || now > h->retired + times_.overlap))
-    return Refusal::kRetired;
-  return Refusal::kNone;
+Refusal KeyRing::check(KeyRef key, Instant issued, Instant now) const {
+  const HeldKey* const held = find(key);
+  if (!held) return Refusal::kKeyRetired;
+  if (held->revoked) return Refusal::kKeyRevoked;
+  const Instant earliest = held->active_from - settings_.leeway;
+  if (now < earliest || issued < earliest) return Refusal::kNotYetValid;
+  if (held->retired_at == Instant::never()) return Refusal::kNone;
+  const bool signed_too_late = issued > held->retired_at + settings_.leeway;
+  const bool shown_too_late = now > held->retired_at + settings_.overlap;
+  return signed_too_late || shown_too_late ? Refusal::kKeyRetired : Refusal::kNone;
 }
 
 }  // namespace ashbeam::calling
--- a/src/calling/key_ring.hpp
+++ b/src/calling/key_ring.hpp
@@ -1,7 +1,11 @@
-// The keys that tokens are verified with: coming, current, retiring, retired, revoked. Told whole sets; what
-// a set no longer names retires from then on, and what was revoked stays so, whatever later sets say. No I/O;
-// the time is an argument. Killed, it loses when unnamed keys began to retire: they are then unknown.
+// The keys that tokens are verified with, each of them coming, current, retiring, retired or revoked.
+//
+// Job: take whole key sets, and say whether a key counts for a token. A key that a set no longer names
+// retires from then on; a key that has been revoked stays revoked, whatever later sets say. No I/O; the time
+// is an argument, of the clock that tokens are dated by. Errors: a Refusal. Killed, it loses when unnamed
+// keys began to retire: they are then unknown.
 #pragma once
+#include <cstddef>
 #include <cstdint>
 #include <span>
 #include <string>
@@ -10,77 +14,96 @@
 
 #include "base/time.hpp"
 #include "calling/refusal.hpp"
-#include "tokens/keys.hpp"
+#include "tokens/key_set.hpp"
 
 namespace ashbeam::calling {
 
+// A key of the ring. Slots are reused; `generation` tells the keys of a slot apart.
 struct KeyRef {
-  std::uint32_t slot = UINT32_MAX, made = 0;  // `made` tells a slot's keys apart
+  std::uint32_t slot = UINT32_MAX;
+  std::uint32_t generation = 0;
   bool operator==(const KeyRef&) const = default;
 };
 
 class KeyRing {
  public:
-  struct Times {
-    Span overlap, leeway;
-    Span revoked_kept = Span::s(7 * 86400);  // longer than any token lives
+  struct Settings {
+    Span overlap;                                  // in which a retiring key still verifies
+    Span leeway;                                   // between the issuer's clock and ours, either way
+    Span revoked_retention = Span::s(7 * 86'400);  // longer than any token lives
   };
+  // How many keys an update has changed.
   struct Change {
-    unsigned added = 0, back = 0, retiring = 0, revoked = 0, forgotten = 0;
-    bool any() const { return added + back + retiring + revoked + forgotten > 0; }
+    unsigned added = 0;
+    unsigned restored = 0;  // listed again
+    unsigned retiring = 0;  // no longer listed, or listed with other times
+    unsigned revoked = 0;
+    unsigned forgotten = 0;
+    bool any() const { return added + restored + retiring + revoked + forgotten > 0; }
   };
-  static constexpr std::size_t kMost = 256;   // keys held, whatever their state
-  static constexpr unsigned kMostOfName = 4;  // tried for one token: no kid makes us verify without bound
+  static constexpr std::size_t kMaxKeys = 256;        // whatever their state
+  static constexpr unsigned kMaxCandidatesOfKid = 4;  // so that no kid costs verifications without bound
 
-  explicit KeyRing(Times times) : times_(times) {}
-  void times(Times times) { times_ = times; }
+  explicit KeyRing(const Settings& settings) : settings_(settings) {}
+  void set_settings(const Settings& settings) { settings_ = settings; }
 
-  // The set as it stands from `now` on. Over the bound the keys longest retired are let go, then new ones are
-  // not taken, never a revoked one.
-  Change told(std::span<const tokens::Listed> set, Instant now);
+  // Takes the set as it stands from `now` on. Over the bound the key that retired first is dropped for a new
+  // one; where none has retired, the new one is not taken. A revoked key is never dropped.
+  Change update(std::span<const tokens::KeyEntry> listed, Instant now);
 
-  // Calls back with each key of that name and algorithm, current ones before retiring ones; at most
-  // kMostOfName. False where there is none.
-  template <class What>
-  bool each(std::string_view kid, tokens::Algorithm algorithm, What&& what) const {
+  // Calls `try_key` with each key of that name and algorithm, listed ones first, until it returns true; at
+  // most kMaxCandidatesOfKid. False where there is no such key.
+  template <class TryKey>
+  bool try_candidates(std::string_view kid, tokens::Algorithm algorithm, TryKey&& try_key) const {
     unsigned tried = 0;
     for (const bool listed : {true, false}) {
-      for (std::uint32_t i = 0; i < held_.size() && tried < kMostOfName; ++i) {
-        const Held& h = held_[i];
-        if (!h.live || h.listed != listed || h.listed_as.kid != kid ||
-            h.listed_as.key.algorithm() != algorithm)
-          continue;
+      for (std::uint32_t slot = 0; slot < keys_.size() && tried < kMaxCandidatesOfKid; ++slot) {
+        const HeldKey& held = keys_[slot];
+        if (!held.live || held.listed != listed) continue;
+        if (held.kid != kid || held.key.algorithm() != algorithm) continue;
         ++tried;
-        if (what(KeyRef{i, h.made})) return true;
+        if (try_key(KeyRef{slot, held.generation})) return true;
       }
     }
     return tried > 0;
   }
-  bool names(std::string_view kid) const;  // with whatever algorithm
+  bool has_kid(std::string_view kid) const;  // with whatever algorithm
 
-  // Does this key's word count now for what it signed at `issued`? kNone, kRevoked, kRetired or kEarly.
-  Refusal accepts(KeyRef key, Instant issued, Instant now) const;
-  const tokens::Key& key(KeyRef ref) const { return held_[ref.slot].listed_as.key; }
+  // Whether this key counts now for a token that it signed at `issued`: kNone, kKeyRevoked, kKeyRetired or
+  // kNotYetValid.
+  Refusal check(KeyRef key, Instant issued, Instant now) const;
+  const tokens::Key& key(KeyRef key) const { return keys_[key.slot].key; }
   std::uint64_t epoch() const { return epoch_; }  // grows with each change
   std::size_t size() const;
 
  private:
-  struct Held {
-    tokens::Listed listed_as;
-    Instant from, retired, revoked_at;
-    bool live = false, listed = false, revoked = false;
-    std::uint32_t made = 0;
+  struct HeldKey {
+    std::string kid;
+    tokens::Key key;
+    Instant active_from;
+    Instant retired_at;
+    Instant revoked_at;
+    bool live = false;  // false: the slot is free
+    bool listed = false;
+    bool revoked = false;
+    std::uint32_t generation = 0;
+    std::uint64_t last_listed = 0;  // the update that listed it last
   };
-  const Held* find(KeyRef key) const {
-    return key.slot < held_.size() && held_[key.slot].live && held_[key.slot].made == key.made
-               ? &held_[key.slot]
-               : nullptr;
-  }
-  bool over(const Held& h, Instant now) const;
-  Held* place(Instant now);
-  Times times_;
-  std::vector<Held> held_;
-  std::uint32_t made_ = 0;
+  const HeldKey* find(KeyRef key) const;
+  HeldKey* find(const tokens::KeyEntry& entry);
+  const HeldKey* find_revoked(const std::string& thumbprint) const;
+  HeldKey* slot_for_new_key(Instant now);
+  HeldKey* insert(const tokens::KeyEntry& entry, Instant now);
+  bool may_be_forgotten(const HeldKey& held, Instant now) const;
+  unsigned forget_old_keys(Instant now);
+  void take_entry(const tokens::KeyEntry& entry, Instant now, Change& change);
+  unsigned revoke_same_public_keys();
+  unsigned retire_unlisted_keys(Instant now);
+
+  Settings settings_;
+  std::vector<HeldKey> keys_;
+  std::uint32_t last_generation_ = 0;
+  std::uint64_t updates_ = 0;
   std::uint64_t epoch_ = 0;
 };
 
--- a/src/calling/quota.cpp
+++ b/src/calling/quota.cpp
@@ -5,90 +5,63 @@
 
 namespace ashbeam::calling {
 
-Rate Rate::part(const Limit& limit, double routers, double lend, Span bank) {
-  Rate r;
+namespace {
+
+constexpr double kNanosecondsPerSecond = 1e9;
+constexpr double kLongestNs = 9e17;  // fits std::int64_t beside a Unix time
+
+std::int64_t at_least_1_ns(double ns) { return std::max<std::int64_t>(1, std::llround(ns)); }
+std::int64_t bounded_ns(double ns) { return std::llround(std::min(kLongestNs, ns)); }
+
+}  // namespace
+
+Rate Rate::per_router(const Limit& limit, double routers, double peak_factor, Span bank) {
+  Rate rate;
   const double parts = std::max(1.0, routers);
-  if (limit.per_s > 0) {
-    const double step = std::min(1e9 * parts / limit.per_s, 9e17);
-    const double burst = std::max(1.0, limit.burst / parts);  // a hit comes whole
-    r.step = std::max<std::int64_t>(1, std::llround(step));
-    r.peak_step = std::max<std::int64_t>(1, std::llround(step / std::max(1.0, lend)));
-    r.tolerance = std::llround(std::min(9e17, (burst - 1) * step));
-    r.peak_tolerance = std::llround(std::min(9e17, (burst - 1) * step / std::max(1.0, lend)));
-    r.bank = bank.us() * 1000;
+  const double speed_up = std::max(1.0, peak_factor);
+  if (limit.requests_per_s > 0) {
+    const double interval_ns = std::min(kNanosecondsPerSecond * parts / limit.requests_per_s, kLongestNs);
+    const double burst = std::max(1.0, limit.burst_requests / parts);  // at least one whole request
+    rate.interval_ns = at_least_1_ns(interval_ns);
+    rate.peak_interval_ns = at_least_1_ns(interval_ns / speed_up);
+    rate.tolerance_ns = bounded_ns((burst - 1) * interval_ns);
+    rate.peak_tolerance_ns = bounded_ns((burst - 1) * interval_ns / speed_up);
+    rate.bank_ns = bank.us() * 1000;
   }
-  if (limit.in_hand > 0) {
-    r.in_hand = std::max<std::uint32_t>(
-        1, static_cast<std::uint32_t>(std::ceil(static_cast<double>(limit.in_hand) / parts)));
+  if (limit.in_flight > 0) {
+    const double part = std::ceil(static_cast<double>(limit.in_flight) / parts);
+    rate.max_in_flight = std::max<std::uint32_t>(1, static_cast<std::uint32_t>(part));
   }
-  return r;
+  return rate;
 }
 
-void Bucket::start(std::int64_t now, std::int64_t floor, std::int64_t peak_floor) {
-  due = std::max(now, floor);
-  peak_due = std::max(now, peak_floor);
-  promised = INT64_MIN;
+void Bucket::start(std::int64_t now_ns, std::int64_t sustained_floor_ns, std::int64_t peak_floor_ns) {
+  sustained_due_ns = std::max(now_ns, sustained_floor_ns);
+  peak_due_ns = std::max(now_ns, peak_floor_ns);
+  promised_ns = kNever;
 }
 
-std::int64_t Bucket::wait(const Rate& rate, std::int64_t now) const {
-  if (rate.step == 0) return 0;
-  const std::int64_t sustained = std::max(due, now - rate.bank) - now - rate.tolerance;
-  const std::int64_t peak = std::max(peak_due, now) - now - rate.peak_tolerance;
+std::int64_t Bucket::wait_ns(const Rate& rate, std::int64_t now_ns) const {
+  if (rate.interval_ns == 0) return 0;
+  const std::int64_t sustained =
+      std::max(sustained_due_ns, now_ns - rate.bank_ns) - now_ns - rate.tolerance_ns;
+  const std::int64_t peak = std::max(peak_due_ns, now_ns) - now_ns - rate.peak_tolerance_ns;
   return std::max<std::int64_t>(0, std::max(sustained, peak));
 }
 
-void Bucket::take(const Rate& rate, std::int64_t now) {
-  if (rate.step == 0) return;
-  due = std::max(due, now - rate.bank) + rate.step;
-  peak_due = std::max(peak_due, now) + rate.peak_step;
-}
-
-std::int64_t Bucket::promise(const Rate& rate, std::int64_t now) {
-  const std::int64_t first = now + wait(rate, now);
-  std::int64_t slot = first;
-  if (promised != INT64_MIN) slot = std::max(first, promised + rate.step);
-  if (slot > first + std::max(rate.bank, rate.step)) slot = first;
-  promised = slot;
-  return slot - now;
+void Bucket::take(const Rate& rate, std::int64_t now_ns) {
+  if (rate.interval_ns == 0) return;
+  sustained_due_ns = std::max(sustained_due_ns, now_ns - rate.bank_ns) + rate.interval_ns;
+  peak_due_ns = std::max(peak_due_ns, now_ns) + rate.peak_interval_ns;
 }
 
-Subjects::Subjects(std::size_t subjects)
-    : sets_(std::max<std::size_t>(1, subjects * 5 / 4 / kWays)), floors_(sets_.size()) {}
-
-std::uint32_t Subjects::find(std::uint64_t hash) const {
-  const std::size_t at = set_of(hash);
-  const auto tag = static_cast<std::uint32_t>(hash) | 1U;
-  for (std::uint32_t w = 0; w < kWays; ++w) {
-    if (sets_[at].tags[w] == tag) return static_cast<std::uint32_t>(at) * kWays + w;
-  }
-  return kNone;
-}
-
-std::uint32_t Subjects::find_or_make(std::uint64_t hash, Instant now) {
-  const std::size_t at = set_of(hash);
-  Set& set = sets_[at];
-  const auto tag = static_cast<std::uint32_t>(hash) | 1U;
-  const auto place = [&](std::uint32_t way) { return static_cast<std::uint32_t>(at) * kWays + way; };
-  std::uint32_t free = kNone;
-  for (std::uint32_t w = 0; w < kWays; ++w) {
-    if (set.tags[w] == tag) return place(w);
-    if (set.tags[w] == 0 && free == kNone) free = w;
-  }
-  if (free == kNone) {
-    for (std::uint32_t w = 0; w < kWays; ++w) {
-      if (set.in_hand[w] == 0 && (free == kNone || set.buckets[w].due < set.buckets[free].due)) free = w;
-    }
-    if (free == kNone) return kNone;
-    ++evicted_;
-    floors_[at].due = std::max(floors_[at].due, set.buckets[free].due);
-    floors_[at].peak_due = std::max(floors_[at].peak_due, set.buckets[free].peak_due);
-  }
-  set.tags[free] = tag;
-  set.in_hand[free] = 0;
-  const std::int64_t ns = now.us() * 1000;
-  // Floors are read only where the set has ever been full: elsewhere they say the far past.
-  set.buckets[free].start(ns, floors_[at].due, floors_[at].peak_due);
-  return place(free);
+std::int64_t Bucket::promise_ns(const Rate& rate, std::int64_t now_ns) {
+  const std::int64_t first_ns = now_ns + wait_ns(rate, now_ns);
+  std::int64_t slot_ns = first_ns;
+  if (promised_ns != kNever) slot_ns = std::max(first_ns, promised_ns + rate.interval_ns);
+  if (slot_ns > first_ns + std::max(rate.bank_ns, rate.interval_ns)) slot_ns = first_ns;
+  promised_ns = slot_ns;
+  return slot_ns - now_ns;
 }
 
 }  // namespace ashbeam::calling
--- a/src/calling/refusal.hpp
+++ b/src/calling/refusal.hpp
@@ -1,48 +1,87 @@
-// Why a hit is not taken, and how a client is told (RFC 9110, section 15.5; RFC 6750, section 3).
+// Why a request is not admitted, with the HTTP status (RFC 9110, section 15.5) and the word that the client
+// is given (in X-Refused, or in WWW-Authenticate after RFC 6750, section 3).
 #pragma once
+#include <cstddef>
 #include <cstdint>
+#include <iterator>
 #include <string_view>
 
 namespace ashbeam::calling {
 
 enum class Refusal : std::uint8_t {
   kNone,
-  // 401
-  kMissing,
-  kUnreadable,
+  // Nobody is proven.
+  kNoCredentials,
+  kMalformed,
   kAlgorithm,
   kUnknownKey,
   kSignature,
-  kRevoked,
-  kRetired,
+  kKeyRevoked,
+  kKeyRetired,
   kIssuer,
   kAudience,
-  kEarly,
+  kNotYetValid,
   kExpired,
-  kTooLong,
-  kBinding,
+  kLifetimeTooLong,
+  kCertificateBinding,
   kCertificate,
-  // 403
-  kTenant,
-  kContradiction,
-  kSubject,
-  kPathGroup,
-  // 429
-  kBusy,
-  kRate,
-  kInHand,
-  kCount
+  // Somebody is proven, without the right.
+  kUnknownTenant,
+  kTenantMismatch,
+  kUnknownSubject,
+  kRequestClass,
+  // The right is there, the capacity is not.
+  kVerificationsBusy,
+  kRateLimit,
+  kInFlightLimit,
 };
 
-constexpr std::string_view kRefusalWords[] = {
-    "none",          "missing",  "unreadable", "algorithm", "key",  "signature", "revoked",     "retired",
-    "issuer",        "audience", "early",      "expired",   "life", "binding",   "certificate", "tenant",
-    "contradiction", "subject",  "path",       "busy",      "rate", "in-hand"};
-static_assert(std::size(kRefusalWords) == static_cast<std::size_t>(Refusal::kCount));
+struct RefusalAnswer {
+  Refusal refusal;
+  unsigned http_status;
+  std::string_view name;  // as on the wire
+};
+
+constexpr RefusalAnswer kRefusalAnswers[] = {
+    {Refusal::kNone, 200, "none"},
+    {Refusal::kNoCredentials, 401, "missing"},
+    {Refusal::kMalformed, 401, "unreadable"},
+    {Refusal::kAlgorithm, 401, "algorithm"},
+    {Refusal::kUnknownKey, 401, "key"},
+    {Refusal::kSignature, 401, "signature"},
+    {Refusal::kKeyRevoked, 401, "revoked"},
+    {Refusal::kKeyRetired, 401, "retired"},
+    {Refusal::kIssuer, 401, "issuer"},
+    {Refusal::kAudience, 401, "audience"},
+    {Refusal::kNotYetValid, 401, "early"},
+    {Refusal::kExpired, 401, "expired"},
+    {Refusal::kLifetimeTooLong, 401, "life"},
+    {Refusal::kCertificateBinding, 401, "binding"},
+    {Refusal::kCertificate, 401, "certificate"},
+    {Refusal::kUnknownTenant, 403, "tenant"},
+    {Refusal::kTenantMismatch, 403, "contradiction"},
+    {Refusal::kUnknownSubject, 403, "subject"},
+    {Refusal::kRequestClass, 403, "path"},
+    {Refusal::kVerificationsBusy, 429, "busy"},
+    {Refusal::kRateLimit, 429, "rate"},
+    {Refusal::kInFlightLimit, 429, "in-hand"},
+};
+constexpr std::size_t kRefusalCount = std::size(kRefusalAnswers);
 
-constexpr std::string_view word_of(Refusal r) { return kRefusalWords[static_cast<std::size_t>(r)]; }
-constexpr unsigned status_of(Refusal r) {
-  return r == Refusal::kNone ? 200 : r < Refusal::kTenant ? 401 : r < Refusal::kBusy ? 403 : 429;
+constexpr bool refusal_answers_in_order() {
+  for (std::size_t i = 0; i < kRefusalCount; ++i) {
+    if (static_cast<std::size_t>(kRefusalAnswers[i].refusal) != i) return false;
+  }
+  return true;
+}
+static_assert(refusal_answers_in_order());
+static_assert(kRefusalCount == static_cast<std::size_t>(Refusal::kInFlightLimit) + 1);
+
+constexpr std::string_view name_of(Refusal refusal) {
+  return kRefusalAnswers[static_cast<std::size_t>(refusal)].name;
+}
+constexpr unsigned http_status_of(Refusal refusal) {
+  return kRefusalAnswers[static_cast<std::size_t>(refusal)].http_status;
 }
 
 }  // namespace ashbeam::calling
--- a/src/calling/settings.hpp
+++ b/src/calling/settings.hpp
@@ -1,6 +1,9 @@
-// What the operator says of who may call: plain figures, told at start and again at each reading of the file.
+// What the operator says of who may send requests, as plain figures. Read at start, and again whenever the
+// operator's file is read anew.
 #pragma once
+#include <cstddef>
 #include <cstdint>
+#include <optional>
 #include <string>
 #include <vector>
 
@@ -8,44 +11,56 @@
 
 namespace ashbeam::calling {
 
-struct Limit {                // of all routers together
-  double per_s = 0;           // hits; 0: not limited
-  double burst = 1;           // hits at once
-  std::uint32_t in_hand = 0;  // hits; 0: not limited
+// A limit that holds for all routers together.
+struct Limit {
+  double requests_per_s = 0;    // 0: not limited
+  double burst_requests = 1;    // at once
+  std::uint32_t in_flight = 0;  // requests; 0: not limited
   bool operator==(const Limit&) const = default;
 };
 
-struct SubjectTerms {
-  std::string name;  // or the beginning of names, with a * behind
-  std::vector<std::string> may;
-  bool any_path = true, limited = false;
-  Limit limit;
+struct SubjectSettings {
+  std::string name;  // a subject, or the prefix of subjects' names with a * behind it
+  bool any_class = true;
+  std::vector<std::string> allowed_classes;  // request classes, where not `any_class`
+  std::optional<Limit> limit;                // absent: the tenant's `subject_limit`
 };
 
 struct TenantSettings {
   std::string name;          // as in X-Account
-  std::string issuer;        // of its tokens; empty: the common one
+  std::string issuer;        // of its tokens; empty: CallingSettings::issuer
   std::string organisation;  // O of its certificates; empty: its name
-  std::vector<std::string> may;
-  bool any_path = true, only_listed = false;
-  Limit all, each;  // its subjects together; each of them
-  std::vector<SubjectTerms> subjects;
+  bool any_class = true;
+  std::vector<std::string> allowed_classes;  // request classes, where not `any_class`
+  bool only_listed = false;                  // subjects that `subjects` does not name have no rights
+  Limit tenant_limit;                        // of all its subjects together
+  Limit subject_limit;                       // of each of them
+  std::vector<SubjectSettings> subjects;
 };
 
 struct CallingSettings {
-  bool required = false;  // else who proves nothing is served as before
-  std::string issuer, audience, tenant_claim = "tenant";
-  Span leeway = Span::s(30);           // between the issuer's clock and ours, either way
-  Span overlap = Span::s(60);          // in which a retiring key still verifies
-  Span longest_life = Span::s(86400);  // from a token's issue to its expiry
+  bool required = false;  // false: who proves nothing is served, without rights or quotas of its own
+  std::string issuer;
+  std::string audience;  // empty: any
+  std::string tenant_claim = "tenant";
+  Span leeway = Span::s(30);                  // between the issuer's clock and ours, either way
+  Span overlap = Span::s(60);                 // in which a retiring key still verifies
+  Span max_token_lifetime = Span::s(86'400);  // from a token's issue to its expiry
   double verifications_per_s = 2000;
-  std::size_t cached_tokens = 8192, subjects = 65536;
-  // A router's part of a limit; see quota.hpp.
-  std::uint32_t routers = 1, reach = 2;
+  std::size_t max_cached_tokens = 8192;
+  std::size_t max_subjects = 65'536;
+
+  // A router's part of a limit: see quota.hpp.
+  std::uint32_t router_count = 1;
+  std::uint32_t routers_per_subject = 2;
   Span bank = Span::s(10);
-  double lend = 4;
-  Span longest_hit = Span::s(5);                    // by when whatever is in hand is over
-  std::vector<std::string> path_groups, customers;  // names by their index in the module
+  double peak_factor = 4;
+  Span max_request_duration = Span::s(5);  // whatever is in flight has ended by then
+
+  // The names behind the indices that the router's decisions use.
+  std::vector<std::string> request_classes;
+  std::vector<std::string> policy_tenants;
+
   std::vector<TenantSettings> tenants;
 };
 
--- a/src/calling/token_cache.hpp
+++ b/src/calling/token_cache.hpp
@@ -1,8 +1,10 @@
-// Tokens that were verified, by their hash, and tokens that were refused. Both bounded.
+// Tokens that have been verified, by the hash of their text: at most so many, the least recently used ones
+// evicted first. No I/O; the time is an argument.
 #pragma once
+#include <cstddef>
 #include <cstdint>
+#include <optional>
 #include <string>
-#include <vector>
 
 #include "base/index_map.hpp"
 #include "base/slab.hpp"
@@ -12,63 +14,56 @@
 
 namespace ashbeam::calling {
 
-// What a good token says, and what it hangs on: its key and its times are looked at again at each hit.
-struct Grant {
-  tokens::Digest digest{};
+// What a token says whose signature is good. Its key's state and its times are checked again at each request.
+struct VerifiedToken {
+  tokens::Digest digest{};  // of its text
   KeyRef key;
-  Instant issued, not_before, expires;
-  std::string issuer, tenant, subject, caller;  // `caller`: as hosts are told
-  bool bound = false;
-  tokens::Digest certificate{};
-  // As of the directory's epoch:
-  std::uint64_t epoch = 0;
-  std::uint32_t tenant_id = UINT32_MAX, rule = 0;
-  std::uint64_t hash = 0;  // of tenant and subject
+  Instant issued;
+  Instant not_before;
+  Instant expires;
+  std::string issuer;
+  std::string tenant;
+  std::string subject;
+  std::string principal;                             // as endpoints are told
+  std::uint64_t subject_hash = 0;                    // of the principal
+  std::optional<tokens::Digest> certificate_sha256;  // where it counts beside this certificate alone
+
+  // What the tenant directory of this epoch makes of it; epoch 0: not looked up yet.
+  std::uint64_t directory_epoch = 0;
+  std::uint32_t tenant_index = UINT32_MAX;
+  std::uint32_t rule = 0;
 };
 
 class TokenCache {
  public:
-  explicit TokenCache(std::size_t most) : most_(most), index_(64) {}
-  Grant* find(const tokens::Digest& digest);  // and marks it as used last; stands until the next call
-  // Over the bound one that has expired goes first, among the eight used longest ago, then the one of those
-  // used longest ago.
-  Grant& put(Grant grant, Instant now);
+  explicit TokenCache(std::size_t max_tokens) : max_tokens_(max_tokens) {}
+  // Marks it as the most recently used; nullptr: not cached. The token stands until the next call.
+  VerifiedToken* find(const tokens::Digest& digest);
+  // Over the bound, an expired one among the eight least recently used is evicted, or else the very least
+  // recently used.
+  VerifiedToken& insert(VerifiedToken token, Instant now);
   void erase(const tokens::Digest& digest);
   std::size_t size() const { return index_.size(); }
 
  private:
-  static constexpr std::uint32_t kNone = UINT32_MAX;
+  static constexpr std::uint32_t kNone = IndexMap::kNone;
+  static constexpr int kEvictionCandidates = 8;
   struct Node {
-    Grant grant;
-    std::uint32_t older = kNone, newer = kNone;
+    VerifiedToken token;
+    std::uint32_t older = kNone;
+    std::uint32_t newer = kNone;
   };
-  static std::uint64_t key_of(const tokens::Digest& d);
-  void unlink(std::uint32_t at);
-  void link_newest(std::uint32_t at);
-  void drop(std::uint32_t at);
-  std::size_t most_;
+  static std::uint64_t key_of(const tokens::Digest& digest);
+  std::uint32_t slot_to_evict(Instant now);
+  void unlink(std::uint32_t slot);
+  void link_newest(std::uint32_t slot);
+  void remove(std::uint32_t slot);
+
+  std::size_t max_tokens_;
   IndexMap index_;
   Slab<Node> nodes_;
-  std::uint32_t oldest_ = kNone, newest_ = kNone;
-};
-
-// Refused tokens of the key ring's epoch: the same again costs no verification. A fixed table; a token that
-// falls on another's place takes it.
-class RefusedTokens {
- public:
-  explicit RefusedTokens(std::size_t places) : places_(places) {}
-  Refusal find(const tokens::Digest& digest, std::uint64_t epoch, Instant now) const;
-  void put(const tokens::Digest& digest, std::uint64_t epoch, Refusal why, Instant until);
-
- private:
-  struct Place {
-    tokens::Digest digest{};
-    std::uint64_t epoch = 0;
-    Instant until;
-    Refusal why = Refusal::kNone;
-  };
-  std::size_t place_of(const tokens::Digest& d) const;
-  std::vector<Place> places_;
+  std::uint32_t oldest_ = kNone;
+  std::uint32_t newest_ = kNone;
 };
 
 }  // namespace ashbeam::calling
--- a/src/fakes/pki.cpp
+++ b/src/fakes/pki.cpp
@@ -77,7 +77,7 @@
   unsigned char print[32];
   unsigned size = sizeof print;
   X509_digest(x, EVP_sha256(), print, &size);
-  id.print = tokens::to_base64url({reinterpret_cast<char*>(print), size});
+  id.print = tokens::encode_base64url({reinterpret_cast<char*>(print), size});
   return id;
 }
 
--- a/src/program/access_config_loader.cpp
+++ b/src/program/access_config_loader.cpp
@@ -78,10 +78,10 @@
 // A folder on a file system that hangs must not go unnoticed: what is revoked there is not known here.
 void AccessConfigLoader::look() {
   look_.in(std::min(standing_.calling->reread, Span::s(1)));
-  const Span ahead = loop_.wall_ahead(), before = service_.gate()->wall_ahead();
+  const Span ahead = loop_.wall_ahead(), before = service_.gate()->wall_clock_ahead();
   if (ahead > before + Span::s(1) || ahead < before - Span::s(1))
     note_("calling: the machine's clock was set by " + std::to_string((ahead - before).us() / 1000) + " ms");
-  service_.gate()->wall_ahead(ahead);
+  service_.gate()->set_wall_clock_ahead(ahead);
   const Instant now = loop_.now();
   if (reading_ && now - reading_since_ > Span::s(5) && !std::exchange(stuck_told_, true))
     note_("calling: reading keys and files has taken 5 s and goes on; the old ring and rights stand");
@@ -124,7 +124,7 @@
     standing_ = fresh.operators;
     if (fresh.tls) service_.tls()->take(*standing_.tls, fresh.tls);
     if (!standing_.calling) return note_("operator's file read again");
-    service_.gate()->terms(standing_.calling->terms, loop_.now());
+    service_.gate()->update_settings(standing_.calling->terms, loop_.now());
     note_("operator's file read again: " + std::to_string(standing_.calling->terms.tenants.size()) +
           " tenants");
   }
@@ -133,11 +133,11 @@
 
 void AccessConfigLoader::take_keys(const KeyFolder& folder) {
   stamp_ = folder.stamp;
-  const auto change = service_.gate()->keys(folder.keys, loop_.now());
+  const auto change = service_.gate()->update_keys(folder.keys, loop_.now());
   if (!change.any()) return;
-  note_("calling: key ring " + std::to_string(service_.gate()->ring().epoch()) + ": " +
+  note_("calling: key ring " + std::to_string(service_.gate()->key_ring().epoch()) + ": " +
         std::to_string(folder.keys.size()) + " keys listed, " + std::to_string(change.added) + " new, " +
-        std::to_string(change.back) + " back, " + std::to_string(change.retiring) + " retiring, " +
+        std::to_string(change.restored) + " back, " + std::to_string(change.retiring) + " retiring, " +
         std::to_string(change.revoked) + " revoked, " + std::to_string(change.forgotten) + " forgotten");
 }
 
--- a/src/program/demo.cpp
+++ b/src/program/demo.cpp
@@ -15,6 +15,7 @@
 #include "program/environment.hpp"
 #include "protocol/json.hpp"
 #include "tokens/jws.hpp"
+#include "tokens/key_set.hpp"
 
 namespace ashbeam {
 
@@ -99,19 +100,20 @@
   void guard() {
     calling::CallingSettings terms;
     terms.audience = "ashbeam";
-    terms.path_groups = door_.request_classes, terms.customers = door_.tenants;
+    terms.request_classes = door_.request_classes;
+    terms.policy_tenants = door_.tenants;
     calling::TenantSettings shop;
     shop.name = "shop";
-    shop.each = {20, 10, 0};
+    shop.subject_limit = {20, 10, 0};
     terms.tenants = {shop};
     auto gate = std::make_unique<calling::Authorizer>(terms, 7, loop_.now());
-    tokens::Listed key;
-    key.key = tokens::Key::fresh(tokens::Algorithm::kEdDsa), key.kid = "demo";
-    gate->keys(std::vector{key}, loop_.now());
+    tokens::KeyEntry key;
+    key.key = tokens::Key::generate(tokens::Algorithm::kEdDsa), key.kid = "demo";
+    gate->update_keys(std::vector{key}, loop_.now());
     const auto now = loop_.now().us() / 1000000;
-    token_ = tokens::issue(key.key, key.kid,
-                           R"({"aud":"ashbeam","tenant":"shop","sub":"you","iat":)" + std::to_string(now) +
-                               R"(,"exp":)" + std::to_string(now + 3600) + "}");
+    token_ = tokens::sign_token(key.key, key.kid,
+                                R"({"aud":"ashbeam","tenant":"shop","sub":"you","iat":)" +
+                                    std::to_string(now) + R"(,"exp":)" + std::to_string(now + 3600) + "}");
     service_->guard(std::move(gate), false);
   }
 
--- a/src/program/keys_command.cpp
+++ b/src/program/keys_command.cpp
@@ -1,5 +1,5 @@
-// `ashbeam keys`: a folder with one key set (ring.json, public) and the private parts in private/, a file
-// each.
+// `ashbeam keys`: a folder with one key set (ring.json, public, which routers read) and the private parts in
+// private/, a file each.
 #include <fcntl.h>
 #include <openssl/pem.h>
 #include <openssl/x509.h>
@@ -8,169 +8,245 @@
 #include <unistd.h>
 
 #include <algorithm>
+#include <array>
+#include <cctype>
 #include <chrono>
 #include <cmath>
 #include <cstdio>
 #include <filesystem>
+#include <memory>
 #include <stdexcept>
+#include <utility>
 
-#include "calling/key_ring.hpp"
 #include "program/commands.hpp"
 #include "protocol/json.hpp"
 #include "records/value.hpp"
 #include "store/files.hpp"
 #include "tokens/base64url.hpp"
 #include "tokens/jws.hpp"
+#include "tokens/openssl_ptr.hpp"
 
 namespace ashbeam {
 
 namespace {
 
-double now_s() {
+constexpr mode_t kPublicFolderMode = 0755;
+constexpr mode_t kPrivateFolderMode = 0700;
+constexpr unsigned kPublicFileMode = 0644;
+constexpr unsigned kPrivateFileMode = 0600;
+
+double unix_now_s() {
   return std::chrono::duration<double>(std::chrono::system_clock::now().time_since_epoch()).count();
 }
 
-class Folder {
+// Holds the folder's lock file while it lives, so that of two commands at once neither undoes the other.
+class FolderLock {
+ public:
+  explicit FolderLock(const std::string& folder)
+      : descriptor_(::open((folder + "/.lock").c_str(), O_RDWR | O_CREAT | O_CLOEXEC, kPrivateFileMode)) {
+    if (descriptor_ >= 0 && ::flock(descriptor_, LOCK_EX) == 0) return;
+    if (descriptor_ >= 0) ::close(descriptor_);
+    throw FileError(folder, "can't be written");
+  }
+  ~FolderLock() { ::close(descriptor_); }
+  FolderLock(const FolderLock&) = delete;
+  FolderLock& operator=(const FolderLock&) = delete;
+
+ private:
+  int descriptor_;
+};
+
+std::string made_folder(const std::string& path) {
+  ::mkdir(path.c_str(), kPublicFolderMode);
+  ::mkdir((path + "/private").c_str(), kPrivateFolderMode);
+  return path;
+}
+
+// The folder's key set, read when it is opened and written by save(). Throws FileError.
+class SigningKeys {
  public:
-  // Guards against two of these commands at once, of which one would undo the other.
-  explicit Folder(const std::string& path) : path_(path) {
-    ::mkdir(path_.c_str(), 0755);
-    ::mkdir((path_ + "/private").c_str(), 0700);
-    lock_ = ::open((path_ + "/.lock").c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
-    if (lock_ < 0 || ::flock(lock_, LOCK_EX) != 0) throw FileError(path_, "can't be written");
-    if (!std::filesystem::exists(ring())) return;
-    tokens::KeySet set = tokens::read_key_set(read_file(ring(), tokens::kLongestSet));
-    if (!set.problem.empty()) throw FileError(ring(), set.problem);
-    keys_ = std::move(set.keys);
+  explicit SigningKeys(const std::string& folder) : folder_(made_folder(folder)), lock_(folder_) {
+    if (!std::filesystem::exists(set_path())) return;
+    tokens::KeySet set = tokens::parse_key_set(read_file(set_path(), tokens::kMaxKeySetBytes));
+    if (!set.problem.empty()) throw FileError(set_path(), set.problem);
+    entries_ = std::move(set.keys);
   }
-  ~Folder() { ::close(lock_); }
-  Folder(const Folder&) = delete;
-  Folder& operator=(const Folder&) = delete;
-
-  std::string ring() const { return path_ + "/ring.json"; }
-  std::string secret(const std::string& kid) const { return path_ + "/private/" + kid + ".json"; }
-  std::vector<tokens::Listed>& keys() { return keys_; }
-  tokens::Listed& named(const std::string& kid) {
-    for (auto& l : keys_) {
-      if (l.kid == kid) return l;
-    }
-    throw std::runtime_error("no key is called " + kid);
+
+  std::vector<tokens::KeyEntry>& entries() { return entries_; }
+  tokens::KeyEntry* find(const std::string& kid) {
+    const auto found = std::find_if(entries_.begin(), entries_.end(),
+                                    [&](const tokens::KeyEntry& entry) { return entry.kid == kid; });
+    return found == entries_.end() ? nullptr : &*found;
+  }
+  tokens::KeyEntry& get(const std::string& kid) {
+    tokens::KeyEntry* const entry = find(kid);
+    if (!entry) throw std::runtime_error("no key is called " + kid);
+    return *entry;
+  }
+  void save() const { write_file(set_path(), tokens::key_set_text(entries_), kPublicFileMode); }
+
+  void save_private(const tokens::KeyEntry& entry) const {
+    const std::string jwk =
+        "{\"kid\":" + json_text(entry.kid) + "," + entry.key.jwk_members(/*with_private=*/true) + "}";
+    write_file(private_path(entry.kid), "{\"keys\":[" + jwk + "]}\n", kPrivateFileMode);
+  }
+  tokens::Key load_private(const std::string& kid) const {
+    const std::string path = private_path(kid);
+    need_private(path);
+    const tokens::KeySet set = tokens::parse_key_set(read_file(path, tokens::kMaxKeySetBytes));
+    if (set.keys.size() != 1) throw FileError(path, set.problem);
+    return set.keys.front().key;
   }
-  void write() const { write_file(ring(), tokens::key_set_text(keys_), 0644); }
 
  private:
-  std::string path_;
-  int lock_ = -1;
-  std::vector<tokens::Listed> keys_;
+  std::string set_path() const { return folder_ + "/ring.json"; }
+  std::string private_path(const std::string& kid) const { return folder_ + "/private/" + kid + ".json"; }
+
+  std::string folder_;
+  FolderLock lock_;
+  std::vector<tokens::KeyEntry> entries_;
 };
 
-int guarded(void (*what)(const KeysOptions&), const KeysOptions& options) {
-  try {
-    what(options);
-    return 0;
-  } catch (const std::exception& e) {
-    std::fprintf(stderr, "ashbeam keys: %s\n", e.what());
-    return 1;
+Span parse_span(const std::string& text) {
+  Span span;
+  if (!records::span_of(text, span))
+    throw std::runtime_error("wanted a span like 10m, found " + records::quoted(text));
+  return span;
+}
+
+enum class ListedState { kComing, kCurrent, kRetiringOrRetired, kRevoked };
+
+// As far as the file's own times say; how long a retiring key still verifies is in the routers' settings.
+ListedState state_of(const tokens::KeyEntry& entry) {
+  if (entry.revoked) return ListedState::kRevoked;
+  if (entry.active_from_unix_s > unix_now_s()) return ListedState::kComing;
+  const bool retired = entry.retired_at_unix_s > 0 && entry.retired_at_unix_s <= unix_now_s();
+  return retired ? ListedState::kRetiringOrRetired : ListedState::kCurrent;
+}
+
+const char* name_of(ListedState state) {
+  switch (state) {
+    case ListedState::kComing:
+      return "coming";
+    case ListedState::kCurrent:
+      return "current";
+    case ListedState::kRetiringOrRetired:
+      return "retiring or retired";
+    case ListedState::kRevoked:
+      return "revoked";
   }
+  return "?";
 }
 
-Span span(const std::string& text) {
-  Span s;
-  if (!records::span_of(text, s))
-    throw std::runtime_error("wanted a span like 10m, found " + records::quoted(text));
-  return s;
+std::string default_kid(const std::string& algorithm) {
+  return "k" + std::to_string(static_cast<long long>(unix_now_s() * 1000)) + "-" + algorithm;
 }
 
-// As the router would see it, the file's own times alone.
-std::string_view state_of(const tokens::Listed& l) {
-  if (l.revoked) return "revoked";
-  if (l.from > now_s()) return "coming";
-  return l.retired > 0 && l.retired <= now_s() ? "retiring or retired" : "current";
+// A kid names a file, too.
+bool is_good_kid(const std::string& kid) {
+  return kid.size() <= tokens::kMaxKidBytes && std::all_of(kid.begin(), kid.end(), [](unsigned char c) {
+           return std::isalnum(c) || c == '-' || c == '_';
+         });
 }
 
-void make(const KeysOptions& o) {
-  Folder folder(o.folder);
-  tokens::Listed l;
-  l.key = tokens::Key::fresh(*tokens::algorithm_of(o.algorithm));
-  l.kid = o.kid;
-  if (l.kid.empty()) l.kid = "k" + std::to_string(static_cast<long long>(now_s() * 1000)) + "-" + o.algorithm;
-  const bool plain = std::all_of(l.kid.begin(), l.kid.end(),
-                                 [](unsigned char c) { return std::isalnum(c) || c == '-' || c == '_'; });
-  if (!plain || l.kid.size() > tokens::kLongestKid)
+void create_key(const KeysOptions& options) {
+  SigningKeys keys(options.folder);
+  tokens::KeyEntry entry;
+  entry.key = tokens::Key::generate(*tokens::parse_algorithm(options.algorithm));
+  entry.kid = options.kid.empty() ? default_kid(options.algorithm) : options.kid;
+  if (!is_good_kid(entry.kid))
     throw std::runtime_error("wanted a name of at most 64 letters, digits, - and _");
-  for (const auto& other : folder.keys()) {
-    if (other.kid == l.kid) throw std::runtime_error("a key is called " + l.kid + " already");
-  }
-  l.from = std::floor(now_s() + span(o.from).s());
-  write_file(folder.secret(l.kid),
-             "{\"keys\":[{\"kid\":" + json_text(l.kid) + "," + l.key.members(true) + "}]}\n", 0600);
-  folder.keys().push_back(l);
-  if (folder.keys().size() > tokens::kMostKeys)
+  if (keys.find(entry.kid)) throw std::runtime_error("a key is called " + entry.kid + " already");
+  entry.active_from_unix_s = std::floor(unix_now_s() + parse_span(options.from).s());
+  keys.save_private(entry);
+  keys.entries().push_back(entry);
+  if (keys.entries().size() > tokens::kMaxKeysOfSet)
     throw std::runtime_error("more than 64 keys: remove old ones");
-  folder.write();
-  std::printf("%s\n", l.kid.c_str());
+  keys.save();
+  std::printf("%s\n", entry.kid.c_str());
 }
 
-void list(const KeysOptions& o) {
-  Folder folder(o.folder);
-  for (const auto& l : folder.keys()) {
-    std::printf("%s %s %s %s\n", l.kid.c_str(), std::string(tokens::name_of(l.key.algorithm())).c_str(),
-                std::string(state_of(l)).c_str(), l.key.thumbprint().c_str());
+void list_keys(const KeysOptions& options) {
+  SigningKeys keys(options.folder);
+  for (const tokens::KeyEntry& entry : keys.entries()) {
+    const std::string algorithm(tokens::name_of(entry.key.algorithm()));
+    std::printf("%s %s %s %s\n", entry.kid.c_str(), algorithm.c_str(), name_of(state_of(entry)),
+                entry.key.thumbprint().c_str());
   }
 }
 
-void retire(const KeysOptions& o) {
-  Folder folder(o.folder);
-  tokens::Listed& l = folder.named(o.kid);
-  if (l.retired == 0) l.retired = std::ceil(now_s());
-  folder.write();
+void retire_key(const KeysOptions& options) {
+  SigningKeys keys(options.folder);
+  tokens::KeyEntry& entry = keys.get(options.kid);
+  if (entry.retired_at_unix_s == 0) entry.retired_at_unix_s = std::ceil(unix_now_s());
+  keys.save();
+}
+
+void revoke_key(const KeysOptions& options) {
+  SigningKeys keys(options.folder);
+  keys.get(options.kid).revoked = true;
+  keys.save();
 }
 
-void revoke(const KeysOptions& o) {
-  Folder folder(o.folder);
-  folder.named(o.kid).revoked = true;
-  folder.write();
+// x5t#S256 (RFC 8705, section 3.1) of a PEM file.
+std::string certificate_thumbprint(const std::string& path) {
+  const std::unique_ptr<std::FILE, int (*)(std::FILE*)> file(std::fopen(path.c_str(), "r"), std::fclose);
+  if (!file) throw FileError(path, "can't be read");
+  const tokens::OpensslPtr<X509> certificate(PEM_read_X509(file.get(), nullptr, nullptr, nullptr));
+  if (!certificate) throw FileError(path, "no PEM certificate");
+  tokens::Digest digest{};
+  auto size = static_cast<unsigned>(digest.size());
+  X509_digest(certificate.get(), EVP_sha256(), digest.data(), &size);
+  return tokens::encode_base64url({reinterpret_cast<const char*>(digest.data()), size});
 }
 
-std::string print_of(const std::string& certificate) {
-  std::FILE* const file = std::fopen(certificate.c_str(), "r");
-  if (!file) throw FileError(certificate, "can't be read");
-  X509* const x = PEM_read_X509(file, nullptr, nullptr, nullptr);
-  std::fclose(file);
-  if (!x) throw FileError(certificate, "no PEM certificate");
-  unsigned char print[32];
-  unsigned size = sizeof print;
-  X509_digest(x, EVP_sha256(), print, &size);
-  X509_free(x);
-  return tokens::to_base64url({reinterpret_cast<char*>(print), size});
+// The last key of that name; where no name is given, the last that signs now.
+const tokens::KeyEntry& signing_key(SigningKeys& keys, const std::string& kid) {
+  const tokens::KeyEntry* chosen = nullptr;
+  for (const tokens::KeyEntry& entry : keys.entries()) {
+    const bool fits = kid.empty() ? state_of(entry) == ListedState::kCurrent : entry.kid == kid;
+    if (fits) chosen = &entry;
+  }
+  if (!chosen) throw std::runtime_error(kid.empty() ? "no key signs now" : "no key is called " + kid);
+  return *chosen;
 }
 
-void token(const KeysOptions& o) {
-  Folder folder(o.folder);
-  const tokens::Listed* with = nullptr;
-  for (const auto& l : folder.keys()) {
-    if (o.kid.empty() ? state_of(l) == "current" : l.kid == o.kid) with = &l;
+std::string claims_text(const KeysOptions& options) {
+  const auto issued_unix_s = static_cast<long long>(unix_now_s());
+  const auto lifetime_s = static_cast<long long>(std::ceil(parse_span(options.life).s()));
+  std::string claims = "{\"sub\":" + json_text(options.subject) + ",\"tenant\":" + json_text(options.tenant) +
+                       ",\"iat\":" + std::to_string(issued_unix_s) +
+                       ",\"exp\":" + std::to_string(issued_unix_s + lifetime_s);
+  if (!options.issuer.empty()) claims += ",\"iss\":" + json_text(options.issuer);
+  if (!options.audience.empty()) claims += ",\"aud\":" + json_text(options.audience);
+  if (!options.certificate.empty())
+    claims += ",\"cnf\":{\"x5t#S256\":\"" + certificate_thumbprint(options.certificate) + "\"}";
+  return claims + "}";
+}
+
+void print_token(const KeysOptions& options) {
+  SigningKeys keys(options.folder);
+  const tokens::KeyEntry& entry = signing_key(keys, options.kid);
+  const tokens::Key private_key = keys.load_private(entry.kid);
+  std::printf("%s\n", tokens::sign_token(private_key, entry.kid, claims_text(options)).c_str());
+}
+
+int exit_code_of(void (*command)(const KeysOptions&), const KeysOptions& options) {
+  try {
+    command(options);
+    return 0;
+  } catch (const std::exception& error) {
+    std::fprintf(stderr, "ashbeam keys: %s\n", error.what());
+    return 1;
   }
-  if (!with) throw std::runtime_error(o.kid.empty() ? "no key signs now" : "no key is called " + o.kid);
-  need_private(folder.secret(with->kid));
-  const tokens::KeySet set = tokens::read_key_set(read_file(folder.secret(with->kid), tokens::kLongestSet));
-  if (set.keys.size() != 1) throw FileError(folder.secret(with->kid), set.problem);
-  const auto now = static_cast<long long>(now_s());
-  std::string claims = "{\"sub\":" + json_text(o.subject) + ",\"tenant\":" + json_text(o.tenant) +
-                       ",\"iat\":" + std::to_string(now) + ",\"exp\":" +
-                       std::to_string(now + static_cast<long long>(std::ceil(span(o.life).s())));
-  if (!o.issuer.empty()) claims += ",\"iss\":" + json_text(o.issuer);
-  if (!o.audience.empty()) claims += ",\"aud\":" + json_text(o.audience);
-  if (!o.certificate.empty()) claims += ",\"cnf\":{\"x5t#S256\":\"" + print_of(o.certificate) + "\"}";
-  std::printf("%s\n", tokens::issue(set.keys[0].key, with->kid, claims + "}").c_str());
 }
 
 }  // namespace
 
-int keys_new(const KeysOptions& o) { return guarded(make, o); }
-int keys_list(const KeysOptions& o) { return guarded(list, o); }
-int keys_retire(const KeysOptions& o) { return guarded(retire, o); }
-int keys_revoke(const KeysOptions& o) { return guarded(revoke, o); }
-int keys_token(const KeysOptions& o) { return guarded(token, o); }
+int keys_new(const KeysOptions& options) { return exit_code_of(create_key, options); }
+int keys_list(const KeysOptions& options) { return exit_code_of(list_keys, options); }
+int keys_retire(const KeysOptions& options) { return exit_code_of(retire_key, options); }
+int keys_revoke(const KeysOptions& options) { return exit_code_of(revoke_key, options); }
+int keys_token(const KeysOptions& options) { return exit_code_of(print_token, options); }
 
 }  // namespace ashbeam
--- a/src/program/operators.cpp
+++ b/src/program/operators.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <filesystem>
 
-#include "calling/directory.hpp"
+#include "calling/tenant_directory.hpp"
 #include "records/value.hpp"
 #include "store/files.hpp"
 #include "transport/connection.hpp"
@@ -100,9 +100,9 @@
 calling::Limit limit_of(const Value& v) {
   calling::Limit l;
   if (!v.given()) return l;
-  l.per_s = v["per_s"].number;
-  l.burst = v["burst"].number;
-  l.in_hand = static_cast<std::uint32_t>(v["in_hand"].number);
+  l.requests_per_s = v["per_s"].number;
+  l.burst_requests = v["burst"].number;
+  l.in_flight = static_cast<std::uint32_t>(v["in_hand"].number);
   return l;
 }
 
@@ -115,17 +115,17 @@
 calling::TenantSettings tenant_of(const Value& v) {
   calling::TenantSettings t;
   t.name = v["name"].text, t.issuer = v["issuer"].text, t.organisation = v["organisation"].text;
-  t.any_path = !v["path_groups"].given();
-  t.may = names_of(v["path_groups"]);
-  t.all = limit_of(v["limit"]), t.each = limit_of(v["each"]);
+  t.any_class = !v["path_groups"].given();
+  t.allowed_classes = names_of(v["path_groups"]);
+  t.tenant_limit = limit_of(v["limit"]);
+  t.subject_limit = limit_of(v["each"]);
   t.only_listed = v["only_listed"].truth;
   for (const Value& s : v["subjects"].items) {
-    calling::SubjectTerms one;
+    calling::SubjectSettings one;
     one.name = s["name"].text;
-    one.any_path = !s["path_groups"].given();
-    one.may = names_of(s["path_groups"]);
-    one.limited = s["limit"].given();
-    one.limit = limit_of(s["limit"]);
+    one.any_class = !s["path_groups"].given();
+    one.allowed_classes = names_of(s["path_groups"]);
+    if (s["limit"].given()) one.limit = limit_of(s["limit"]);
     t.subjects.push_back(std::move(one));
   }
   return t;
@@ -177,31 +177,34 @@
       t.issuer = tokens["issuer"].text, t.audience = tokens["audience"].text;
       t.tenant_claim = tokens["tenant_claim"].text;
       t.leeway = tokens["leeway"].span(), t.overlap = tokens["overlap"].span();
-      t.longest_life = tokens["longest"].span();
-      t.cached_tokens = static_cast<std::size_t>(tokens["cached"].number);
+      t.max_token_lifetime = tokens["longest"].span();
+      t.max_cached_tokens = static_cast<std::size_t>(tokens["cached"].number);
       t.verifications_per_s = tokens["verifications_per_s"].number;
     }
-    t.subjects = static_cast<std::size_t>(v["subjects"].number);
-    t.reach = static_cast<std::uint32_t>(v["reach"].number);
+    t.max_subjects = static_cast<std::size_t>(v["subjects"].number);
+    t.routers_per_subject = static_cast<std::uint32_t>(v["reach"].number);
     t.bank = v["bank"].span();
-    t.lend = v["lend"].number;
+    t.peak_factor = v["lend"].number;
     for (const Value& tenant : v["tenants"].items) t.tenants.push_back(tenant_of(tenant));
     if (terms_) {
-      t.routers = terms_->router_count;
+      t.router_count = terms_->router_count;
       for (const RequestClass& g : terms_->request_classes)
-        t.longest_hit = std::max(t.longest_hit, g.client_timeout);
+        t.max_request_duration = std::max(t.max_request_duration, g.client_timeout);
     }
     if (door_) {
-      t.path_groups = door_->request_classes, t.customers = door_->tenants;
-      for (const std::string& p : calling::problems_of(t))
+      t.request_classes = door_->request_classes;
+      t.policy_tenants = door_->tenants;
+      for (const std::string& p : calling::find_problems(t))
         wrong(v["tenants"], "calling.tenants", "names that fit", p);
     } else {  // whatever is named stands for itself
       for (const auto& tenant : t.tenants) {
-        t.path_groups.insert(t.path_groups.end(), tenant.may.begin(), tenant.may.end());
+        t.request_classes.insert(t.request_classes.end(), tenant.allowed_classes.begin(),
+                                 tenant.allowed_classes.end());
         for (const auto& s : tenant.subjects)
-          t.path_groups.insert(t.path_groups.end(), s.may.begin(), s.may.end());
+          t.request_classes.insert(t.request_classes.end(), s.allowed_classes.begin(),
+                                   s.allowed_classes.end());
       }
-      for (const std::string& p : calling::problems_of(t))
+      for (const std::string& p : calling::find_problems(t))
         wrong(v["tenants"], "calling.tenants", "names that fit", p);
     }
     return c;
--- a/src/routing/callers.hpp
+++ b/src/routing/callers.hpp
@@ -30,10 +30,10 @@
   TlsStream::PeerProof proof(Instant now) const {
     return connection_.veil() ? connection_.veil()->proof(now) : TlsStream::PeerProof();
   }
-  void end_after() { last_ = true; }  // the connection ends after the answer to the request at hand
-  std::uint32_t hit = UINT32_MAX;     // the owner's mark on the request at hand
-  calling::Presence presence;         // and on the connection
-  std::uint64_t serial = 0;           // the connection\'s number, never given twice
+  void end_after() { last_ = true; }   // the connection ends after the answer to the request at hand
+  std::uint32_t hit = UINT32_MAX;      // the owner's mark on the request at hand
+  calling::ConnectionHistory history;  // of the client connection
+  std::uint64_t serial = 0;            // the connection\'s number, never given twice
 
  private:
   friend class Callers;
--- a/src/routing/service.cpp
+++ b/src/routing/service.cpp
@@ -53,10 +53,10 @@
   std::string lines;
   for (const http::Field& f : head.fields()) {
     if (!goes_on(head, f.name) || says_caller(f.name)) continue;
-    if (!who.caller.empty() && !token_goes_on && http::same_name(f.name, "Authorization")) continue;
+    if (!who.principal.empty() && !token_goes_on && http::same_name(f.name, "Authorization")) continue;
     lines += f.line;
   }
-  if (!who.caller.empty()) lines.append("X-Caller: ").append(who.caller).append("\r\n");
+  if (!who.principal.empty()) lines.append("X-Caller: ").append(who.principal).append("\r\n");
   return lines;
 }
 
@@ -190,7 +190,7 @@
   // By account: what one customer sends says nothing of another's.
   id_.assign(head.find("X-Account").value_or("")).append(1, '\n').append(*head.find("X-Correlation-Id"));
   if (!ids_.take(id_, now, give_up_at + limits_.request_id_retention)) {
-    if (gate_) gate_->ended(ticket);
+    if (gate_) gate_->release(ticket);
     return caller.answer_plain(409);
   }
 
@@ -208,7 +208,7 @@
     const std::uint32_t repository = warden_->repository_of(whole.substr(0, whole.find('?')), file);
     if (repository != metadata::MetadataVerifier::kNone) {
       // Who has proven nothing is known by the connection.
-      const std::uint64_t client = who.caller.empty() ? caller.serial : who.hash;
+      const std::uint64_t client = who.principal.empty() ? caller.serial : who.subject_hash;
       hit.metadata = std::make_unique<Metadata>(Metadata{repository, std::string(file), client, {}});
     }
   }
@@ -225,8 +225,9 @@
       if (name == "targetKey" && value >= 1 && value < 1.8e19) key = static_cast<std::uint64_t>(value);
     });
   }
-  const unsigned customer =
-      who.caller.empty() ? index_of(door_.tenants, head.find("X-Account").value_or("")) : who.customer;
+  const unsigned customer = who.principal.empty()
+                                ? index_of(door_.tenants, head.find("X-Account").value_or(""))
+                                : who.policy_tenant;
   if (one_way_) hit.key = key;
   if (detail_.on(LogTopic::kRequests)) {
     const std::string_view id = head.find("X-Correlation-Id").value_or("");
@@ -251,13 +252,14 @@
 
 bool Service::known(Caller& caller, const http::Head& head, const TlsStream::PeerProof& proof,
                     calling::Identity& who) {
-  calling::Asked asked;
-  asked.authorization = head.find("Authorization").value_or("");
-  asked.twice = head.count("Authorization") > 1 || head.count("X-Account") > 1;
-  asked.account = head.find("X-Account").value_or("");
-  asked.certificate = proof.certificate;
+  calling::Credentials credentials;
+  credentials.authorization = head.find("Authorization").value_or("");
+  credentials.ambiguous = head.count("Authorization") > 1 || head.count("X-Account") > 1;
+  credentials.account = head.find("X-Account").value_or("");
+  credentials.certificate = proof.certificate;
   Span retry_after;
-  const calling::Refusal why = gate_->identify(asked, caller.presence, loop_.now(), who, retry_after);
+  const calling::Refusal why =
+      gate_->authenticate(credentials, caller.history, loop_.now(), who, retry_after);
   if (why != calling::Refusal::kNone) refuse(caller, why, retry_after);
   return why == calling::Refusal::kNone;
 }
@@ -265,20 +267,20 @@
 bool Service::let_in(Caller& caller, const calling::Identity& who, unsigned group,
                      calling::AdmissionToken& ticket) {
   Span retry_after;
-  const calling::Refusal why = gate_->let_in(who, group, loop_.now(), ticket, retry_after);
+  const calling::Refusal why = gate_->admit(who, group, loop_.now(), ticket, retry_after);
   if (why != calling::Refusal::kNone) refuse(caller, why, retry_after);
   return why == calling::Refusal::kNone;
 }
 
 void Service::refuse(Caller& caller, calling::Refusal why, Span retry_after) {
   if (gate_ && !refused_.armed()) refused_.in(Span::s(1));
-  const unsigned status = calling::status_of(why);
-  const std::string word(calling::word_of(why));
+  const unsigned status = calling::http_status_of(why);
+  const std::string word(calling::name_of(why));
   if (status == 403) return caller.answer_plain(403, "X-Refused: " + word + "\r\n");
   if (status == 401) {
     return caller.answer_plain(
         401,
-        why == calling::Refusal::kMissing
+        why == calling::Refusal::kNoCredentials
             ? "WWW-Authenticate: Bearer\r\n"
             : "WWW-Authenticate: Bearer error=\"invalid_token\", error_description=\"" + word + "\"\r\n");
   }
@@ -290,7 +292,7 @@
 
 // One line for all of a second.
 void Service::tell_refused() {
-  constexpr auto kReasons = static_cast<std::size_t>(calling::Refusal::kCount);
+  constexpr std::size_t kReasons = calling::kRefusalCount;
   refused_told_.resize(kReasons, 0);
   std::string line;
   for (std::size_t i = 1; i < kReasons; ++i) {
@@ -298,7 +300,7 @@
     const std::uint64_t more = gate_->refused(why) - refused_told_[i];
     if (more == 0) continue;
     refused_told_[i] += more;
-    line.append(line.empty() ? "" : ", ").append(calling::word_of(why)).append(" " + std::to_string(more));
+    line.append(line.empty() ? "" : ", ").append(calling::name_of(why)).append(" " + std::to_string(more));
   }
   note_("calling: refused within 1 s: " + line);
 }
@@ -334,7 +336,7 @@
   Hit& hit = hits_[id];
   if (!hit.live || hit.caller || hit.out > 0) return;
   --in_hand_;
-  if (gate_) gate_->ended(hit.ticket);
+  if (gate_) gate_->release(hit.ticket);
   hit = Hit{};
   hits_.give_back(id);
 }
--- a/src/store/files.cpp
+++ b/src/store/files.cpp
@@ -107,10 +107,10 @@
   KeyFolder all;
   all.stamp = key_folder_stamp(path);  // first: what changes while we read is read again
   for (const std::string& file : sets_of(path)) {
-    tokens::KeySet set = tokens::read_key_set(read_file(file, tokens::kLongestSet));
+    tokens::KeySet set = tokens::parse_key_set(read_file(file, tokens::kMaxKeySetBytes));
     if (!set.problem.empty()) throw FileError(file, set.problem);
-    if (set.holds_private) need_private(file);
-    all.passed_over += set.passed_over;
+    if (set.has_private_keys) need_private(file);
+    all.passed_over += set.ignored;
     for (auto& listed : set.keys) all.keys.push_back(std::move(listed));
   }
   return all;
--- a/src/store/files.hpp
+++ b/src/store/files.hpp
@@ -5,7 +5,7 @@
 #include <string_view>
 #include <vector>
 
-#include "tokens/keys.hpp"
+#include "tokens/key_set.hpp"
 
 namespace ashbeam {
 
@@ -22,7 +22,7 @@
 // All key sets (*.json) of a folder, in the names' order, at most 64 files; one that can't be used spoils
 // all, so that a file half written never takes keys away. `stamp` tells whether the folder has changed since.
 struct KeyFolder {
-  std::vector<tokens::Listed> keys;
+  std::vector<tokens::KeyEntry> keys;
   unsigned passed_over = 0;
   std::string stamp;
 };
--- a/src/tokens/base64url.cpp
+++ b/src/tokens/base64url.cpp
@@ -8,49 +8,56 @@
 namespace {
 
 constexpr std::string_view kAlphabet = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_";
+constexpr unsigned kBitsPerByte = 8;
+constexpr unsigned kBitsPerDigit = 6;
+constexpr std::uint8_t kNoDigit = 255;
 
-constexpr std::array<std::int8_t, 256> values() {
-  std::array<std::int8_t, 256> all{};
-  for (auto& v : all) v = -1;
+constexpr std::array<std::uint8_t, 256> digit_values() {
+  std::array<std::uint8_t, 256> values{};
+  for (auto& value : values) value = kNoDigit;
   for (std::size_t i = 0; i < kAlphabet.size(); ++i)
-    all[static_cast<unsigned char>(kAlphabet[i])] = static_cast<std::int8_t>(i);
-  return all;
+    values[static_cast<unsigned char>(kAlphabet[i])] = static_cast<std::uint8_t>(i);
+  return values;
 }
 
 }  // namespace
 
-std::string to_base64url(std::string_view bytes) {
-  std::string all;
-  all.reserve((bytes.size() * 4 + 2) / 3);
-  std::uint32_t held = 0;
+std::string encode_base64url(std::string_view bytes) {
+  std::string text;
+  text.reserve((bytes.size() * 4 + 2) / 3);
+  std::uint32_t buffer = 0;
   unsigned bits = 0;
   for (const char c : bytes) {
-    held = (held << 8U) | static_cast<unsigned char>(c);
-    for (bits += 8; bits >= 6; bits -= 6) all += kAlphabet[(held >> (bits - 6)) & 63U];
+    buffer = (buffer << kBitsPerByte) | static_cast<unsigned char>(c);
+    bits += kBitsPerByte;
+    while (bits >= kBitsPerDigit) {
+      bits -= kBitsPerDigit;
+      text += kAlphabet[(buffer >> bits) & 63U];
+    }
   }
-  if (bits > 0) all += kAlphabet[(held << (6 - bits)) & 63U];
-  return all;
+  if (bits > 0) text += kAlphabet[(buffer << (kBitsPerDigit - bits)) & 63U];
+  return text;
 }
 
-std::optional<std::string> from_base64url(std::string_view text) {
-  static constexpr auto kValues = values();
+std::optional<std::string> decode_base64url(std::string_view text) {
+  static constexpr auto kDigitValues = digit_values();
   if (text.size() % 4 == 1) return std::nullopt;
-  std::string all;
-  all.reserve(text.size() * 3 / 4);
-  std::uint32_t held = 0;
+  std::string bytes;
+  bytes.reserve(text.size() * 3 / 4);
+  std::uint32_t buffer = 0;
   unsigned bits = 0;
   for (const char c : text) {
-    const int v = kValues[static_cast<unsigned char>(c)];
-    if (v < 0) return std::nullopt;
-    held = (held << 6U) | static_cast<unsigned>(v);
-    bits += 6;
-    if (bits >= 8) {
-      bits -= 8;
-      all += static_cast<char>((held >> bits) & 255U);
-    }
+    const std::uint8_t digit = kDigitValues[static_cast<unsigned char>(c)];
+    if (digit == kNoDigit) return std::nullopt;
+    buffer = (buffer << kBitsPerDigit) | digit;
+    bits += kBitsPerDigit;
+    if (bits < kBitsPerByte) continue;
+    bits -= kBitsPerByte;
+    bytes += static_cast<char>((buffer >> bits) & 255U);
   }
-  if ((held & ((1U << bits) - 1)) != 0) return std::nullopt;
-  return all;
+  const std::uint32_t unused_bits = buffer & ((1U << bits) - 1);
+  if (unused_bits != 0) return std::nullopt;
+  return bytes;
 }
 
 }  // namespace ashbeam::tokens
--- a/src/tokens/base64url.hpp
+++ b/src/tokens/base64url.hpp
@@ -6,9 +6,9 @@
 
 namespace ashbeam::tokens {
 
-std::string to_base64url(std::string_view bytes);
-// Nothing where a character is none of the alphabet, or the last one holds bits that no byte needs: two
-// texts never say the same bytes.
-std::optional<std::string> from_base64url(std::string_view text);
+std::string encode_base64url(std::string_view bytes);
+// Nothing where a character is not of the alphabet, or where the last one has bits that belong to no byte:
+// each byte string has one encoding alone.
+std::optional<std::string> decode_base64url(std::string_view text);
 
 }  // namespace ashbeam::tokens
--- /dev/null
+++ b/src/tokens/json_members.cpp
@@ -0,0 +1,23 @@
+#include "tokens/json_members.hpp"
+
+#include <set>
+#include <string>
+
+namespace ashbeam::tokens {
+
+bool has_repeated_member(const Json& object) {
+  std::set<std::string> names;
+  bool repeated = false;
+  object.each_member([&](const std::string& name, const Json&) {
+    if (!names.insert(name).second) repeated = true;
+  });
+  return repeated;
+}
+
+std::optional<Json> parse_object(std::string_view text) {
+  auto object = Json::parse(text);
+  if (!object || !object->is_object() || has_repeated_member(*object)) return std::nullopt;
+  return object;
+}
+
+}  // namespace ashbeam::tokens
--- a/src/tokens/jws.cpp
+++ b/src/tokens/jws.cpp
@@ -1,111 +1,126 @@
 #include "tokens/jws.hpp"
 
 #include <algorithm>
-#include <set>
 
 #include "protocol/json.hpp"
 #include "tokens/base64url.hpp"
+#include "tokens/json_members.hpp"
 
 namespace ashbeam::tokens {
 
 namespace {
 
-// Guards against members that stand twice, of which another reader would take the other.
-std::optional<Json> object(std::string_view text) {
-  const auto all = Json::parse(text);
-  if (!all || !all->is_object()) return std::nullopt;
-  std::set<std::string> names;
-  bool twice = false;
-  all->each_member(
-      [&](const std::string& name, const Json&) { twice = twice || !names.insert(name).second; });
-  return twice ? std::nullopt : all;
-}
+constexpr double kMaxUnixS = 1e11;
 
-bool date(const Json& all, const char* name, Instant& into, bool& had) {
-  const auto given = all.member(name);
-  had = given.has_value();
-  if (!had) return true;
-  const auto s = given->number();
-  if (!s || !(*s >= 0 && *s < 1e11)) return false;
-  into = Instant::at_us(static_cast<std::int64_t>(*s * 1e6));
+// False where the claim is there and no NumericDate (RFC 7519, section 2).
+bool read_time(const Json& claims, const char* name, std::optional<Instant>& time) {
+  const auto given = claims.member(name);
+  if (!given) return true;
+  const auto unix_s = given->number();
+  if (!unix_s || !(*unix_s >= 0 && *unix_s < kMaxUnixS)) return false;
+  time = Instant::at_us(static_cast<std::int64_t>(*unix_s * 1e6));
   return true;
 }
 
-bool name(const Json& all, std::string_view member, std::string& into) {
-  const auto given = all.member(member);
+// False where the claim is there and no text, or too long.
+bool read_name(const Json& claims, std::string_view claim, std::string& name) {
+  const auto given = claims.member(claim);
   if (!given) return true;
   const auto text = given->text();
-  if (!text || text->size() > kLongestName) return false;
-  into = *text;
+  if (!text || text->size() > kMaxNameBytes) return false;
+  name = *text;
   return true;
 }
 
+// One audience or a list (RFC 7519, section 4.1.3). False where one is no text, too long, or one too many.
+bool read_audiences(const Json& claims, std::vector<std::string>& audiences) {
+  const auto given = claims.member("aud");
+  if (!given) return true;
+  bool good = true;
+  const auto add = [&](const Json& audience) {
+    const auto text = audience.text();
+    good = good && text && text->size() <= kMaxNameBytes && audiences.size() < kMaxAudiences;
+    if (good) audiences.push_back(*text);
+  };
+  if (given->is_list()) {
+    given->each_item(add);
+  } else {
+    add(*given);
+  }
+  return good;
+}
+
+// A binding of a kind that is not known here is not passed over.
+bool read_certificate_binding(const Json& claims, std::optional<Digest>& certificate_sha256) {
+  const auto confirmation = claims.member("cnf");
+  if (!confirmation) return true;
+  const auto members = confirmation->is_object() ? parse_object(confirmation->raw()) : std::nullopt;
+  const auto thumbprint = members ? members->member("x5t#S256") : std::nullopt;
+  const auto bytes = thumbprint && thumbprint->text() ? decode_base64url(*thumbprint->text()) : std::nullopt;
+  Digest digest{};
+  if (!bytes || bytes->size() != digest.size()) return false;
+  std::copy(bytes->begin(), bytes->end(), digest.begin());
+  certificate_sha256 = digest;
+  return true;
+}
+
+bool is_jwt_type(const std::string& type) { return type == "JWT" || type == "jwt" || type == "at+jwt"; }
+
+// False where the header is not one of a token that is understood here.
+bool read_header(std::string_view text, Jws& jws) {
+  const auto header = parse_object(text);
+  if (!header || header->member("crit") || header->member("b64")) return false;
+  const auto algorithm = header->member("alg");
+  if (!algorithm || !algorithm->text()) return false;
+  jws.algorithm = *algorithm->text();
+  if (const auto kid = header->member("kid")) {
+    if (!kid->text()) return false;
+    jws.kid = *kid->text();
+  }
+  const auto type = header->member("typ");
+  return !type || is_jwt_type(type->text().value_or("?"));
+}
+
 }  // namespace
 
-std::optional<Jws> split(std::string_view token) {
-  const std::size_t first = token.find('.'), second = token.find('.', first + 1);
-  if (token.size() > kLongestToken || first == std::string_view::npos || second == std::string_view::npos)
-    return std::nullopt;
-  const auto header = from_base64url(token.substr(0, first)),
-             payload = from_base64url(token.substr(first + 1, second - first - 1)),
-             signature = from_base64url(token.substr(second + 1));
+std::optional<Jws> parse_jws(std::string_view token) {
+  if (token.size() > kMaxTokenBytes) return std::nullopt;
+  const std::size_t first_dot = token.find('.');
+  if (first_dot == std::string_view::npos) return std::nullopt;
+  const std::size_t second_dot = token.find('.', first_dot + 1);
+  if (second_dot == std::string_view::npos) return std::nullopt;
+  const auto header = decode_base64url(token.substr(0, first_dot));
+  const auto payload = decode_base64url(token.substr(first_dot + 1, second_dot - first_dot - 1));
+  const auto signature = decode_base64url(token.substr(second_dot + 1));
   if (!header || !payload || !signature) return std::nullopt;
-  const auto all = object(*header);
-  if (!all || all->member("crit") || all->member("b64")) return std::nullopt;
-  const auto alg = all->member("alg"), kid = all->member("kid"), type = all->member("typ");
   Jws jws;
-  if (!alg || !alg->text()) return std::nullopt;
-  jws.alg = *alg->text();
-  if (kid) {
-    if (!kid->text()) return std::nullopt;
-    jws.kid = *kid->text();
-  }
-  if (type) {  // RFC 8725, section 3.11: a token of another kind is none of ours
-    const std::string t = type->text().value_or("?");
-    if (t != "JWT" && t != "jwt" && t != "at+jwt") return std::nullopt;
-  }
-  jws.signed_bytes = token.substr(0, second);
+  if (!read_header(*header, jws)) return std::nullopt;
+  jws.signed_bytes = token.substr(0, second_dot);
   jws.signature = *signature;
   jws.payload = *payload;
   return jws;
 }
 
-std::optional<Claims> read_claims(std::string_view payload, std::string_view tenant) {
-  const auto all = object(payload);
-  if (!all) return std::nullopt;
-  Claims c;
-  bool had_early = false;
-  if (!name(*all, "iss", c.issuer) || !name(*all, "sub", c.subject) || !name(*all, tenant, c.tenant) ||
-      !date(*all, "exp", c.expires, c.has_expiry) || !date(*all, "nbf", c.not_before, had_early) ||
-      !date(*all, "iat", c.issued, c.has_issued))
-    return std::nullopt;
-  bool good = true;
-  if (const auto aud = all->member("aud")) {
-    const auto one = [&](const Json& j) {
-      const auto text = j.text();
-      good = good && text && text->size() <= kLongestName && c.audiences.size() < kMostAudiences;
-      if (good) c.audiences.push_back(*text);
-    };
-    if (aud->is_list()) aud->each_item(one);
-    else one(*aud);
-  }
-  if (const auto cnf = all->member("cnf")) {
-    const auto inside = cnf->is_object() ? object(cnf->raw()) : std::nullopt;
-    const auto print = inside ? inside->member("x5t#S256") : std::nullopt;
-    const auto bytes = print && print->text() ? from_base64url(*print->text()) : std::nullopt;
-    // A binding of a kind that we do not know is not passed over.
-    if (!bytes || bytes->size() != c.certificate.size()) return std::nullopt;
-    std::copy(bytes->begin(), bytes->end(), c.certificate.begin());
-    c.bound = true;
-  }
-  return good ? std::optional(c) : std::nullopt;
+std::optional<Claims> parse_claims(std::string_view payload, std::string_view tenant_claim) {
+  const auto object = parse_object(payload);
+  if (!object) return std::nullopt;
+  Claims claims;
+  std::optional<Instant> not_before;
+  const bool good = read_name(*object, "iss", claims.issuer) && read_name(*object, "sub", claims.subject) &&
+                    read_name(*object, tenant_claim, claims.tenant) &&
+                    read_time(*object, "exp", claims.expires) && read_time(*object, "nbf", not_before) &&
+                    read_time(*object, "iat", claims.issued) && read_audiences(*object, claims.audiences) &&
+                    read_certificate_binding(*object, claims.certificate_sha256);
+  if (!good) return std::nullopt;
+  claims.not_before = not_before.value_or(Instant());
+  return claims;
 }
 
-std::string issue(const Key& key, std::string_view kid, std::string_view payload) {
+std::string sign_token(const Key& key, std::string_view kid, std::string_view payload) {
   const std::string header = R"({"alg":")" + std::string(name_of(key.algorithm())) +
                              R"(","typ":"JWT","kid":)" + json_text(kid) + "}";
-  const std::string input = to_base64url(header) + "." + to_base64url(payload);
-  return input + "." + to_base64url(key.sign(input));
+  const std::string signed_text = encode_base64url(header) + "." + encode_base64url(payload);
+  return signed_text + "." + encode_base64url(key.sign(signed_text));
 }
 
 }  // namespace ashbeam::tokens
--- a/src/tokens/jws.hpp
+++ b/src/tokens/jws.hpp
@@ -1,6 +1,7 @@
 // JWS in compact form (RFC 7515, section 3.1) and the claims of a JWT (RFC 7519, section 4.1). Reading alone:
 // whether a token counts is decided in calling/.
 #pragma once
+#include <cstddef>
 #include <optional>
 #include <string>
 #include <string_view>
@@ -11,34 +12,38 @@
 
 namespace ashbeam::tokens {
 
-constexpr std::size_t kLongestToken = 4096;  // bytes
-constexpr std::size_t kLongestName = 128;    // of a subject, tenant, issuer or audience
-constexpr std::size_t kMostAudiences = 8;
+constexpr std::size_t kMaxTokenBytes = 4096;
+constexpr std::size_t kMaxNameBytes = 128;  // of a subject, tenant, issuer or audience
+constexpr std::size_t kMaxAudiences = 8;
 
 struct Jws {
   std::string_view signed_bytes;  // of the token's own text
-  std::string signature, kid;
-  std::string alg;      // as the header names it; read as an algorithm only against the key's own
-  std::string payload;  // JSON, or something else
+  std::string signature;
+  std::string kid;        // empty: not given
+  std::string algorithm;  // as the header names it; what counts is the algorithm of the key
+  std::string payload;    // JSON, or something else
 };
 
-// Nothing where the token is not three good parts, its header is no JSON object with each member once, or
-// names in `crit` what we do not know (RFC 7515, section 4.1.11).
-std::optional<Jws> split(std::string_view token);
+// Nothing where the token is not three good parts, or its header is no JSON object with each member once, is
+// of another type than a JWT, or has `crit` or `b64` (RFC 7515, section 4.1.11; RFC 8725, section 3.11).
+std::optional<Jws> parse_jws(std::string_view token);
 
 struct Claims {
-  std::string issuer, subject, tenant;
+  std::string issuer;
+  std::string subject;
+  std::string tenant;
   std::vector<std::string> audiences;
-  Instant expires = Instant::never(), not_before, issued;  // far past: not said
-  bool has_expiry = false, has_issued = false, bound = false;
-  Digest certificate{};  // cnf.x5t#S256 (RFC 8705, section 3.1), where bound
+  std::optional<Instant> expires;
+  std::optional<Instant> issued;
+  Instant not_before;                        // the far past: not given
+  std::optional<Digest> certificate_sha256;  // cnf.x5t#S256 (RFC 8705, section 3.1)
 };
 
-// `tenant` names the claim that says the tenant. Nothing where a claim has another type than the RFC's, or
-// stands twice.
-std::optional<Claims> read_claims(std::string_view payload, std::string_view tenant);
+// `tenant_claim` names the claim that says the tenant. Nothing where a claim has another type than the RFC's,
+// stands twice, or binds the token in a way that is not known here.
+std::optional<Claims> parse_claims(std::string_view payload, std::string_view tenant_claim);
 
-// A token, signed.
-std::string issue(const Key& key, std::string_view kid, std::string_view payload);
+// A token with these claims, signed. Throws KeyError without the private part.
+std::string sign_token(const Key& key, std::string_view kid, std::string_view payload);
 
 }  // namespace ashbeam::tokens
--- a/src/tokens/keys.cpp
+++ b/src/tokens/keys.cpp
@@ -6,261 +6,220 @@
 #include <openssl/param_build.h>
 
 #include <algorithm>
-#include <set>
-#include <stdexcept>
 
-#include "protocol/json.hpp"
 #include "tokens/base64url.hpp"
+#include "tokens/openssl_ptr.hpp"
 
 namespace ashbeam::tokens {
 
 namespace {
 
-struct Free {
-  void operator()(EVP_PKEY_CTX* p) const { EVP_PKEY_CTX_free(p); }
-  void operator()(EVP_MD_CTX* p) const { EVP_MD_CTX_free(p); }
-  void operator()(OSSL_PARAM_BLD* p) const { OSSL_PARAM_BLD_free(p); }
-  void operator()(OSSL_PARAM* p) const { OSSL_PARAM_free(p); }
-  void operator()(ECDSA_SIG* p) const { ECDSA_SIG_free(p); }
-  void operator()(BIGNUM* p) const { BN_clear_free(p); }
-};
-template <class T>
-using Owned = std::unique_ptr<T, Free>;
+constexpr char kUncompressedPoint = '\x04';        // SEC 1, section 2.3.3
+constexpr std::size_t kMaxDerSignatureBytes = 80;  // of ES256: two integers of 33 bytes, and their headers
+constexpr std::size_t kMaxSignatureBytes = 128;
+
+const unsigned char* unsigned_bytes(std::string_view bytes) {
+  return reinterpret_cast<const unsigned char*>(bytes.data());
+}
 
-const unsigned char* bytes_of(std::string_view s) { return reinterpret_cast<const unsigned char*>(s.data()); }
+unsigned char* unsigned_bytes(std::string& bytes) { return reinterpret_cast<unsigned char*>(bytes.data()); }
 
-std::string padded(const BIGNUM* n) {
-  std::string all(32, '\0');
-  if (BN_bn2binpad(n, reinterpret_cast<unsigned char*>(all.data()), 32) != 32)
-    throw std::runtime_error("a key's figure is too large");
-  return all;
+std::string padded_bytes(const BIGNUM* number) {
+  std::string bytes(kKeyPartBytes, '\0');
+  const int size = static_cast<int>(kKeyPartBytes);
+  if (BN_bn2binpad(number, unsigned_bytes(bytes), size) != size)
+    throw KeyError("a key's figure is too large");
+  return bytes;
 }
 
-std::shared_ptr<EVP_PKEY> owned(EVP_PKEY* key) {
-  if (!key) throw std::runtime_error("no key of that kind");
-  return {key, EVP_PKEY_free};
+OpensslPtr<BIGNUM> big_number(std::string_view bytes) {
+  return OpensslPtr<BIGNUM>(BN_bin2bn(unsigned_bytes(bytes), static_cast<int>(bytes.size()), nullptr));
 }
 
-std::shared_ptr<EVP_PKEY> ec_key(std::string_view x, std::string_view y, std::string_view d) {
-  const std::string point = "\x04" + std::string(x) + std::string(y);
-  const Owned<OSSL_PARAM_BLD> build(OSSL_PARAM_BLD_new());
-  const Owned<BIGNUM> secret(d.empty() ? nullptr
-                                       : BN_bin2bn(bytes_of(d), static_cast<int>(d.size()), nullptr));
-  OSSL_PARAM_BLD_push_utf8_string(build.get(), OSSL_PKEY_PARAM_GROUP_NAME, "P-256", 0);
-  OSSL_PARAM_BLD_push_octet_string(build.get(), OSSL_PKEY_PARAM_PUB_KEY, point.data(), point.size());
-  if (secret) OSSL_PARAM_BLD_push_BN(build.get(), OSSL_PKEY_PARAM_PRIV_KEY, secret.get());
-  const Owned<OSSL_PARAM> params(OSSL_PARAM_BLD_to_param(build.get()));
-  const Owned<EVP_PKEY_CTX> ctx(EVP_PKEY_CTX_new_from_name(nullptr, "EC", nullptr));
-  EVP_PKEY* key = nullptr;
-  if (!params || !ctx || EVP_PKEY_fromdata_init(ctx.get()) != 1 ||
-      EVP_PKEY_fromdata(ctx.get(), &key, secret ? EVP_PKEY_KEYPAIR : EVP_PKEY_PUBLIC_KEY, params.get()) != 1)
-    throw std::runtime_error("no point of P-256");
-  auto kept = owned(key);
-  const Owned<EVP_PKEY_CTX> check(EVP_PKEY_CTX_new_from_pkey(nullptr, key, nullptr));
-  if (!check || EVP_PKEY_public_check(check.get()) != 1) throw std::runtime_error("no point of P-256");
-  if (secret && EVP_PKEY_pairwise_check(check.get()) != 1)
-    throw std::runtime_error("private and public part do not belong together");
-  return kept;
+OpensslPtr<BIGNUM> number_param(const EVP_PKEY* key, const char* name) {
+  BIGNUM* number = nullptr;
+  if (EVP_PKEY_get_bn_param(key, name, &number) != 1) throw KeyError("no key can be made");
+  return OpensslPtr<BIGNUM>(number);
 }
 
-}  // namespace
+std::shared_ptr<EVP_PKEY> shared_key(EVP_PKEY* key) {
+  if (!key) throw KeyError("no key of that kind");
+  return {key, EVP_PKEY_free};
+}
 
-std::string_view name_of(Algorithm algorithm) { return algorithm == Algorithm::kEdDsa ? "EdDSA" : "ES256"; }
+OpensslPtr<OSSL_PARAM> p256_params(std::string_view x, std::string_view y, const BIGNUM* private_part) {
+  const std::string point = kUncompressedPoint + std::string(x) + std::string(y);
+  const OpensslPtr<OSSL_PARAM_BLD> builder(OSSL_PARAM_BLD_new());
+  OSSL_PARAM_BLD_push_utf8_string(builder.get(), OSSL_PKEY_PARAM_GROUP_NAME, "P-256", 0);
+  OSSL_PARAM_BLD_push_octet_string(builder.get(), OSSL_PKEY_PARAM_PUB_KEY, point.data(), point.size());
+  if (private_part) OSSL_PARAM_BLD_push_BN(builder.get(), OSSL_PKEY_PARAM_PRIV_KEY, private_part);
+  return OpensslPtr<OSSL_PARAM>(OSSL_PARAM_BLD_to_param(builder.get()));
+}
 
-std::optional<Algorithm> algorithm_of(std::string_view name) {
-  if (name == "EdDSA") return Algorithm::kEdDsa;
-  if (name == "ES256") return Algorithm::kEs256;
-  return std::nullopt;
+std::shared_ptr<EVP_PKEY> p256_key(std::string_view x, std::string_view y, std::string_view d) {
+  const OpensslPtr<BIGNUM> private_part = d.empty() ? nullptr : big_number(d);
+  const OpensslPtr<OSSL_PARAM> params = p256_params(x, y, private_part.get());
+  const OpensslPtr<EVP_PKEY_CTX> context(EVP_PKEY_CTX_new_from_name(nullptr, "EC", nullptr));
+  const int selection = private_part ? EVP_PKEY_KEYPAIR : EVP_PKEY_PUBLIC_KEY;
+  EVP_PKEY* raw_key = nullptr;
+  if (!params || !context || EVP_PKEY_fromdata_init(context.get()) != 1 ||
+      EVP_PKEY_fromdata(context.get(), &raw_key, selection, params.get()) != 1)
+    throw KeyError("no point of P-256");
+  auto key = shared_key(raw_key);
+  const OpensslPtr<EVP_PKEY_CTX> check(EVP_PKEY_CTX_new_from_pkey(nullptr, key.get(), nullptr));
+  if (!check || EVP_PKEY_public_check(check.get()) != 1) throw KeyError("no point of P-256");
+  if (private_part && EVP_PKEY_pairwise_check(check.get()) != 1)
+    throw KeyError("private and public part do not belong together");
+  return key;
 }
 
-Digest digest_of(std::string_view bytes) {
-  static EVP_MD* const sha256 = EVP_MD_fetch(nullptr, "SHA256", nullptr);
-  thread_local const Owned<EVP_MD_CTX> ctx(EVP_MD_CTX_new());
-  Digest d{};
-  unsigned size = 0;
-  if (EVP_DigestInit_ex2(ctx.get(), sha256, nullptr) != 1 ||
-      EVP_DigestUpdate(ctx.get(), bytes.data(), bytes.size()) != 1 ||
-      EVP_DigestFinal_ex(ctx.get(), d.data(), &size) != 1)
-    throw std::runtime_error("SHA-256 can't be had");
-  return d;
+std::string raw_public_part(const EVP_PKEY* ed25519_key) {
+  std::string bytes(kKeyPartBytes, '\0');
+  std::size_t size = bytes.size();
+  if (EVP_PKEY_get_raw_public_key(ed25519_key, unsigned_bytes(bytes), &size) != 1)
+    throw KeyError("private and public part do not belong together");
+  return bytes;
 }
 
-Key Key::public_key(Algorithm algorithm, std::string_view x, std::string_view y) {
-  return private_key(algorithm, x, y, {});
+std::shared_ptr<EVP_PKEY> ed25519_key(std::string_view x, std::string_view d) {
+  if (d.empty())
+    return shared_key(EVP_PKEY_new_raw_public_key(EVP_PKEY_ED25519, nullptr, unsigned_bytes(x), x.size()));
+  auto key = shared_key(EVP_PKEY_new_raw_private_key(EVP_PKEY_ED25519, nullptr, unsigned_bytes(d), d.size()));
+  if (raw_public_part(key.get()) != x) throw KeyError("private and public part do not belong together");
+  return key;
 }
 
-Key Key::private_key(Algorithm algorithm, std::string_view x, std::string_view y, std::string_view d) {
-  Key k;
-  k.algorithm_ = algorithm;
-  k.x_ = x, k.y_ = y, k.d_ = d;
-  const bool curve = algorithm == Algorithm::kEs256;
-  if (x.size() != 32 || y.size() != (curve ? 32 : 0) || (!d.empty() && d.size() != 32))
-    throw std::runtime_error("a figure of a key has the wrong length");
-  if (curve) {
-    k.key_ = ec_key(x, y, d);
-  } else if (d.empty()) {
-    k.key_ = owned(EVP_PKEY_new_raw_public_key(EVP_PKEY_ED25519, nullptr, bytes_of(x), x.size()));
+// RFC 7638, section 3: the required members in lexicographic order, without white space.
+std::string thumbprint_of(Algorithm algorithm, std::string_view x, std::string_view y) {
+  std::string members;
+  if (algorithm == Algorithm::kEs256) {
+    members = R"({"crv":"P-256","kty":"EC","x":")" + encode_base64url(x) + R"(","y":")" +
+              encode_base64url(y) + "\"}";
   } else {
-    k.key_ = owned(EVP_PKEY_new_raw_private_key(EVP_PKEY_ED25519, nullptr, bytes_of(d), d.size()));
-    unsigned char own[32];
-    std::size_t size = sizeof own;
-    if (EVP_PKEY_get_raw_public_key(k.key_.get(), own, &size) != 1 || !std::equal(own, own + 32, bytes_of(x)))
-      throw std::runtime_error("private and public part do not belong together");
+    members = R"({"crv":"Ed25519","kty":"OKP","x":")" + encode_base64url(x) + "\"}";
   }
-  const std::string named =
-      curve ? R"({"crv":"P-256","kty":"EC","x":")" + to_base64url(x) + R"(","y":")" + to_base64url(y) + "\"}"
-            : R"({"crv":"Ed25519","kty":"OKP","x":")" + to_base64url(x) + "\"}";
-  const Digest d256 = digest_of(named);
-  k.thumbprint_ = to_base64url({reinterpret_cast<const char*>(d256.data()), d256.size()});
-  return k;
+  const Digest digest = sha256(members);
+  return encode_base64url({reinterpret_cast<const char*>(digest.data()), digest.size()});
 }
 
-Key Key::fresh(Algorithm algorithm) {
-  const bool curve = algorithm == Algorithm::kEs256;
-  const auto key = owned(curve ? EVP_EC_gen("P-256") : EVP_PKEY_Q_keygen(nullptr, nullptr, "ED25519"));
-  if (!curve) {
-    unsigned char x[32], d[32];
-    std::size_t size = 32;
-    EVP_PKEY_get_raw_public_key(key.get(), x, &size);
-    EVP_PKEY_get_raw_private_key(key.get(), d, &size);
-    return private_key(algorithm, {reinterpret_cast<char*>(x), 32}, {}, {reinterpret_cast<char*>(d), 32});
-  }
-  BIGNUM *x = nullptr, *y = nullptr, *d = nullptr;
-  const bool had = EVP_PKEY_get_bn_param(key.get(), OSSL_PKEY_PARAM_EC_PUB_X, &x) == 1 &&
-                   EVP_PKEY_get_bn_param(key.get(), OSSL_PKEY_PARAM_EC_PUB_Y, &y) == 1 &&
-                   EVP_PKEY_get_bn_param(key.get(), OSSL_PKEY_PARAM_PRIV_KEY, &d) == 1;
-  const Owned<BIGNUM> keep_x(x), keep_y(y), keep_d(d);
-  if (!had) throw std::runtime_error("no key can be made");
-  return private_key(algorithm, padded(x), padded(y), padded(d));
-}
+struct DerSignature {
+  std::array<unsigned char, kMaxDerSignatureBytes> bytes{};
+  std::size_t size = 0;  // 0: it can't be written
+  std::string_view view() const { return {reinterpret_cast<const char*>(bytes.data()), size}; }
+};
 
-// ES256 signatures are r and s side by side (RFC 7518, section 3.4); OpenSSL wants them in DER.
-bool Key::verifies(std::string_view signed_bytes, std::string_view signature) const {
-  if (!key_ || signature.size() != 64) return false;
-  thread_local const Owned<EVP_MD_CTX> ctx(EVP_MD_CTX_new());
-  EVP_MD_CTX_reset(ctx.get());
-  const bool curve = algorithm_ == Algorithm::kEs256;
-  if (EVP_DigestVerifyInit(ctx.get(), nullptr, curve ? EVP_sha256() : nullptr, nullptr, key_.get()) != 1)
-    return false;
-  if (!curve) {
-    return EVP_DigestVerify(ctx.get(), bytes_of(signature), 64, bytes_of(signed_bytes),
-                            signed_bytes.size()) == 1;
-  }
-  const Owned<ECDSA_SIG> parts(ECDSA_SIG_new());
-  ECDSA_SIG_set0(parts.get(), BN_bin2bn(bytes_of(signature), 32, nullptr),
-                 BN_bin2bn(bytes_of(signature) + 32, 32, nullptr));
-  unsigned char der[80];
-  unsigned char* at = der;
-  if (i2d_ECDSA_SIG(parts.get(), nullptr) > static_cast<int>(sizeof der)) return false;
-  const int size = i2d_ECDSA_SIG(parts.get(), &at);
-  return size > 0 && EVP_DigestVerify(ctx.get(), der, static_cast<std::size_t>(size), bytes_of(signed_bytes),
-                                      signed_bytes.size()) == 1;
+// ES256's signature is r and s side by side (RFC 7518, section 3.4); OpenSSL takes and gives DER.
+DerSignature der_signature(std::string_view r_and_s) {
+  constexpr std::size_t kHalf = kSignatureBytes / 2;
+  const OpensslPtr<ECDSA_SIG> parts(ECDSA_SIG_new());
+  ECDSA_SIG_set0(parts.get(), big_number(r_and_s.substr(0, kHalf)).release(),
+                 big_number(r_and_s.substr(kHalf)).release());
+  DerSignature der;
+  if (i2d_ECDSA_SIG(parts.get(), nullptr) > static_cast<int>(der.bytes.size())) return der;
+  unsigned char* output = der.bytes.data();
+  der.size = static_cast<std::size_t>(std::max(0, i2d_ECDSA_SIG(parts.get(), &output)));
+  return der;
 }
 
-std::string Key::sign(std::string_view bytes) const {
-  if (!is_private()) throw std::runtime_error("the private part is not here");
-  const Owned<EVP_MD_CTX> ctx(EVP_MD_CTX_new());
-  const bool curve = algorithm_ == Algorithm::kEs256;
-  unsigned char out[128];
-  std::size_t size = sizeof out;
-  if (EVP_DigestSignInit(ctx.get(), nullptr, curve ? EVP_sha256() : nullptr, nullptr, key_.get()) != 1 ||
-      EVP_DigestSign(ctx.get(), out, &size, bytes_of(bytes), bytes.size()) != 1)
-    throw std::runtime_error("signing failed");
-  if (!curve) return {reinterpret_cast<char*>(out), size};
-  const unsigned char* at = out;
-  const Owned<ECDSA_SIG> parts(d2i_ECDSA_SIG(nullptr, &at, static_cast<long>(size)));
-  return padded(ECDSA_SIG_get0_r(parts.get())) + padded(ECDSA_SIG_get0_s(parts.get()));
+std::string r_and_s_of(const unsigned char* der, std::size_t size) {
+  const OpensslPtr<ECDSA_SIG> parts(d2i_ECDSA_SIG(nullptr, &der, static_cast<long>(size)));
+  return padded_bytes(ECDSA_SIG_get0_r(parts.get())) + padded_bytes(ECDSA_SIG_get0_s(parts.get()));
 }
 
-std::string Key::members(bool with_private) const {
-  const bool curve = algorithm_ == Algorithm::kEs256;
-  std::string all = curve ? R"("kty":"EC","crv":"P-256")" : R"("kty":"OKP","crv":"Ed25519")";
-  all +=
-      R"(,"alg":")" + std::string(name_of(algorithm_)) + R"(","use":"sig","x":")" + to_base64url(x_) + "\"";
-  if (curve) all += R"(,"y":")" + to_base64url(y_) + "\"";
-  if (with_private && is_private()) all += R"(,"d":")" + to_base64url(d_) + "\"";
-  return all;
+// Ed25519 hashes by itself.
+const EVP_MD* message_digest_of(Algorithm algorithm) {
+  return algorithm == Algorithm::kEs256 ? EVP_sha256() : nullptr;
 }
 
-// ---- Sets ----
+}  // namespace
 
-namespace {
+std::string_view name_of(Algorithm algorithm) { return algorithm == Algorithm::kEdDsa ? "EdDSA" : "ES256"; }
 
-std::string decoded(const Json& key, const char* member) {
-  const auto bytes = from_base64url(key.text(member));
-  if (!bytes) throw std::runtime_error(std::string("'") + member + "' is no base64url");
-  return *bytes;
+std::optional<Algorithm> parse_algorithm(std::string_view name) {
+  if (name == "EdDSA") return Algorithm::kEdDsa;
+  if (name == "ES256") return Algorithm::kEs256;
+  return std::nullopt;
 }
 
-// Nothing for a key of another kind.
-std::optional<Listed> read_key(const Json& key) {
-  std::set<std::string> names;
-  bool twice = false;
-  key.each_member([&](const std::string& name, const Json&) { twice = twice || !names.insert(name).second; });
-  if (twice) throw std::runtime_error("a member stands twice");
-  const std::string kind = key.text("kty"), curve = key.text("crv"), use = key.text("use"),
-                    alg = key.text("alg");
-  std::optional<Algorithm> algorithm;
-  if (kind == "OKP" && curve == "Ed25519") algorithm = Algorithm::kEdDsa;
-  if (kind == "EC" && curve == "P-256") algorithm = Algorithm::kEs256;
-  if (kind.empty()) throw std::runtime_error("'kty' is missing");
-  if (!algorithm || (!use.empty() && use != "sig")) return std::nullopt;
-  if (!alg.empty() && alg != name_of(*algorithm)) return std::nullopt;  // a key for something else
-  Listed l;
-  l.kid = key.text("kid");
-  if (l.kid.empty() || l.kid.size() > kLongestKid) throw std::runtime_error("'kid' is missing or too long");
-  const std::string y = kind == "EC" ? decoded(key, "y") : "";
-  l.key = Key::private_key(*algorithm, decoded(key, "x"), y, key.member("d") ? decoded(key, "d") : "");
-  l.from = key.number("x_from", 0), l.retired = key.number("x_retired", 0);
-  l.revoked = key.member("x_revoked").has_value();
-  if (l.from < 0 || l.from > 1e11 || l.retired < 0 || l.retired > 1e11)
-    throw std::runtime_error("a time is out of range");
-  return l;
+Digest sha256(std::string_view bytes) {
+  static const OpensslPtr<EVP_MD> method(EVP_MD_fetch(nullptr, "SHA256", nullptr));
+  thread_local const OpensslPtr<EVP_MD_CTX> context(EVP_MD_CTX_new());
+  Digest digest{};
+  unsigned size = 0;
+  if (EVP_DigestInit_ex2(context.get(), method.get(), nullptr) != 1 ||
+      EVP_DigestUpdate(context.get(), bytes.data(), bytes.size()) != 1 ||
+      EVP_DigestFinal_ex(context.get(), digest.data(), &size) != 1)
+    throw std::runtime_error("SHA-256 can't be had");
+  return digest;
 }
 
-}  // namespace
+Key Key::from_parts(Algorithm algorithm, std::string_view x, std::string_view y, std::string_view d) {
+  const bool is_curve_point = algorithm == Algorithm::kEs256;
+  const bool good_lengths = x.size() == kKeyPartBytes && y.size() == (is_curve_point ? kKeyPartBytes : 0) &&
+                            (d.empty() || d.size() == kKeyPartBytes);
+  if (!good_lengths) throw KeyError("a figure of a key has the wrong length");
+  Key key;
+  key.algorithm_ = algorithm;
+  key.key_ = is_curve_point ? p256_key(x, y, d) : ed25519_key(x, d);
+  key.x_ = x;
+  key.y_ = y;
+  key.d_ = d;
+  key.thumbprint_ = thumbprint_of(algorithm, x, y);
+  return key;
+}
 
-KeySet read_key_set(std::string_view text) {
-  KeySet set;
-  const auto whole = text.size() <= kLongestSet ? Json::parse(text) : std::nullopt;
-  const auto keys = whole && whole->is_object() ? whole->member("keys") : std::nullopt;
-  if (!keys || !keys->is_list()) {
-    set.problem = "wanted a JSON object with a list 'keys'";
-    return set;
+Key Key::generate(Algorithm algorithm) {
+  if (algorithm == Algorithm::kEs256) {
+    const auto key = shared_key(EVP_EC_gen("P-256"));
+    const auto x = number_param(key.get(), OSSL_PKEY_PARAM_EC_PUB_X);
+    const auto y = number_param(key.get(), OSSL_PKEY_PARAM_EC_PUB_Y);
+    const auto d = number_param(key.get(), OSSL_PKEY_PARAM_PRIV_KEY);
+    return from_parts(algorithm, padded_bytes(x.get()), padded_bytes(y.get()), padded_bytes(d.get()));
   }
-  unsigned at = 0;
-  keys->each_item([&](const Json& key) {
-    ++at;
-    if (!set.problem.empty()) return;
-    try {
-      if (!key.is_object()) throw std::runtime_error("no object");
-      auto listed = read_key(key);
-      if (!listed) return void(++set.passed_over);
-      if (set.keys.size() >= kMostKeys) throw std::runtime_error("more than 64 keys");
-      set.holds_private = set.holds_private || listed->key.is_private();
-      set.keys.push_back(std::move(*listed));
-    } catch (const std::runtime_error& e) {
-      set.problem = "key " + std::to_string(at) + ": " + e.what();
-    }
-  });
-  if (!set.problem.empty()) set.keys.clear();
-  return set;
+  const auto key = shared_key(EVP_PKEY_Q_keygen(nullptr, nullptr, "ED25519"));
+  std::string d(kKeyPartBytes, '\0');
+  std::size_t size = d.size();
+  if (EVP_PKEY_get_raw_private_key(key.get(), unsigned_bytes(d), &size) != 1)
+    throw KeyError("no key can be made");
+  return from_parts(algorithm, raw_public_part(key.get()), {}, d);
 }
 
-std::string key_set_text(const std::vector<Listed>& keys) {
-  std::string all = "{\"keys\":[";
-  for (const Listed& l : keys) {
-    all += std::string(all.back() == '[' ? "\n" : ",\n") + "{\"kid\":" + json_text(l.kid) + "," +
-           l.key.members(false);
-    const auto time = [&](const char* name, double s) {
-      if (s > 0) all += std::string(",\"") + name + "\":" + std::to_string(static_cast<long long>(s));
-    };
-    time("x_from", l.from);
-    time("x_retired", l.retired);
-    if (l.revoked) all += ",\"x_revoked\":true";
-    all += "}";
+bool Key::verify(std::string_view signed_bytes, std::string_view signature) const {
+  if (!key_ || signature.size() != kSignatureBytes) return false;
+  thread_local const OpensslPtr<EVP_MD_CTX> context(EVP_MD_CTX_new());
+  EVP_MD_CTX_reset(context.get());
+  if (EVP_DigestVerifyInit(context.get(), nullptr, message_digest_of(algorithm_), nullptr, key_.get()) != 1)
+    return false;
+  DerSignature der;
+  if (algorithm_ == Algorithm::kEs256) {
+    der = der_signature(signature);
+    if (der.size == 0) return false;
+    signature = der.view();
   }
-  return all + "\n]}\n";
+  return EVP_DigestVerify(context.get(), unsigned_bytes(signature), signature.size(),
+                          unsigned_bytes(signed_bytes), signed_bytes.size()) == 1;
+}
+
+std::string Key::sign(std::string_view bytes) const {
+  if (!is_private()) throw KeyError("the private part is not here");
+  const OpensslPtr<EVP_MD_CTX> context(EVP_MD_CTX_new());
+  std::array<unsigned char, kMaxSignatureBytes> signature{};
+  std::size_t size = signature.size();
+  if (EVP_DigestSignInit(context.get(), nullptr, message_digest_of(algorithm_), nullptr, key_.get()) != 1 ||
+      EVP_DigestSign(context.get(), signature.data(), &size, unsigned_bytes(bytes), bytes.size()) != 1)
+    throw KeyError("signing failed");
+  if (algorithm_ == Algorithm::kEs256) return r_and_s_of(signature.data(), size);
+  return {reinterpret_cast<const char*>(signature.data()), size};
+}
+
+std::string Key::jwk_members(bool with_private) const {
+  const bool is_curve_point = algorithm_ == Algorithm::kEs256;
+  std::string members = is_curve_point ? R"("kty":"EC","crv":"P-256")" : R"("kty":"OKP","crv":"Ed25519")";
+  members += R"(,"alg":")" + std::string(name_of(algorithm_)) + R"(","use":"sig")";
+  members += R"(,"x":")" + encode_base64url(x_) + "\"";
+  if (is_curve_point) members += R"(,"y":")" + encode_base64url(y_) + "\"";
+  if (with_private && is_private()) members += R"(,"d":")" + encode_base64url(d_) + "\"";
+  return members;
 }
 
 }  // namespace ashbeam::tokens
--- a/src/transport/tls.cpp
+++ b/src/transport/tls.cpp
@@ -79,7 +79,7 @@
   unsigned char* der = nullptr;
   const int size = i2d_X509_PUBKEY(X509_get_X509_PUBKEY(x), &der);
   if (size <= 0) return {};
-  const auto d = tokens::digest_of({reinterpret_cast<char*>(der), static_cast<std::size_t>(size)});
+  const auto d = tokens::sha256({reinterpret_cast<char*>(der), static_cast<std::size_t>(size)});
   OPENSSL_free(der);
   return hex_of({reinterpret_cast<const char*>(d.data()), d.size()});
 }
@@ -297,7 +297,8 @@
 
 class TlsVeil : public TlsStream {
  public:
-  TlsVeil(TlsAcceptor& door, std::shared_ptr<TlsCredentials> material, int fd, calling::Handshakes::Id id)
+  TlsVeil(TlsAcceptor& door, std::shared_ptr<TlsCredentials> material, int fd,
+          calling::HandshakeLimiter::Id id)
       : door_(door), material_(std::move(material)), ssl_(SSL_new(material_->parts_->ctx.get())), id_(id) {
     SSL_set_fd(ssl_.get(), fd);
     SSL_set_accept_state(ssl_.get());
@@ -308,14 +309,14 @@
 
   Step shake() override {
     if (dropped_) return failed("gave way to another handshake");
-    if (!door_.handshakes_.may_go_on(id_, door_.loop_.now())) {
+    if (!door_.handshakes_.may_continue(id_, door_.loop_.now())) {
       door_.later();
       return Step::kLater;
     }
     ERR_clear_error();
     const Span before = thread_cpu();
     const int done = SSL_do_handshake(ssl_.get());
-    door_.handshakes_.spent(thread_cpu() - before, door_.loop_.now());
+    door_.handshakes_.record_cpu(thread_cpu() - before, door_.loop_.now());
     if (done != 1) {
       const int why = SSL_get_error(ssl_.get(), done);
       if (why == SSL_ERROR_WANT_READ) return Step::kRead;
@@ -389,8 +390,8 @@
     return Step::kFailed;
   }
   void over() {
-    if (id_ != calling::Handshakes::kNone) door_.over(this);
-    id_ = calling::Handshakes::kNone;
+    if (id_ != calling::HandshakeLimiter::kNone) door_.over(this);
+    id_ = calling::HandshakeLimiter::kNone;
   }
   std::ptrdiff_t unfinished(int result) {
     const int why = SSL_get_error(ssl_.get(), result);
@@ -414,9 +415,9 @@
     leaf_.reset(SSL_get1_peer_certificate(ssl_.get()));
     if (!leaf_) return;
     certificate_.organisation = name_part(leaf_.get(), NID_organizationName);
-    certificate_.name = name_part(leaf_.get(), NID_commonName);
+    certificate_.common_name = name_part(leaf_.get(), NID_commonName);
     unsigned size = 32;
-    X509_digest(leaf_.get(), EVP_sha256(), certificate_.print.data(), &size);
+    X509_digest(leaf_.get(), EVP_sha256(), certificate_.sha256.data(), &size);
     certificate_.not_before = time_of(X509_get0_notBefore(leaf_.get()));
     certificate_.not_after = time_of(X509_get0_notAfter(leaf_.get()));
   }
@@ -426,10 +427,10 @@
   std::shared_ptr<TlsCredentials> material_;  // outlives ssl_
   Owned<SSL> ssl_;
   Owned<X509> leaf_;
-  calling::Handshakes::Id id_;
+  calling::HandshakeLimiter::Id id_;
   bool shaken_ = false, dropped_ = false, broken_ = false, good_ = true, renegotiates_ = false;
   std::uint64_t epoch_ = 0;  // of the trust that `good_` was said under
-  calling::Certificate certificate_;
+  calling::ClientCertificate certificate_;
   std::function<void()> turn_;
 };
 
@@ -440,8 +441,8 @@
     : loop_(loop), terms_(terms), note_(std::move(note)), current_(fresh_key(loop.now(), 1)),
       previous_(current_), handshakes_(terms.handshakes, terms.handshake_cpu, Span::ms(100)),
       later_(loop, [this] {
-        for (calling::Handshakes::Id id;
-             (id = handshakes_.next(loop_.now())) != calling::Handshakes::kNone;) {
+        for (calling::HandshakeLimiter::Id id;
+             (id = handshakes_.next_waiting(loop_.now())) != calling::HandshakeLimiter::kNone;) {
           const auto at = under_way_.find(id);
           if (at != under_way_.end()) at->second->turn();
         }
@@ -467,7 +468,7 @@
     sk_X509_push(material->parts_->seen.get(), x);
   }
   terms_ = terms;
-  handshakes_.limits(terms.handshakes, terms.handshake_cpu);
+  handshakes_.set_limits(terms.handshakes, terms.handshake_cpu);
   adopt(std::move(material));
   if (other) ++epoch_;
   note_("tls: certificates read again, trust " + std::string(other ? "changed" : "as it was") + ", epoch " +
@@ -475,12 +476,12 @@
 }
 
 std::unique_ptr<TlsStream> TlsAcceptor::veil(int fd) {
-  const auto begun = handshakes_.begin(loop_.now());
-  if (begun.gives_way != calling::Handshakes::kNone) {
-    const auto out = under_way_.find(begun.gives_way);
+  const auto begun = handshakes_.start(loop_.now());
+  if (begun.evicted != calling::HandshakeLimiter::kNone) {
+    const auto out = under_way_.find(begun.evicted);
     if (out != under_way_.end()) out->second->drop();
   }
-  if (begun.id == calling::Handshakes::kNone) {
+  if (begun.id == calling::HandshakeLimiter::kNone) {
     ++counts_.turned_away;
     complain("too many handshakes under way");
     return nullptr;
@@ -492,7 +493,7 @@
 
 void TlsAcceptor::over(TlsVeil* veil) {
   under_way_.erase(veil->id_);
-  handshakes_.over(veil->id_);
+  handshakes_.finish(veil->id_);
 }
 
 void TlsAcceptor::later() {
--- a/src/transport/tls.hpp
+++ b/src/transport/tls.hpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "calling/handshakes.hpp"
+#include "calling/handshake_limiter.hpp"
 #include "transport/event_loop.hpp"
 #include "transport/tls_settings.hpp"
 #include "transport/tls_stream.hpp"
@@ -79,8 +79,8 @@
   Note note_;
   std::uint64_t epoch_ = 1;
   TicketKey current_, previous_;
-  calling::Handshakes handshakes_;
-  std::map<calling::Handshakes::Id, TlsVeil*> under_way_;
+  calling::HandshakeLimiter handshakes_;
+  std::map<calling::HandshakeLimiter::Id, TlsVeil*> under_way_;
   struct Complaint {
     Instant told;
     unsigned more = 0;
--- a/src/transport/tls_stream.hpp
+++ b/src/transport/tls_stream.hpp
@@ -4,7 +4,7 @@
 #include <functional>
 
 #include "base/time.hpp"
-#include "calling/authorizer.hpp"
+#include "calling/principal.hpp"
 
 namespace ashbeam {
 
@@ -23,7 +23,7 @@
   virtual void finish() = 0;       // tells the other side that nothing more comes
 
   struct PeerProof {
-    const calling::Certificate* certificate = nullptr;  // none was shown
+    const calling::ClientCertificate* certificate = nullptr;  // none was shown
     bool refused = false;                               // one was, and it does not count any more
   };
   // Who the other side has proven to be, as things stand now: what was revoked since, or has expired, is
--- a/tests/access_config_loader_test.cpp
+++ b/tests/access_config_loader_test.cpp
@@ -32,7 +32,7 @@
  protected:
   Folder folder_;
   std::unique_ptr<AccessConfigLoader> guardian_;
-  Signer signer_{"k1", tokens::Algorithm::kEdDsa};
+  TokenSigner signer_{"k1", tokens::Algorithm::kEdDsa};
   std::atomic<unsigned> noted_ = 0;
   std::vector<std::string> told_;
 
@@ -42,7 +42,7 @@
                    "\", audience: \"ashbeam\"}, tenants: [{name: \"shop\"" + limits + "}]}",
                0644);
   }
-  void keys(const std::vector<tokens::Listed>& set) const {
+  void keys(const std::vector<tokens::KeyEntry>& set) const {
     write_file(folder_.at("keys/ring.json"), tokens::key_set_text(set), 0644);
   }
   void open() {
@@ -57,7 +57,7 @@
     RouterTest::TearDown();
     guardian_.reset();
   }
-  unsigned ask(const Signer& signer) {
+  unsigned ask(const TokenSigner& signer) {
     Stream c = client();
     c.say(get(1500, "Authorization: Bearer " + signer.token("shop", "r", loop_.now(), Span::s(60)) + "\r\n"));
     Stream h = forward(100);
@@ -73,18 +73,18 @@
 
 TEST_F(GuardianTest, KeysThatChangeInTheFolderCountSoon) {
   file("");
-  keys({signer_.listed()});
+  keys({signer_.entry()});
   open();
-  const Signer next("k2", tokens::Algorithm::kEs256);
+  const TokenSigner next("k2", tokens::Algorithm::kEs256);
   EXPECT_EQ(ask(signer_), 200U);
   EXPECT_EQ(ask(next), 401U);
-  keys({next.listed()});
+  keys({next.entry()});
   settle();
   EXPECT_EQ(ask(next), 200U);
   EXPECT_EQ(ask(signer_), 200U);  // in its overlap
-  auto gone = signer_.listed();
+  auto gone = signer_.entry();
   gone.revoked = true;
-  keys({next.listed(), gone});
+  keys({next.entry(), gone});
   run_on_loop([&] { guardian_->reread(); });
   usleep(100000);
   EXPECT_EQ(ask(signer_), 401U);
@@ -92,15 +92,15 @@
 
 TEST_F(GuardianTest, WhatIsSpoiltChangesNothingAndIsNamedOnce) {
   file("");
-  keys({signer_.listed()});
+  keys({signer_.entry()});
   open();
-  const std::string good = tokens::key_set_text({signer_.listed()});
+  const std::string good = tokens::key_set_text({signer_.entry()});
   struct Row {
     std::string what, text;
     unsigned mode;
   } const rows[] = {
       {"wanted a JSON object", good.substr(0, good.size() / 2), 0644},
-      {"a private key that others may read", "{\"keys\":[{\"kid\":\"p\"," + signer_.key.members(true) + "}]}",
+      {"a private key that others may read", "{\"keys\":[{\"kid\":\"p\"," + signer_.key.jwk_members(true) + "}]}",
        0644},
       {"'x' is no base64url", R"({"keys":[{"kty":"OKP","crv":"Ed25519","kid":"a","x":"*"}]})", 0644},
   };
@@ -124,12 +124,12 @@
   for (const Row& row : rows) EXPECT_TRUE(told("keys/other.json: ") && told(row.what)) << row.what;
   EXPECT_LE(told_.size(), 8U);  // each once, however often it was looked at
   for (const std::string& line : told_)
-    EXPECT_EQ(line.find(signer_.key.members(true).substr(60)), std::string::npos);
+    EXPECT_EQ(line.find(signer_.key.jwk_members(true).substr(60)), std::string::npos);
 }
 
 TEST_F(GuardianTest, RightsAreReadAgainWholeOrNotAtAll) {
   file(", path_groups: [\"look\"]", "1h");
-  keys({signer_.listed()});
+  keys({signer_.entry()});
   open();
   EXPECT_EQ(ask(signer_), 200U);
   file(", path_groups: [\"lok\"]", "1h");
@@ -178,7 +178,7 @@
   EXPECT_EQ(keys_retire(o), 0);
   const KeyFolder read = read_key_folder(o.folder);
   ASSERT_EQ(read.keys.size(), 2U);
-  EXPECT_TRUE(read.keys[0].revoked && !read.keys[1].revoked && read.keys[1].retired > 0);
+  EXPECT_TRUE(read.keys[0].revoked && !read.keys[1].revoked && read.keys[1].retired_at_unix_s > 0);
   EXPECT_FALSE(read.keys[0].key.is_private());
   struct stat about {};
   EXPECT_EQ(::stat((o.folder + "/private/a.json").c_str(), &about), 0);
@@ -189,9 +189,9 @@
   testing::internal::CaptureStdout();
   EXPECT_EQ(keys_token(o), 0);
   const std::string token = testing::internal::GetCapturedStdout();
-  const auto jws = tokens::split(std::string_view(token).substr(0, token.size() - 1));
+  const auto jws = tokens::parse_jws(std::string_view(token).substr(0, token.size() - 1));
   ASSERT_TRUE(jws);
-  EXPECT_TRUE(read.keys[1].key.verifies(jws->signed_bytes, jws->signature));
+  EXPECT_TRUE(read.keys[1].key.verify(jws->signed_bytes, jws->signature));
   ::chmod((o.folder + "/private/b.json").c_str(), 0644);
   EXPECT_EQ(keys_token(o), 1);  // others may read it
 }
--- /dev/null
+++ b/tests/authorized_requests_test.cpp
@@ -0,0 +1,167 @@
+// The authorizer as seen by clients and endpoints of a router: tokens on plain connections, what clients are
+// answered, and what endpoints are told.
+#include "calling_helpers.hpp"
+#include "router_world.hpp"
+
+namespace ashbeam {
+namespace {
+
+using namespace calling;
+
+class AuthorizedRequestsTest : public RouterTest {
+ protected:
+  CallingSettings settings_ = shop_settings();
+  TokenSigner signer_{"k1", tokens::Algorithm::kEdDsa};
+
+  void begin_with(std::vector<tokens::KeyEntry> keys) {
+    before_start_ = [this, keys] {
+      auto authorizer = std::make_unique<Authorizer>(settings_, 7, loop_.now());
+      authorizer->update_keys(keys, loop_.now());
+      service_->guard(std::move(authorizer), /*token_goes_on=*/false);
+    };
+    begin(all_hosts());
+  }
+  Instant now() const { return loop_.now(); }
+  std::string bearer(const std::string& subject, const std::string& more_members = "") const {
+    return "Authorization: Bearer " + signer_.token("shop", subject, now(), Span::s(60), more_members) +
+           "\r\n";
+  }
+  // Sends it, serves it if it reaches an endpoint, and returns the answer; `seen` is what the endpoint got.
+  std::string serve(const std::string& request, std::string* seen = nullptr) {
+    Stream client_stream = client();
+    client_stream.say(request);
+    Stream attempt = forward(150);
+    const std::string request_seen = attempt.fd >= 0 ? attempt.message() : "";
+    if (seen) *seen = request_seen;
+    if (!request_seen.empty()) attempt.say(kOk);
+    return client_stream.message();
+  }
+};
+
+TEST_F(AuthorizedRequestsTest, AProvenPrincipalIsServedAndNamedToEndpoints) {
+  begin_with({signer_.entry()});
+  std::string seen;
+  const std::string spelt = "X-Caller: root\r\nx-CALLER: root\r\nX_Caller: root\r\nx_caller: root\r\n";
+  EXPECT_EQ(status_of(serve(get(1500, bearer("rider 1\\r\\nX: y") + spelt + "X-Account: shop\r\n"), &seen)),
+            200U);
+  EXPECT_NE(seen.find("X-Caller: shop/rider%201%0D%0AX:%20y\r\n"), std::string::npos) << seen;
+  EXPECT_EQ(seen.find("root"), std::string::npos) << seen;
+  EXPECT_EQ(seen.find("Authorization"), std::string::npos) << seen;
+}
+
+TEST_F(AuthorizedRequestsTest, WithoutProofTheAnswerSaysWhyAndNoEndpointIsAsked) {
+  begin_with({signer_.entry()});
+  const TokenSigner other("k1", tokens::Algorithm::kEdDsa);
+  const std::string forged = "Authorization: Bearer " + other.token("shop", "r", now(), Span::s(60)) + "\r\n";
+  const std::string old =
+      "Authorization: Bearer " + signer_.token("shop", "r", now() - Span::s(600), Span::s(60)) + "\r\n";
+  struct Row {
+    std::string fields;
+    std::string word;
+    unsigned status;
+  } const rows[] = {
+      {"", "WWW-Authenticate: Bearer\r\n", 401},
+      {"Authorization: Basic abc\r\n", "unreadable", 401},
+      {"Authorization: Bearer a.b.c\r\n", "unreadable", 401},
+      {bearer("r") + bearer("r"), "unreadable", 401},
+      {forged, "signature", 401},
+      {old, "expired", 401},
+      {bearer("r") + "X-Account: elsewhere\r\n", "contradiction", 403},
+  };
+  for (const Row& row : rows) {
+    std::string seen;
+    const std::string answer = serve(get(1500, row.fields), &seen);
+    EXPECT_EQ(status_of(answer), row.status) << row.word;
+    EXPECT_NE(answer.find(row.word), std::string::npos) << answer;
+    EXPECT_TRUE(seen.empty()) << row.word;
+  }
+}
+
+TEST_F(AuthorizedRequestsTest, ARequestOverItsLimitIsRejectedAndTakenAfterRetryAfter) {
+  settings_.tenants[0].subject_limit = {10, 1, 0};
+  begin_with({signer_.entry()});
+  EXPECT_EQ(status_of(serve(get(1500, bearer("r")))), 200U);
+  const std::string rejected = serve(get(1500, bearer("r")));
+  EXPECT_EQ(status_of(rejected), 429U);
+  const auto retry_after_s = std::stod(rejected.substr(rejected.find("Retry-After: ") + 13));
+  EXPECT_TRUE(retry_after_s > 0 && retry_after_s <= 0.11) << retry_after_s;
+  usleep(static_cast<unsigned>(retry_after_s * 1e6));
+  EXPECT_EQ(status_of(serve(get(1500, bearer("r")))), 200U);
+}
+
+TEST_F(AuthorizedRequestsTest, RequestsInFlightAreReleasedHoweverTheyEnd) {
+  settings_.tenants[0].subject_limit = {0, 1, 1};
+  begin_with({signer_.entry()});
+  for (int i = 0; i < 3; ++i) {
+    Stream first = client();
+    first.say(get(1500, bearer("r")));
+    Stream attempt = forward();
+    ASSERT_FALSE(attempt.message().empty()) << i;
+    EXPECT_EQ(status_of(ask(get(1500, bearer("r")))), 429U) << i;
+    const bool client_leaves = i == 1;
+    if (client_leaves) {
+      first.shut();
+    } else {
+      attempt.say(kOk);
+      EXPECT_EQ(status_of(first.message()), 200U);
+    }
+    attempt.shut();
+    usleep(30000);
+  }
+}
+
+TEST_F(AuthorizedRequestsTest, AKeyRotatedOrRevokedWhileABodyStillComes) {
+  settings_.tenants[0].allowed_classes = {"look", "pay"};
+  settings_.overlap = Span::s(5);
+  begin_with({signer_.entry()});
+  const TokenSigner next("k2", tokens::Algorithm::kEs256);
+  for (const bool revoked : {false, true}) {
+    Stream client_stream = client();
+    const std::string whole = post("pay");
+    const std::size_t at = whole.find("\r\n") + 2;
+    const std::string request = whole.substr(0, at) + bearer("r") + whole.substr(at);
+    client_stream.say(request.substr(0, request.size() - 2));  // the body's end is still to come
+    usleep(20000);
+    auto old = signer_.entry();
+    old.revoked = revoked;
+    run_on_loop([&] { service_->gate()->update_keys(std::vector{next.entry(), old}, loop_.now()); });
+    if (!revoked) run_on_loop([&] { service_->gate()->update_keys(std::vector{next.entry()}, loop_.now()); });
+    client_stream.say(request.substr(request.size() - 2));
+    Stream attempt = forward(revoked ? 100 : 1000);
+    EXPECT_EQ(attempt.message(100).empty(), revoked);
+    if (!revoked) attempt.say(kOk);
+    const std::string answer = client_stream.message();
+    EXPECT_EQ(status_of(answer), revoked ? 401U : 200U);
+    EXPECT_EQ(answer.find("revoked") != std::string::npos, revoked);
+  }
+}
+
+TEST_F(AuthorizedRequestsTest, ATokenThatExpiresWhileItsRequestIsInFlightDoesNotEndIt) {
+  settings_.leeway = Span();
+  begin_with({signer_.entry()});
+  const std::string whole = post("pay", 1900);
+  const std::size_t at = whole.find("\r\n") + 2;
+  const std::string token = signer_.token("shop", "r", now(), Span::s(1));
+  Stream client_stream = client();
+  client_stream.say(whole.substr(0, at) + "Authorization: Bearer " + token + "\r\n" + whole.substr(at));
+  Stream attempt = forward();
+  ASSERT_FALSE(attempt.message().empty());
+  usleep(1100000);
+  attempt.say(kOk);
+  EXPECT_EQ(status_of(client_stream.message()), 200U);
+  EXPECT_EQ(status_of(ask(get(900, "Authorization: Bearer " + token + "\r\n"))), 401U);
+}
+
+TEST_F(AuthorizedRequestsTest, WhereProofIsOptionalAnUnprovenAccountIsServed) {
+  settings_.required = false;
+  begin_with({signer_.entry()});
+  std::string seen;
+  EXPECT_EQ(
+      status_of(serve(get(1500, "X-Account: shop\r\nX-Caller: root\r\nAuthorization: Basic x\r\n"), &seen)),
+      200U);
+  EXPECT_EQ(seen.find("root"), std::string::npos);
+  EXPECT_NE(seen.find("Authorization: Basic x"), std::string::npos);
+}
+
+}  // namespace
+}  // namespace ashbeam
--- /dev/null
+++ b/tests/authorizer_test.cpp
@@ -0,0 +1,298 @@
+// The authorizer: what a token or certificate proves, rights, quotas, and the bounds of what is kept.
+#include "calling/authorizer.hpp"
+
+#include <gtest/gtest.h>
+
+#include "calling_helpers.hpp"
+#include "tokens/base64url.hpp"
+
+namespace ashbeam {
+namespace {
+
+using namespace calling;
+
+const Instant kBegin = Instant::at_us(1'700'000'000'000'000);
+
+// An authorizer with one tenant and one key, and a client of it.
+struct AuthorizerFixture {
+  CallingSettings settings = shop_settings();
+  TokenSigner signer{"k1", tokens::Algorithm::kEs256};
+  Instant now = kBegin;
+  Authorizer authorizer{settings, 7, kBegin};
+  ConnectionHistory history;
+  Identity identity;
+  AuthorizerFixture() { authorizer.update_keys(std::vector{signer.entry()}, now); }
+  Refusal authenticate(const std::string& token, const ClientCertificate* certificate = nullptr) {
+    const std::string field = "bEaReR " + token;
+    Credentials credentials;
+    credentials.authorization = field;
+    credentials.certificate = certificate;
+    Span retry_after;
+    identity = {};
+    return authorizer.authenticate(credentials, history, now, identity, retry_after);
+  }
+  std::string token(const std::string& more_members = "", Span lifetime = Span::s(60)) const {
+    return signer.token("shop", "r", now, lifetime, more_members);
+  }
+};
+
+std::string with_header(const TokenSigner& signer, const std::string& header, const std::string& payload,
+                        const std::string& signature = "") {
+  const std::string input = tokens::encode_base64url(header) + "." + tokens::encode_base64url(payload);
+  return input + "." + tokens::encode_base64url(signature.empty() ? signer.key.sign(input) : signature);
+}
+
+TEST(Authorizer, EachFaultOfATokenHasItsName) {
+  AuthorizerFixture fixture;
+  const std::string claims =
+      R"({"aud":"ashbeam","tenant":"shop","sub":"r","iat":1700000000,"exp":1700000060})";
+  const auto at = [&](const std::string& header) { return with_header(fixture.signer, header, claims); };
+  const std::string es = R"({"alg":"ES256","kid":"k1")";
+  struct Row {
+    std::string token;
+    Refusal refusal;
+  } const rows[] = {
+      {at(es + "}"), Refusal::kNone},
+      {at(es + R"(,"typ":"at+jwt"})"), Refusal::kNone},
+      {at(es + R"(,"typ":"dpop+jwt"})"), Refusal::kMalformed},
+      {at(es + R"(,"crit":["exp"]})"), Refusal::kMalformed},
+      {at(es + R"(,"alg":"none"})"), Refusal::kMalformed},
+      {at(R"({"alg":"none","kid":"k1"})"), Refusal::kAlgorithm},
+      {at(R"({"alg":"HS256","kid":"k1"})"), Refusal::kAlgorithm},
+      {at(R"({"alg":"EdDSA","kid":"k1"})"), Refusal::kAlgorithm},
+      {at(R"({"alg":"es256","kid":"k1"})"), Refusal::kAlgorithm},
+      {at(R"({"alg":"ES256","kid":"k9","jku":"https://x"})"), Refusal::kUnknownKey},
+      {at(R"({"alg":"ES256"})"), Refusal::kUnknownKey},
+      {with_header(fixture.signer, es + "}", claims, std::string(64, '\1')), Refusal::kSignature},
+      {with_header(fixture.signer, es + "}", claims, std::string(64, '\0')), Refusal::kSignature},
+      {with_header(fixture.signer, es + "}", "[]"), Refusal::kMalformed},
+      {with_header(
+           fixture.signer, es + "}",
+           R"({"aud":"ashbeam","sub":"r","sub":"q","tenant":"shop","iat":1700000000,"exp":1700000060})"),
+       Refusal::kMalformed},
+      {with_header(fixture.signer, es + "}",
+                   R"({"aud":"ashbeam","sub":"r","tenant":"shop","iat":1700000000})"),
+       Refusal::kMalformed},
+      {with_header(fixture.signer, es + "}",
+                   R"({"aud":"ashbeam","sub":"r","tenant":"shop","iat":1700000000,"exp":"x"})"),
+       Refusal::kMalformed},
+      {with_header(fixture.signer, es + "}",
+                   R"({"aud":["b","ashbeam"],"sub":"r","tenant":"shop","iat":1700000000,"exp":1700000060})"),
+       Refusal::kNone},
+      {with_header(fixture.signer, es + "}",
+                   R"({"aud":"b","sub":"r","tenant":"shop","iat":1700000000,"exp":1700000060})"),
+       Refusal::kAudience},
+      {with_header(fixture.signer, es + "}",
+                   R"({"aud":"ashbeam","sub":"r","tenant":"else","iat":1700000000,"exp":1700000060})"),
+       Refusal::kUnknownTenant},
+      {fixture.token(R"(,"nbf":1700000040)"), Refusal::kNotYetValid},
+      {fixture.token("", Span::s(86401)), Refusal::kLifetimeTooLong},
+      {fixture.token(R"(,"cnf":{"jkt":"x"})"), Refusal::kMalformed},
+      {fixture.token(R"(,"cnf":{"x5t#S256":")" + tokens::encode_base64url(std::string(32, 'p')) + "\"}"),
+       Refusal::kCertificateBinding},
+      {"", Refusal::kMalformed},
+      {std::string(5000, 'a'), Refusal::kMalformed},
+      {"..", Refusal::kMalformed},
+      {fixture.token() + ".x", Refusal::kMalformed},
+      {fixture.token() + "=", Refusal::kMalformed},
+  };
+  for (const Row& row : rows) {
+    EXPECT_EQ(name_of(fixture.authenticate(row.token)), name_of(row.refusal)) << row.token;
+    EXPECT_EQ(name_of(fixture.authenticate(row.token)), name_of(row.refusal)) << "again: " << row.token;
+  }
+}
+
+TEST(Authorizer, WhateverIsWrongCostsOneVerificationAndNoneForTheSameAgain) {
+  AuthorizerFixture fixture;
+  for (const std::string& token :
+       {fixture.token(), std::string("x.y.z"), with_header(fixture.signer, R"({"alg":"none"})", "{}"),
+        with_header(fixture.signer, R"({"alg":"ES256","kid":"no"})", "{}")}) {
+    const auto before = fixture.authorizer.verifications();
+    fixture.authenticate(token);
+    fixture.authenticate(token);
+    EXPECT_EQ(fixture.authorizer.verifications(), before + 1) << token;
+  }
+}
+
+TEST(Authorizer, ClocksTwoMinutesApart) {
+  for (const bool ahead : {false, true}) {
+    for (const bool wide : {false, true}) {
+      AuthorizerFixture fixture;
+      fixture.settings.leeway = wide ? Span::s(130) : Span::s(30);
+      fixture.authorizer.update_settings(fixture.settings, fixture.now);
+      const std::string token =
+          fixture.signer.token("shop", "r", fixture.now + Span::s(ahead ? 120 : -120), Span::s(60));
+      const Refusal refusal = fixture.authenticate(token);
+      EXPECT_EQ(name_of(refusal), wide ? "none" : ahead ? "early" : "expired");
+    }
+  }
+}
+
+TEST(Authorizer, AClockThatIsSetWhileItRuns) {
+  AuthorizerFixture fixture;
+  const std::string token = fixture.token();
+  EXPECT_EQ(fixture.authenticate(token), Refusal::kNone);
+  fixture.authorizer.set_wall_clock_ahead(Span::s(300));  // the machine stood still for so long
+  EXPECT_EQ(fixture.authenticate(token), Refusal::kExpired);
+  const std::string fresh = fixture.signer.token("shop", "r", fixture.now + Span::s(300), Span::s(60));
+  EXPECT_EQ(fixture.authenticate(fresh), Refusal::kNone);
+  fixture.authorizer.set_wall_clock_ahead(Span());
+  EXPECT_EQ(fixture.authenticate(fresh), Refusal::kNotYetValid);
+}
+
+TEST(Authorizer, TwoKeysWithOneNameBothVerify) {
+  AuthorizerFixture fixture;
+  const TokenSigner twin("k1", tokens::Algorithm::kEs256);
+  fixture.authorizer.update_keys(std::vector{fixture.signer.entry(), twin.entry()}, fixture.now);
+  EXPECT_EQ(fixture.authenticate(fixture.token()), Refusal::kNone);
+  EXPECT_EQ(fixture.authenticate(twin.token("shop", "r", fixture.now, Span::s(60))), Refusal::kNone);
+  EXPECT_EQ(fixture.authenticate(
+                TokenSigner("k1", tokens::Algorithm::kEs256).token("shop", "r", fixture.now, Span::s(60))),
+            Refusal::kSignature);
+}
+
+TEST(Authorizer, ATokenIsBoundToItsCertificateAndTenantsDoNotMix) {
+  AuthorizerFixture fixture;
+  calling::TenantSettings other;
+  other.name = "other";
+  fixture.settings.tenants.push_back(other);
+  fixture.authorizer.update_settings(fixture.settings, fixture.now);
+  ClientCertificate mine{"shop", "r", {}, kBegin - Span::s(9), kBegin + Span::s(99)};
+  ClientCertificate theirs = mine;
+  ClientCertificate elsewhere = mine;
+  mine.sha256.fill('p');
+  theirs.sha256.fill('q');
+  elsewhere.organisation = "other";
+  const std::string bound =
+      fixture.token(R"(,"cnf":{"x5t#S256":")" + tokens::encode_base64url(std::string(32, 'p')) + "\"}");
+  EXPECT_EQ(fixture.authenticate(bound, &mine), Refusal::kNone);
+  EXPECT_EQ(fixture.authenticate(bound, &theirs), Refusal::kCertificateBinding);
+  EXPECT_EQ(fixture.authenticate(bound), Refusal::kCertificateBinding);
+  EXPECT_EQ(fixture.authenticate(fixture.token(), &elsewhere), Refusal::kTenantMismatch);
+  EXPECT_EQ(fixture.authenticate(fixture.token(), &mine), Refusal::kNone);
+}
+
+TEST(Authorizer, ACertificateAloneProvesAPrincipal) {
+  AuthorizerFixture fixture;
+  ClientCertificate certificate{"shop", "van 3", {}, kBegin - Span::s(9), kBegin + Span::s(9)};
+  Credentials credentials;
+  credentials.certificate = &certificate;
+  Span retry_after;
+  Identity identity;
+  EXPECT_EQ(fixture.authorizer.authenticate(credentials, fixture.history, fixture.now, identity, retry_after),
+            Refusal::kNone);
+  EXPECT_EQ(identity.principal, "shop/van%203");
+  EXPECT_EQ(fixture.authorizer.authenticate(credentials, fixture.history, fixture.now + Span::s(10), identity,
+                                            retry_after),
+            Refusal::kCertificate);
+  certificate.organisation = "nobody";
+  EXPECT_EQ(fixture.authorizer.authenticate(credentials, fixture.history, fixture.now, identity, retry_after),
+            Refusal::kUnknownTenant);
+}
+
+TEST(Authorizer, NewSettingsCountForTokensVerifiedBefore) {
+  AuthorizerFixture fixture;
+  fixture.settings.tenants[0].subject_limit = {10, 2, 0};
+  fixture.authorizer.update_settings(fixture.settings, fixture.now);
+  const std::string token = fixture.token();
+  AdmissionToken admission;
+  Span retry_after;
+  const auto admit = [&](unsigned request_class) {
+    EXPECT_EQ(fixture.authenticate(token), Refusal::kNone);
+    return fixture.authorizer.admit(fixture.identity, request_class, fixture.now, admission, retry_after);
+  };
+  EXPECT_EQ(admit(0), Refusal::kNone);
+  EXPECT_EQ(admit(0), Refusal::kNone);
+  EXPECT_EQ(admit(0), Refusal::kRateLimit);
+  fixture.settings.tenants[0].subject_limit = {10, 3, 0};  // while it is at its limit: what it used up stands
+  fixture.authorizer.update_settings(fixture.settings, fixture.now);
+  EXPECT_EQ(admit(0), Refusal::kNone);
+  EXPECT_EQ(admit(0), Refusal::kRateLimit);
+  fixture.settings.tenants[0].any_class = false;
+  fixture.settings.tenants[0].allowed_classes = {"pay"};
+  fixture.authorizer.update_settings(fixture.settings, fixture.now);
+  EXPECT_EQ(admit(0), Refusal::kRequestClass);
+  fixture.settings.tenants[0].only_listed = true;
+  fixture.authorizer.update_settings(fixture.settings, fixture.now);
+  EXPECT_EQ(fixture.authenticate(token), Refusal::kUnknownSubject);
+  fixture.settings.tenants[0].name = "renamed";
+  fixture.authorizer.update_settings(fixture.settings, fixture.now);
+  EXPECT_EQ(fixture.authenticate(token), Refusal::kUnknownTenant);
+}
+
+TEST(Authorizer, AFloodOfBadTokensDoesNotStopProvenPrincipals) {
+  AuthorizerFixture fixture;
+  ConnectionHistory unproven;
+  unsigned busy = 0;
+  unsigned bad = 0;
+  EXPECT_EQ(fixture.authenticate(fixture.token()), Refusal::kNone);
+  AdmissionToken admission;
+  Span retry_after;
+  EXPECT_EQ(fixture.authorizer.admit(fixture.identity, 0, fixture.now, admission, retry_after),
+            Refusal::kNone);
+  const TokenSigner forger("k1", tokens::Algorithm::kEs256);
+  for (int i = 0; i < 4000; ++i) {
+    fixture.now = fixture.now + Span::us(50);  // ten times what may be verified
+    Credentials credentials;
+    Identity identity;
+    unproven = {};
+    const std::string forged = with_header(forger, R"({"alg":"ES256","kid":"k1"})",
+                                           "{\"n\":" + std::to_string(i) + "}", std::string(64, 'x'));
+    const std::string field = "Bearer " + forged;
+    credentials.authorization = field;
+    const Refusal refusal =
+        fixture.authorizer.authenticate(credentials, unproven, fixture.now, identity, retry_after);
+    ++(refusal == Refusal::kVerificationsBusy ? busy : bad);
+    EXPECT_TRUE(refusal != Refusal::kVerificationsBusy || retry_after > Span());
+    if (i % 400 == 399) {
+      fixture.history.authenticated = true;
+      EXPECT_EQ(fixture.authenticate(fixture.token(",\"m\":" + std::to_string(i))), Refusal::kNone)
+          << "a new token on a proven connection";
+    }
+    if (i % 1000 == 999) {
+      fixture.history = {};
+      EXPECT_EQ(fixture.authenticate(fixture.token(",\"o\":" + std::to_string(i))), Refusal::kNone)
+          << "and on a new one, by a known name";
+    }
+  }
+  EXPECT_GT(busy, 3000U);
+  EXPECT_LE(bad, 620U);  // 0.2 s at 2000 a second, and the burst
+}
+
+TEST(Authorizer, TenThousandSubjectsWithinASecondAndTheTablesStayBounded) {
+  AuthorizerFixture fixture;
+  fixture.settings.max_cached_tokens = 256;
+  fixture.settings.max_subjects = 1024;
+  fixture.settings.tenants[0].subject_limit = {1, 1, 0};
+  fixture.settings.verifications_per_s = 100000;
+  Authorizer authorizer(fixture.settings, 7, fixture.now);
+  authorizer.update_keys(std::vector{fixture.signer.entry()}, fixture.now);
+  unsigned admitted = 0;
+  unsigned admitted_again = 0;
+  ConnectionHistory history{true};
+  for (int i = 0; i < 10000; ++i) {
+    fixture.now = fixture.now + Span::us(100);
+    const std::string field =
+        "Bearer " + fixture.signer.token("shop", "s" + std::to_string(i), fixture.now, Span::s(60));
+    Credentials credentials;
+    credentials.authorization = field;
+    Identity identity;
+    AdmissionToken admission;
+    Span retry_after;
+    ASSERT_EQ(authorizer.authenticate(credentials, history, fixture.now, identity, retry_after),
+              Refusal::kNone);
+    const auto admit_and_release = [&] {
+      if (authorizer.admit(identity, 0, fixture.now, admission, retry_after) != Refusal::kNone) return false;
+      authorizer.release(admission);
+      return true;
+    };
+    if (admit_and_release()) ++admitted;
+    if (admit_and_release()) ++admitted_again;
+  }
+  EXPECT_LE(authorizer.cached_tokens(), 256U);
+  EXPECT_EQ(admitted_again, 0U);  // each has its one request at most: being evicted gains none
+  EXPECT_GT(admitted, 900U);
+}
+
+}  // namespace
+}  // namespace ashbeam
--- a/tests/calling_helpers.hpp
+++ b/tests/calling_helpers.hpp
@@ -1,7 +1,8 @@
-// Shared by the tests of who is calling: a signer, and one tenant's terms.
+// Shared by the tests of the authorizer and its parts: a signer of tokens, and the settings of one tenant.
 #pragma once
 #include <cmath>
 #include <string>
+#include <utility>
 
 #include "calling/authorizer.hpp"
 #include "protocol/json.hpp"
@@ -9,39 +10,41 @@
 
 namespace ashbeam {
 
-struct Signer {
+struct TokenSigner {
   std::string kid;
   tokens::Key key;
-  Signer(std::string name, tokens::Algorithm algorithm)
-      : kid(std::move(name)), key(tokens::Key::fresh(algorithm)) {}
+  TokenSigner(std::string name, tokens::Algorithm algorithm)
+      : kid(std::move(name)), key(tokens::Key::generate(algorithm)) {}
 
-  tokens::Listed listed() const {
-    tokens::Listed l;
-    l.key = key, l.kid = kid;
-    return l;
+  tokens::KeyEntry entry() const {
+    tokens::KeyEntry entry;
+    entry.key = key;
+    entry.kid = kid;
+    return entry;
   }
-  // `more` are further members, each with its comma before it.
-  std::string token(const std::string& tenant, const std::string& subject, Instant now, Span life,
-                    const std::string& more = "") const {
-    const auto at = [](Instant t) {
-      return std::to_string(static_cast<long long>(std::floor(static_cast<double>(t.us()) / 1e6)));
+  // `more_members` of the claims, each with its comma before it.
+  std::string token(const std::string& tenant, const std::string& subject, Instant now, Span lifetime,
+                    const std::string& more_members = "") const {
+    const auto unix_s = [](Instant at) {
+      return std::to_string(static_cast<long long>(std::floor(static_cast<double>(at.us()) / 1e6)));
     };
-    return tokens::issue(key, kid,
-                         R"({"aud":"ashbeam","tenant":")" + tenant + R"(","sub":")" + subject +
-                             R"(","iat":)" + at(now) + R"(,"exp":)" + at(now + life) + more + "}");
+    return tokens::sign_token(key, kid,
+                              R"({"aud":"ashbeam","tenant":")" + tenant + R"(","sub":")" + subject +
+                                  R"(","iat":)" + unix_s(now) + R"(,"exp":)" + unix_s(now + lifetime) +
+                                  more_members + "}");
   }
 };
 
-inline calling::CallingSettings shop_terms() {
-  calling::CallingSettings t;
-  t.required = true;
-  t.audience = "ashbeam";
-  t.path_groups = {"look", "book", "pay"};
-  t.customers = {"shop"};
+inline calling::CallingSettings shop_settings() {
+  calling::CallingSettings settings;
+  settings.required = true;
+  settings.audience = "ashbeam";
+  settings.request_classes = {"look", "book", "pay"};
+  settings.policy_tenants = {"shop"};
   calling::TenantSettings shop;
   shop.name = "shop";
-  t.tenants = {shop};
-  return t;
+  settings.tenants = {shop};
+  return settings;
 }
 
 }  // namespace ashbeam
--- /dev/null
+++ b/tests/key_ring_test.cpp
@@ -0,0 +1,144 @@
+// The key ring, against a plain model of its rule and by example.
+#include "calling/key_ring.hpp"
+
+#include <gtest/gtest.h>
+
+#include <vector>
+
+#include "base/pcg.hpp"
+#include "calling_helpers.hpp"
+
+namespace ashbeam {
+namespace {
+
+using namespace calling;
+
+const Instant kBegin = Instant::at_us(1'700'000'000'000'000);
+
+tokens::KeyEntry revoked_entry(const TokenSigner& signer) {
+  tokens::KeyEntry entry = signer.entry();
+  entry.revoked = true;
+  return entry;
+}
+
+// The rule in plain words, over the whole history, for one key.
+struct PlainKey {
+  struct Update {
+    Instant at;
+    bool listed;
+    bool revoked;
+  };
+  std::vector<Update> history;
+  Refusal check(Instant issued, Instant now, Span overlap, Span leeway) const {
+    bool ever_listed = false;
+    bool listed = false;
+    bool revoked = false;
+    Instant unlisted_at = Instant::never();
+    for (const Update& update : history) {
+      if (update.listed) {
+        ever_listed = listed = true;
+        unlisted_at = Instant::never();
+        revoked = revoked || update.revoked;
+      } else if (listed) {
+        listed = false;
+        unlisted_at = update.at;
+      }
+    }
+    if (!ever_listed) return Refusal::kKeyRetired;
+    if (revoked) return Refusal::kKeyRevoked;
+    if (unlisted_at < Instant::never() && (issued > unlisted_at + leeway || now > unlisted_at + overlap))
+      return Refusal::kKeyRetired;
+    return Refusal::kNone;
+  }
+};
+
+TEST(KeyRing, AgreesWithThePlainRuleOnGeneratedHistories) {
+  std::vector<TokenSigner> signers;
+  for (int i = 0; i < 5; ++i)
+    signers.emplace_back("k" + std::to_string(i % 3), tokens::Algorithm::kEdDsa);  // names shared
+  for (std::uint64_t seed = 1; seed <= 40; ++seed) {
+    Pcg chance(seed);
+    const Span overlap = Span::s(1 + chance.below(10)), leeway = Span::ms(chance.below(1500));
+    KeyRing ring({overlap, leeway});
+    std::vector<PlainKey> plain(signers.size());
+    Instant now = kBegin;
+    for (int step = 0; step < 60; ++step) {
+      now = now + Span::ms(chance.below(3000));
+      std::vector<tokens::KeyEntry> set;
+      for (std::size_t i = 0; i < signers.size(); ++i) {
+        const bool listed = chance.below(3) > 0, revoked = listed && chance.below(60) == 0;
+        if (listed) set.push_back(revoked ? revoked_entry(signers[i]) : signers[i].entry());
+        plain[i].history.push_back({now, listed, revoked});
+      }
+      ring.update(set, now);
+      for (int query = 0; query < 10; ++query) {
+        const std::size_t i = chance.below(static_cast<std::uint32_t>(signers.size()));
+        const Instant at = now + Span::ms(chance.below(12000)), issued = at - Span::ms(chance.below(12000));
+        Refusal refusal = Refusal::kKeyRetired;
+        ring.try_candidates(signers[i].kid, tokens::Algorithm::kEdDsa, [&](KeyRef key) {
+          if (ring.key(key).thumbprint() != signers[i].key.thumbprint()) return false;
+          refusal = ring.check(key, issued, at);
+          return true;
+        });
+        ASSERT_EQ(refusal, plain[i].check(issued, at, overlap, leeway)) << seed << " " << step << " " << i;
+      }
+    }
+  }
+}
+
+TEST(KeyRing, ThreeSetsWithinOneOverlapAndBack) {
+  KeyRing ring({Span::s(60), Span::s(1)});
+  const TokenSigner a("a", tokens::Algorithm::kEdDsa), b("b", tokens::Algorithm::kEdDsa),
+      c("c", tokens::Algorithm::kEdDsa);
+  const auto update = [&](const TokenSigner& signer, double at_s) {
+    ring.update(std::vector{signer.entry()}, kBegin + Span::s(at_s));
+  };
+  update(a, 0);
+  update(b, 10);
+  update(c, 20);
+  const auto check = [&](const TokenSigner& signer, double issued_s, double at_s) {
+    Refusal refusal = Refusal::kUnknownKey;
+    ring.try_candidates(signer.kid, tokens::Algorithm::kEdDsa, [&](KeyRef key) {
+      refusal = ring.check(key, kBegin + Span::s(issued_s), kBegin + Span::s(at_s));
+      return true;
+    });
+    return refusal;
+  };
+  for (const TokenSigner* signer : {&a, &b, &c})
+    EXPECT_EQ(check(*signer, 5, 25), Refusal::kNone) << signer->kid;
+  EXPECT_EQ(check(a, 15, 25), Refusal::kKeyRetired);  // signed once it no longer should
+  EXPECT_EQ(check(a, 5, 71), Refusal::kKeyRetired);   // too late
+  update(a, 30);                                      // rotated back
+  EXPECT_EQ(check(a, 29, 300), Refusal::kNone);
+  EXPECT_EQ(check(c, 25, 40), Refusal::kNone);
+  EXPECT_EQ(check(c, 35, 40), Refusal::kKeyRetired);
+}
+
+TEST(KeyRing, ARevokedKeyStaysRevokedWhateverItIsCalledLater) {
+  KeyRing ring({Span::s(60), Span::s(1)});
+  const TokenSigner a("a", tokens::Algorithm::kEdDsa);
+  TokenSigner renamed = a;
+  renamed.kid = "b";
+  ring.update(std::vector{a.entry()}, kBegin);
+  ring.update(std::vector{revoked_entry(a)}, kBegin + Span::s(1));
+  ring.update({}, kBegin + Span::s(2));
+  ring.update(std::vector{a.entry(), renamed.entry()}, kBegin + Span::s(3));
+  for (const char* kid : {"a", "b"}) {
+    EXPECT_TRUE(ring.try_candidates(kid, tokens::Algorithm::kEdDsa, [&](KeyRef key) {
+      return ring.check(key, kBegin, kBegin + Span::s(4)) == Refusal::kKeyRevoked;
+    })) << kid;
+  }
+}
+
+TEST(KeyRing, IsBoundedAndDropsTheLongestRetired) {
+  KeyRing ring({Span::s(1e6), Span::s(1)});
+  for (unsigned i = 0; i < 400; ++i) {
+    const TokenSigner signer("k" + std::to_string(i), tokens::Algorithm::kEdDsa);
+    ring.update(std::vector{signer.entry()}, kBegin + Span::s(i));
+  }
+  EXPECT_EQ(ring.size(), KeyRing::kMaxKeys);
+  EXPECT_TRUE(ring.has_kid("k399") && ring.has_kid("k200") && !ring.has_kid("k100"));
+}
+
+}  // namespace
+}  // namespace ashbeam
--- a/tests/quota_test.cpp
+++ b/tests/quota_test.cpp
@@ -1,4 +1,4 @@
-// Rates and quotas against slow plain models, on generated arrivals.
+// Rates against slow plain models, on generated arrivals.
 #include "calling/quota.hpp"
 
 #include <gtest/gtest.h>
@@ -28,7 +28,8 @@
     peak = std::min(burst, peak + (now - at) * per_s * lend);
     at = now;
     if (sustained < 1 - 1e-6 || peak < 1 - 1e-6) return false;
-    sustained -= 1, peak -= 1;
+    sustained -= 1;
+    peak -= 1;
     return true;
   }
 };
@@ -38,22 +39,23 @@
     Pcg chance(seed);
     const double per_s = 0.5 + chance.below(50), burst = 1 + chance.below(9), bank = chance.below(20),
                  lend = 1 + chance.below(5);
-    const Rate rate = Rate::part({per_s, burst, 0}, 1, lend, Span::s(bank));
+    const Rate rate = Rate::per_router({per_s, burst, 0}, 1, lend, Span::s(bank));
     PlainRate plain(per_s, burst, bank, lend);
     Bucket bucket;
-    std::int64_t now = kBegin.us() * 1000;
+    std::int64_t now = nanoseconds_of(kBegin);
     const std::int64_t begin = now;
-    bucket.start(now, INT64_MIN, INT64_MIN);
+    bucket.start(now, Bucket::kNever, Bucket::kNever);
     std::uint64_t taken = 0, close = 0;
     for (int i = 0; i < 3000; ++i) {
       const double gap = chance.below(20) == 0 ? bank : 1.5 / per_s / lend;
       now += static_cast<std::int64_t>(chance.unit() * gap * 2e9);
       const double s = static_cast<double>(now - begin) / 1e9;
-      const bool fits = bucket.wait(rate, now) == 0;
+      const bool fits = bucket.wait_ns(rate, now) == 0;
       PlainRate tried = plain;
       if (tried.take(s) != fits) {  // only ever at the very edge: then both go the plain model's way
         PlainRate edge = plain;
-        ASSERT_TRUE(edge.take(s + 1e-5) != plain.take(s - 1e-5) || std::abs(bucket.wait(rate, now)) < 20000)
+        ASSERT_TRUE(edge.take(s + 1e-5) != plain.take(s - 1e-5) ||
+                    std::abs(bucket.wait_ns(rate, now)) < 20000)
             << seed;
         ++close;
         break;
@@ -71,14 +73,14 @@
 TEST(Rates, NeverMoreThanTheStatedBoundInAnySpan) {
   Pcg chance(5);
   const double per_s = 20, burst = 5, bank = 3;
-  const Rate rate = Rate::part({per_s, burst, 0}, 1, 4, Span::s(bank));
+  const Rate rate = Rate::per_router({per_s, burst, 0}, 1, 4, Span::s(bank));
   Bucket bucket;
-  std::int64_t now = kBegin.us() * 1000;
-  bucket.start(now, INT64_MIN, INT64_MIN);
+  std::int64_t now = nanoseconds_of(kBegin);
+  bucket.start(now, Bucket::kNever, Bucket::kNever);
   std::deque<double> taken;
   for (int i = 0; i < 40000; ++i) {
     now += static_cast<std::int64_t>(chance.below(500) == 0 ? chance.unit() * 5e9 : chance.unit() * 2e7);
-    if (bucket.wait(rate, now) > 0) continue;
+    if (bucket.wait_ns(rate, now) > 0) continue;
     bucket.take(rate, now);
     taken.push_back(static_cast<double>(now) / 1e9);
   }
@@ -91,86 +93,48 @@
   }
 }
 
-TEST(Rates, WhoWaitsAsToldIsTakenWhereNobodyElseCame) {
+TEST(Rates, WhoWaitsForRetryAfterIsTakenWhereNobodyElseCame) {
   Pcg chance(9);
-  const Rate rate = Rate::part({10, 3, 0}, 1, 4, Span::s(5));
+  const Rate rate = Rate::per_router({10, 3, 0}, 1, 4, Span::s(5));
   Bucket bucket;
-  std::int64_t now = kBegin.us() * 1000;
-  bucket.start(now, INT64_MIN, INT64_MIN);
+  std::int64_t now = nanoseconds_of(kBegin);
+  bucket.start(now, Bucket::kNever, Bucket::kNever);
   std::multimap<std::int64_t, int> back;
-  unsigned told = 0, taken = 0;
-  for (int i = 0; i < 200; ++i) {  // a wave of 200, told one by one
-    if (bucket.wait(rate, now) == 0) bucket.take(rate, now);
-    else back.emplace(now + bucket.promise(rate, now), i), ++told;
+  unsigned rejected = 0, taken = 0;
+  for (int i = 0; i < 200; ++i) {  // a wave of 200
+    if (bucket.wait_ns(rate, now) == 0) bucket.take(rate, now);
+    else back.emplace(now + bucket.promise_ns(rate, now), i), ++rejected;
   }
   for (const auto& [when, who] : back) {
-    if (bucket.wait(rate, when) > 0) continue;
+    if (bucket.wait_ns(rate, when) > 0) continue;
     bucket.take(rate, when);
     ++taken;
   }
   // 50 promises reach the bank's end; the others share what was given out already.
-  EXPECT_EQ(told, 197U);
+  EXPECT_EQ(rejected, 197U);
   EXPECT_GE(taken, 50U);
   back.clear();
   now += 60'000'000'000;
   for (int i = 0; i < 40; ++i) {
-    if (bucket.wait(rate, now) == 0) bucket.take(rate, now);
-    else back.emplace(now + bucket.promise(rate, now), i);
+    if (bucket.wait_ns(rate, now) == 0) bucket.take(rate, now);
+    else back.emplace(now + bucket.promise_ns(rate, now), i);
   }
   for (const auto& [when, who] : back) {
-    ASSERT_EQ(bucket.wait(rate, when), 0);  // fewer than the bank holds: each one
+    ASSERT_EQ(bucket.wait_ns(rate, when), 0);  // fewer than the bank holds: each one
     bucket.take(rate, when);
   }
 }
 
-TEST(Subjects, BeingForgottenNeverGainsAHit) {
-  Pcg chance(11);
-  const Rate rate = Rate::part({0.2, 2, 0}, 1, 1, Span());
-  Subjects table(64);
-  std::map<std::uint64_t, Bucket> plain;  // each subject's own, never forgotten
-  Instant now = kBegin;
-  unsigned more = 0, fewer = 0, same = 0;
-  for (int i = 0; i < 40000; ++i) {
-    now = now + Span::ms(chance.below(8));
-    const std::uint64_t hash = (chance.below(400) + 1) * 0x9e3779b97f4a7c15ULL;
-    const std::int64_t ns = now.us() * 1000;
-    auto [at, fresh] = plain.try_emplace(hash);
-    if (fresh) at->second.start(ns, INT64_MIN, INT64_MIN);
-    const std::uint32_t place = table.find_or_make(hash, now);
-    ASSERT_NE(place, Subjects::kNone);
-    const bool may = table.bucket(place).wait(rate, ns) == 0, should = at->second.wait(rate, ns) == 0;
-    if (may && !should) ++more;
-    else if (!may && should) ++fewer;
-    else ++same;
-    if (may) table.bucket(place).take(rate, ns), at->second.take(rate, ns);
-  }
-  EXPECT_EQ(more, 0U);
-  EXPECT_GT(fewer, 0U);  // it errs toward the limit, and that happens
-  EXPECT_GT(table.evicted(), 1000U);
-}
-
-TEST(Subjects, WhoHasHitsInHandIsNotForgotten) {
-  Subjects table(1);  // one set of eight
-  std::vector<std::uint32_t> places;
-  for (std::uint64_t i = 1; i <= 8; ++i) {
-    places.push_back(table.find_or_make(i * 0x9e3779b97f4a7c15ULL, kBegin));
-    ++table.in_hand(places.back());
-  }
-  EXPECT_EQ(table.find_or_make(99 * 0x9e3779b97f4a7c15ULL, kBegin), Subjects::kNone);
-  --table.in_hand(places[3]);
-  EXPECT_EQ(table.find_or_make(99 * 0x9e3779b97f4a7c15ULL, kBegin), places[3]);
-}
-
-TEST(Rates, PartsOfALimit) {
-  const Rate tenth = Rate::part({100, 50, 20}, 10, 4, Span::s(10));
-  EXPECT_EQ(tenth.step, 100'000'000);
-  EXPECT_EQ(tenth.peak_step, 25'000'000);
-  EXPECT_EQ(tenth.tolerance, 400'000'000);
-  EXPECT_EQ(tenth.in_hand, 2U);
-  const Rate crumb = Rate::part({1, 1, 1}, 1000, 4, Span::s(10));  // a hit comes whole
-  EXPECT_EQ(crumb.tolerance, 0);
-  EXPECT_EQ(crumb.in_hand, 1U);
-  EXPECT_EQ(Rate::part({}, 10, 4, Span::s(10)).step, 0);
+TEST(Rates, ARoutersPartOfALimit) {
+  const Rate tenth = Rate::per_router({100, 50, 20}, 10, 4, Span::s(10));
+  EXPECT_EQ(tenth.interval_ns, 100'000'000);
+  EXPECT_EQ(tenth.peak_interval_ns, 25'000'000);
+  EXPECT_EQ(tenth.tolerance_ns, 400'000'000);
+  EXPECT_EQ(tenth.max_in_flight, 2U);
+  const Rate smallest = Rate::per_router({1, 1, 1}, 1000, 4, Span::s(10));  // at least one whole request
+  EXPECT_EQ(smallest.tolerance_ns, 0);
+  EXPECT_EQ(smallest.max_in_flight, 1U);
+  EXPECT_EQ(Rate::per_router({}, 10, 4, Span::s(10)).interval_ns, 0);
 }
 
 }  // namespace
--- a/tests/records_test.cpp
+++ b/tests/records_test.cpp
@@ -153,8 +153,8 @@
   ASSERT_TRUE(o.calling && !o.tls);
   EXPECT_EQ(o.calling->keys, "dir/k");
   EXPECT_TRUE(o.calling->terms.required);
-  EXPECT_EQ(o.calling->terms.tenants[0].each, (calling::Limit{5, 2, 0}));
-  EXPECT_EQ(o.calling->terms.tenants[0].subjects[0].limit.in_hand, 3U);
+  EXPECT_EQ(o.calling->terms.tenants[0].subject_limit, (calling::Limit{5, 2, 0}));
+  EXPECT_EQ(o.calling->terms.tenants[0].subjects[0].limit->in_flight, 3U);
   EXPECT_EQ(operators_faults(""), "");
 }
 
--- /dev/null
+++ b/tests/subject_table_test.cpp
@@ -0,0 +1,65 @@
+// The table of subjects, against one that never evicts.
+#include "calling/subject_table.hpp"
+
+#include <gtest/gtest.h>
+
+#include <map>
+#include <vector>
+
+#include "base/pcg.hpp"
+
+namespace ashbeam {
+namespace {
+
+using namespace calling;
+
+const Instant kBegin = Instant::at_us(1'700'000'000'000'000);
+
+// Spreads small numbers over all sets.
+std::uint64_t hash_of(std::uint64_t subject) { return subject * 0x9e3779b97f4a7c15ULL; }
+
+TEST(SubjectTable, BeingEvictedNeverGainsARequest) {
+  Pcg chance(11);
+  const Rate rate = Rate::per_router({0.2, 2, 0}, 1, 1, Span());
+  SubjectTable table(64);
+  std::map<std::uint64_t, Bucket> plain;  // each subject's own, never evicted
+  Instant now = kBegin;
+  unsigned more = 0;
+  unsigned fewer = 0;
+  for (int i = 0; i < 40000; ++i) {
+    now = now + Span::ms(chance.below(8));
+    const std::uint64_t hash = hash_of(chance.below(400) + 1);
+    const std::int64_t now_ns = nanoseconds_of(now);
+    const auto [entry, is_new] = plain.try_emplace(hash);
+    Bucket& own = entry->second;
+    if (is_new) own.start(now_ns, Bucket::kNever, Bucket::kNever);
+    const std::uint32_t slot = table.find_or_insert(hash, now);
+    ASSERT_NE(slot, SubjectTable::kNone);
+    Bucket& shared = table.bucket(slot);
+    const bool admitted = shared.wait_ns(rate, now_ns) == 0;
+    const bool expected = own.wait_ns(rate, now_ns) == 0;
+    if (admitted && !expected) ++more;
+    if (!admitted && expected) ++fewer;
+    if (!admitted) continue;
+    shared.take(rate, now_ns);
+    own.take(rate, now_ns);
+  }
+  EXPECT_EQ(more, 0U);
+  EXPECT_GT(fewer, 0U);  // it errs toward the limit, and that happens
+  EXPECT_GT(table.evicted(), 1000U);
+}
+
+TEST(SubjectTable, SubjectsWithRequestsInFlightAreNotEvicted) {
+  SubjectTable table(1);  // one set of eight
+  std::vector<std::uint32_t> slots;
+  for (std::uint64_t i = 1; i <= 8; ++i) {
+    slots.push_back(table.find_or_insert(hash_of(i), kBegin));
+    ++table.in_flight(slots.back());
+  }
+  EXPECT_EQ(table.find_or_insert(hash_of(99), kBegin), SubjectTable::kNone);
+  --table.in_flight(slots[3]);
+  EXPECT_EQ(table.find_or_insert(hash_of(99), kBegin), slots[3]);
+}
+
+}  // namespace
+}  // namespace ashbeam
--- a/tests/tls_test.cpp
+++ b/tests/tls_test.cpp
@@ -29,7 +29,7 @@
   fakes::Identity van_ = authority_.issue("shop", "van", Span::s(3600));
   TlsSettings tls_;
   TlsFiles files_;
-  calling::CallingSettings calling_ = shop_terms();
+  calling::CallingSettings calling_ = shop_settings();
   Limits limits_;
   // Stand-ins, on a thread of their own.
   EventLoop theirs_;
@@ -221,7 +221,7 @@
     } else if (how == "key") {
       unsigned char* der = nullptr;
       const int size = i2d_PUBKEY(gone.key.get(), &der);
-      const auto d = tokens::digest_of({reinterpret_cast<char*>(der), static_cast<std::size_t>(size)});
+      const auto d = tokens::sha256({reinterpret_cast<char*>(der), static_cast<std::size_t>(size)});
       OPENSSL_free(der);
       std::string hex;
       for (const auto b : d) {
