--- a/proofs/soak_world.hpp
+++ b/proofs/soak_world.hpp
@@ -118,7 +118,7 @@
   Discovery(EventLoop& loop, const Limits& limits, Pcg& chance, const Servers& servers, int routers,
             Span service)
       : loop_(loop), limits_(limits), chance_(chance), servers_(servers), service_(service),
-        written_(routers), tick_(loop, [this] { tick(); }) {
+        written_(static_cast<std::size_t>(routers)), tick_(loop, [this] { tick(); }) {
     for (int r = 0; r < routers; ++r) {
       doors_.push_back(std::make_unique<Listener>(loop, "127.0.0.1:0", 256, [this, r](int fd) {
         if (fd >= 0) watches_.push_back(std::make_unique<Watch>(*this, fd, r));
--- a/src/store/files.cpp
+++ b/src/store/files.cpp
@@ -129,11 +129,11 @@
   // Taken first: a file that changes while the folder is read gives another stamp, and is read again.
   folder.stamp = key_folder_stamp(path);
   for (const std::string& file : key_set_paths(path)) {
-    tokens::KeySet set = tokens::read_key_set(read_file(file, tokens::kLongestSet));
+    tokens::KeySet set = tokens::parse_key_set(read_file(file, tokens::kMaxKeySetBytes));
     if (!set.problem.empty()) throw FileError(file, set.problem);
-    if (set.holds_private) need_private(file);
-    folder.passed_over += set.passed_over;
-    for (tokens::Listed& listed : set.keys) folder.keys.push_back(std::move(listed));
+    if (set.has_private_keys) need_private(file);
+    folder.passed_over += set.ignored;
+    for (tokens::KeyEntry& listed : set.keys) folder.keys.push_back(std::move(listed));
   }
   return folder;
 }
--- a/src/store/files.hpp
+++ b/src/store/files.hpp
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "base/file_error.hpp"
-#include "tokens/keys.hpp"
+#include "tokens/key_set.hpp"
 
 namespace ashbeam {
 
@@ -22,7 +22,7 @@
 void need_private(const std::string& path);
 
 struct KeyFolder {
-  std::vector<tokens::Listed> keys;
+  std::vector<tokens::KeyEntry> keys;
   unsigned passed_over = 0;  // keys of other kinds than this program uses
   std::string stamp;         // as key_folder_stamp
 };
--- a/src/transport/handshake_scheduler.cpp
+++ b/src/transport/handshake_scheduler.cpp
@@ -20,36 +20,36 @@
       resumption_(loop, [this] { resume_deferred(); }) {}
 
 void HandshakeScheduler::set_limits(const TlsSettings& settings) {
-  budget_.limits(settings.max_handshakes, settings.handshake_cpu_per_second);
+  budget_.set_limits(settings.max_handshakes, settings.handshake_cpu_per_second);
 }
 
 std::optional<HandshakeScheduler::Id> HandshakeScheduler::admit() {
-  const calling::Handshakes::Begun begun = budget_.begin(loop_.now());
-  if (begun.gives_way != calling::Handshakes::kNone) {
-    const auto evicted = streams_.find(begun.gives_way);
+  const calling::HandshakeLimiter::Started started = budget_.start(loop_.now());
+  if (started.evicted != calling::HandshakeLimiter::kNone) {
+    const auto evicted = streams_.find(started.evicted);
     if (evicted != streams_.end()) evicted->second->evict();
   }
-  if (begun.id == calling::Handshakes::kNone) return std::nullopt;
-  return begun.id;
+  if (started.id == calling::HandshakeLimiter::kNone) return std::nullopt;
+  return started.id;
 }
 
 bool HandshakeScheduler::may_proceed(Id id) {
-  const bool may = budget_.may_go_on(id, loop_.now());
+  const bool may = budget_.may_continue(id, loop_.now());
   if (!may) schedule_resumption();
   return may;
 }
 
-void HandshakeScheduler::add_cpu_time(Span cpu_time) { budget_.spent(cpu_time, loop_.now()); }
+void HandshakeScheduler::add_cpu_time(Span cpu_time) { budget_.record_cpu(cpu_time, loop_.now()); }
 
 void HandshakeScheduler::finish(Id id) {
   streams_.erase(id);
-  budget_.over(id);
+  budget_.finish(id);
 }
 
 void HandshakeScheduler::resume_deferred() {
   for (;;) {
-    const Id id = budget_.next(loop_.now());
-    if (id == calling::Handshakes::kNone) break;
+    const Id id = budget_.next_waiting(loop_.now());
+    if (id == calling::HandshakeLimiter::kNone) break;
     const auto deferred = streams_.find(id);
     if (deferred != streams_.end()) deferred->second->resume_handshake();
   }
--- a/src/transport/handshake_scheduler.hpp
+++ b/src/transport/handshake_scheduler.hpp
@@ -1,5 +1,5 @@
-// Which TLS handshakes go on, and when: carries out on the event loop what calling::Handshakes decides on
-// their number and their CPU time.
+// Which TLS handshakes go on, and when: carries out on the event loop what calling::HandshakeLimiter decides
+// on their number and their CPU time.
 //
 // Order of calls for each handshake: `admit`, `attach`, then `may_proceed` before each step and
 // `add_cpu_time` after it, at last `finish`. A handshake that may not proceed is resumed through its stream,
@@ -9,7 +9,7 @@
 #include <map>
 #include <optional>
 
-#include "calling/handshakes.hpp"
+#include "calling/handshake_limiter.hpp"
 #include "transport/event_loop.hpp"
 #include "transport/tls_settings.hpp"
 
@@ -19,7 +19,7 @@
 
 class HandshakeScheduler {
  public:
-  using Id = calling::Handshakes::Id;
+  using Id = calling::HandshakeLimiter::Id;
 
   HandshakeScheduler(EventLoop& loop, const TlsSettings& settings);
   HandshakeScheduler(const HandshakeScheduler&) = delete;
@@ -33,14 +33,14 @@
   bool may_proceed(Id id);
   void add_cpu_time(Span cpu_time);
   void finish(Id id);
-  std::size_t in_progress() const { return budget_.under_way(); }
+  std::size_t in_progress() const { return budget_.in_progress(); }
 
  private:
   void resume_deferred();
   void schedule_resumption();
 
   EventLoop& loop_;
-  calling::Handshakes budget_;
+  calling::HandshakeLimiter budget_;
   std::map<Id, TlsServerStream*> streams_;
   Timer resumption_;
 };
--- a/src/transport/tls_server_stream.cpp
+++ b/src/transport/tls_server_stream.cpp
@@ -41,7 +41,7 @@
 TlsStream::HandshakeStep TlsServerStream::handshake() {
   if (evicted_) return fail_handshake("gave way to another handshake");
   // Once the handshake has ended, no handshake of the scheduler is meant.
-  const auto id = handshake_id_.value_or(calling::Handshakes::kNone);
+  const auto id = handshake_id_.value_or(calling::HandshakeLimiter::kNone);
   if (!acceptor_.scheduler_.may_proceed(id)) return HandshakeStep::kDeferred;
   return continue_handshake();
 }
--- a/src/transport/tls_server_stream.hpp
+++ b/src/transport/tls_server_stream.hpp
@@ -51,7 +51,7 @@
   std::shared_ptr<TlsCredentials> credentials_;  // outlives ssl_
   OpensslPtr<ssl_st> ssl_;
   OpensslPtr<x509_st> peer_leaf_;  // null: none was shown
-  calling::Certificate peer_certificate_;
+  calling::ClientCertificate peer_certificate_;
   std::optional<HandshakeScheduler::Id> handshake_id_;  // until the handshake has ended
   std::function<void()> resume_callback_;
   bool established_ = false;
--- a/src/transport/tls_stream.hpp
+++ b/src/transport/tls_stream.hpp
@@ -8,7 +8,7 @@
 #include <functional>
 
 #include "base/time.hpp"
-#include "calling/authorizer.hpp"
+#include "calling/principal.hpp"
 #include "transport/io_result.hpp"
 
 namespace ashbeam {
@@ -23,8 +23,8 @@
     kFailed,
   };
   struct PeerProof {
-    const calling::Certificate* certificate = nullptr;  // null: none was shown
-    bool refused = false;                               // one was shown, and is not valid any more
+    const calling::ClientCertificate* certificate = nullptr;  // null: none was shown
+    bool refused = false;                                     // one was shown, and is not valid any more
   };
 
   virtual ~TlsStream() = default;
--- a/src/transport/x509_fields.cpp
+++ b/src/transport/x509_fields.cpp
@@ -10,7 +10,7 @@
 #include <ctime>
 #include <string_view>
 
-#include "tokens/keys.hpp"
+#include "tokens/key_set.hpp"
 
 namespace ashbeam {
 
@@ -65,16 +65,16 @@
   const int size = i2d_X509_PUBKEY(X509_get_X509_PUBKEY(certificate), &der);
   if (size <= 0) return {};
   const OpensslBuffer<unsigned char> owned(der);
-  const auto digest = tokens::digest_of({reinterpret_cast<char*>(der), static_cast<std::size_t>(size)});
+  const auto digest = tokens::sha256({reinterpret_cast<char*>(der), static_cast<std::size_t>(size)});
   return to_hex({reinterpret_cast<const char*>(digest.data()), digest.size()});
 }
 
-calling::Certificate describe_certificate(x509_st* certificate) {
-  calling::Certificate described;
+calling::ClientCertificate describe_certificate(x509_st* certificate) {
+  calling::ClientCertificate described;
   described.organisation = subject_entry(certificate, NID_organizationName);
-  described.name = subject_entry(certificate, NID_commonName);
-  auto size = static_cast<unsigned>(described.print.size());
-  X509_digest(certificate, EVP_sha256(), described.print.data(), &size);
+  described.common_name = subject_entry(certificate, NID_commonName);
+  auto size = static_cast<unsigned>(described.sha256.size());
+  X509_digest(certificate, EVP_sha256(), described.sha256.data(), &size);
   described.not_before = to_instant(X509_get0_notBefore(certificate));
   described.not_after = to_instant(X509_get0_notAfter(certificate));
   return described;
