--- a/benches/calling.cpp
+++ b/benches/calling.cpp
@@ -124,7 +124,7 @@
 class Whole {
  public:
   explicit Whole(Kind kind) : kind_(kind), key_(tokens::Key::fresh(tokens::Algorithm::kEs256)) {
-    const Start start = start_from(kSettings, Site{"bench", "127.0.0.1:0", "", "", 7, "", ""});
+    const Start start = start_from(kSettings, InstanceSettings{"bench", "127.0.0.1:0", "", "", 7, "", ""});
     terms_ = read_router_settings(start.settings), door_ = read_wire_settings(start.settings);
     limits_ = limits_for(1024, door_, terms_);
     for (int i = 0; i < 4; ++i) {
@@ -143,8 +143,8 @@
     thread_ = std::thread([this] {
       EventLoop loop;
       Service service(loop, limits_, terms_, door_,
-                      Site{"bench", "127.0.0.1:0", discovery_->address(), desk_->address(), 7,
-                           discovery_->list(), desk_->news()},
+                      InstanceSettings{"bench", "127.0.0.1:0", discovery_->address(), desk_->address(), 7,
+                                       discovery_->list(), desk_->news()},
                       [](std::string_view) {});
       if (kind_ != Kind::kPlain) secure(loop, service);
       service.start();
@@ -208,7 +208,7 @@
       TlsSettings tls;
       tls.listen = "127.0.0.1:0", tls.clients = TlsSettings::Clients::kOptional, tls.handshake_cpu = 1;
       const fakes::Identity server = authority_.issue("", "router", Span::s(3600), true);
-      service.also_listen(
+      service.listen_with_tls(
           tls, std::make_shared<TlsCredentials>(
                    tls, TlsFiles{server.certificate_pem, server.key_pem, authority_.pem(), "", ""}));
     }
@@ -216,7 +216,7 @@
     tokens::Listed listed;
     listed.key = key_, listed.kid = "k";
     gate->keys(std::vector{listed}, loop.now());
-    service.guard(std::move(gate), false);
+    service.set_authorizer(std::move(gate), false);
   }
   void ask(std::size_t i) {
     std::string request =
--- a/proofs/calling.cpp
+++ b/proofs/calling.cpp
@@ -95,12 +95,15 @@
 // The router on a thread of its own.
 class Running {
  public:
-  Running(const Files& files, Site site) {
+  Running(const Files& files, InstanceSettings site) {
     thread_ = std::thread([this, &files, site] {
       EventLoop loop;
       const Start start = start_from(kSettings, site);
-      Site full = start.site;
-      full.desk = site.desk, full.discovery = site.discovery, full.known = site.known, full.news = site.news;
+      InstanceSettings full = start.site;
+      full.release_platform_address = site.release_platform_address;
+      full.discovery_address = site.discovery_address;
+      full.configured_endpoint_list = site.configured_endpoint_list;
+      full.configured_release_state = site.configured_release_state;
       const RouterSettings terms = read_router_settings(start.settings);
       const WireSettings door = read_wire_settings(start.settings);
       const Limits limits = limits_for(1024, door, terms);
@@ -257,8 +260,8 @@
     }
     rotate();
     rotate();  // one that signs, and one that is coming
-    Site site{"proof", "127.0.0.1:0",     discovery_.address(), desk_.address(),
-              7,       discovery_.list(), desk_.news()};
+    InstanceSettings site{"proof", "127.0.0.1:0",     discovery_.address(), desk_.address(),
+                          7,       discovery_.list(), desk_.news()};
     router_ = std::make_unique<Running>(files, site);
   }
 
--- a/proofs/metadata.cpp
+++ b/proofs/metadata.cpp
@@ -105,12 +105,15 @@
 
 class Running {
  public:
-  Running(Site site, std::string root) {
+  Running(InstanceSettings site, std::string root) {
     thread_ = std::thread([this, site, root] {
       EventLoop loop;
       const Start start = start_from(kSettings, site);
-      Site full = start.site;
-      full.desk = site.desk, full.discovery = site.discovery, full.known = site.known, full.news = site.news;
+      InstanceSettings full = start.site;
+      full.release_platform_address = site.release_platform_address;
+      full.discovery_address = site.discovery_address;
+      full.configured_endpoint_list = site.configured_endpoint_list;
+      full.configured_release_state = site.configured_release_state;
       const RouterSettings terms = read_router_settings(start.settings);
       const WireSettings door = read_wire_settings(start.settings);
       const Limits limits = limits_for(1024, door, terms);
@@ -118,7 +121,7 @@
         if (std::getenv("PROOF_LOG"))
           std::fprintf(stderr, "%.*s\n", static_cast<int>(line.size()), line.data());
       });
-      service.watch_metadata(
+      service.set_metadata_verifier(
           std::make_unique<MetadataVerifier>(std::vector<RepositorySettings>{{kPrefix, root, kLag}}, 4096));
       service.start();
       loop.enable_posts_from_threads();
@@ -159,8 +162,8 @@
           loop_, limits_, [this, i](const http::Head& head, const std::string&) { return serve(i, head); }));
       discovery_.put({"h" + std::to_string(i), hosts_.back()->address(), "up", 1, Instant()});
     }
-    router_ = std::make_unique<Running>(Site{"proof", "127.0.0.1:0", discovery_.address(), desk_.address(), 7,
-                                             discovery_.list(), desk_.news()},
+    router_ = std::make_unique<Running>(InstanceSettings{"proof", "127.0.0.1:0", discovery_.address(),
+                                                         desk_.address(), 7, discovery_.list(), desk_.news()},
                                         first_root_);
   }
 
--- a/src/program/access_config_loader.cpp
+++ b/src/program/access_config_loader.cpp
@@ -7,7 +7,7 @@
 
 AccessConfigLoader::AccessConfigLoader(EventLoop& loop, Service& service, const WireSettings& door,
                                        const RouterSettings& terms, std::string path, std::uint64_t seed,
-                                       Service::Note note)
+                                       LogFunction note)
     : loop_(loop), service_(service),
       reading_by_(std::make_shared<Reading>(Reading{std::move(path), door, terms})), note_(std::move(note)),
       look_(loop, [this] { look(); }) {
@@ -17,15 +17,15 @@
   if (standing_.metadata) {
     std::vector<metadata::RepositorySettings> all = standing_.metadata->repositories;
     for (auto& r : all) r.root = read_file(r.root, metadata::most_bytes("root"));
-    service_.watch_metadata(
+    service_.set_metadata_verifier(
         std::make_unique<metadata::MetadataVerifier>(std::move(all), standing_.metadata->clients));
   }
   if (!standing_.calling && !standing_.tls) return;
   worker_ = std::make_unique<Worker>(loop_);
-  if (standing_.tls) service_.also_listen(*standing_.tls, fresh.tls);
+  if (standing_.tls) service_.listen_with_tls(*standing_.tls, fresh.tls);
   if (!standing_.calling) return;
-  service_.guard(std::make_unique<calling::Authorizer>(standing_.calling->terms, seed, loop_.now()),
-                 standing_.calling->token_goes_on);
+  service_.set_authorizer(std::make_unique<calling::Authorizer>(standing_.calling->terms, seed, loop_.now()),
+                          standing_.calling->token_goes_on);
   take_keys(fresh.keys);
   look_.in(Span());
 }
@@ -78,10 +78,10 @@
 // A folder on a file system that hangs must not go unnoticed: what is revoked there is not known here.
 void AccessConfigLoader::look() {
   look_.in(std::min(standing_.calling->reread, Span::s(1)));
-  const Span ahead = loop_.wall_ahead(), before = service_.gate()->wall_ahead();
+  const Span ahead = loop_.wall_ahead(), before = service_.authorizer()->wall_ahead();
   if (ahead > before + Span::s(1) || ahead < before - Span::s(1))
     note_("calling: the machine's clock was set by " + std::to_string((ahead - before).us() / 1000) + " ms");
-  service_.gate()->wall_ahead(ahead);
+  service_.authorizer()->wall_ahead(ahead);
   const Instant now = loop_.now();
   if (reading_ && now - reading_since_ > Span::s(5) && !std::exchange(stuck_told_, true))
     note_("calling: reading keys and files has taken 5 s and goes on; the old ring and rights stand");
@@ -122,9 +122,9 @@
       return note_(
           "operator's file: the old one stands: calling, tls and its listener come and go by a restart");
     standing_ = fresh.operators;
-    if (fresh.tls) service_.tls()->take(*standing_.tls, fresh.tls);
+    if (fresh.tls) service_.tls_acceptor()->take(*standing_.tls, fresh.tls);
     if (!standing_.calling) return note_("operator's file read again");
-    service_.gate()->terms(standing_.calling->terms, loop_.now());
+    service_.authorizer()->terms(standing_.calling->terms, loop_.now());
     note_("operator's file read again: " + std::to_string(standing_.calling->terms.tenants.size()) +
           " tenants");
   }
@@ -133,9 +133,9 @@
 
 void AccessConfigLoader::take_keys(const KeyFolder& folder) {
   stamp_ = folder.stamp;
-  const auto change = service_.gate()->keys(folder.keys, loop_.now());
+  const auto change = service_.authorizer()->keys(folder.keys, loop_.now());
   if (!change.any()) return;
-  note_("calling: key ring " + std::to_string(service_.gate()->ring().epoch()) + ": " +
+  note_("calling: key ring " + std::to_string(service_.authorizer()->ring().epoch()) + ": " +
         std::to_string(folder.keys.size()) + " keys listed, " + std::to_string(change.added) + " new, " +
         std::to_string(change.back) + " back, " + std::to_string(change.retiring) + " retiring, " +
         std::to_string(change.revoked) + " revoked, " + std::to_string(change.forgotten) + " forgotten");
--- a/src/program/access_config_loader.hpp
+++ b/src/program/access_config_loader.hpp
@@ -17,7 +17,7 @@
  public:
   // Throws OperatorsError or FileError where the file can't be used: the program does not start on it.
   AccessConfigLoader(EventLoop& loop, Service& service, const WireSettings& door, const RouterSettings& terms,
-                     std::string path, std::uint64_t seed, Service::Note note);
+                     std::string path, std::uint64_t seed, LogFunction note);
   // Reads all of it again, off the loop. What stands in the files now is in force once taken() has come to
   // the number that this gives; 0 where nothing is read.
   std::uint64_t reread();
@@ -45,7 +45,7 @@
   EventLoop& loop_;
   Service& service_;
   std::shared_ptr<const Reading> reading_by_;
-  Service::Note note_;
+  LogFunction note_;
   Operators standing_;
   std::string stamp_, complaint_;  // of the key folder, as last read; the last one told
   bool reading_ = false, again_ = false, stuck_told_ = false;
--- a/src/program/demo.cpp
+++ b/src/program/demo.cpp
@@ -43,8 +43,8 @@
 class Demo {
  public:
   explicit Demo(const DemoOptions& options)
-      : start_(start_from(kSettings,
-                          Site{"demo", "127.0.0.1:" + std::to_string(options.port), "", "", 7, "", ""})),
+      : start_(start_from(kSettings, InstanceSettings{"demo", "127.0.0.1:" + std::to_string(options.port), "",
+                                                      "", 7, "", ""})),
         terms_(read_router_settings(start_.settings)), door_(read_wire_settings(start_.settings)),
         limits_(limits_for(1024, door_, terms_)), discovery_(loop_, limits_),
         desk_(loop_, limits_, {0.2, 0.5, 1.0},
@@ -57,10 +57,10 @@
           loop_, limits_, [this, i](const http::Head& head, const std::string&) { return serve(i, head); }));
       place(i, 1, Instant());
     }
-    start_.site.discovery = discovery_.address();
-    start_.site.desk = desk_.address();
-    start_.site.known = discovery_.list();
-    start_.site.news = desk_.news();
+    start_.site.discovery_address = discovery_.address();
+    start_.site.release_platform_address = desk_.address();
+    start_.site.configured_endpoint_list = discovery_.list();
+    start_.site.configured_release_state = desk_.news();
     service_ =
         std::make_unique<Service>(loop_, limits_, terms_, door_, start_.site, [](std::string_view line) {
           std::printf("router: %.*s\n", static_cast<int>(line.size()), line.data());
@@ -112,7 +112,7 @@
     token_ = tokens::issue(key.key, key.kid,
                            R"({"aud":"ashbeam","tenant":"shop","sub":"you","iat":)" + std::to_string(now) +
                                R"(,"exp":)" + std::to_string(now + 3600) + "}");
-    service_->guard(std::move(gate), false);
+    service_->set_authorizer(std::move(gate), false);
   }
 
   fakes::Served serve(unsigned host, const http::Head& head) {
--- a/src/program/environment.cpp
+++ b/src/program/environment.cpp
@@ -51,7 +51,7 @@
   return pairs;
 }
 
-Start start_from(std::string_view configuration, Site site) {
+Start start_from(std::string_view configuration, InstanceSettings site) {
   const auto all = Json::parse(configuration);
   if (!all || !all->is_object()) throw StartError("configuration: not a JSON object");
   const auto settings = all->member("settings"), limits = all->member("limits"),
@@ -61,15 +61,15 @@
     throw StartError("configuration: 'release_api.address' is missing");
   Start start;
   site.seed = seed_of(all->member("seed"));
-  site.desk = desk->text("address");
-  if (!all->text("discovery").empty()) site.discovery = all->text("discovery");
-  for (const auto& [what, at] :
-       {std::pair{"release_api.address", site.desk}, {"discovery", site.discovery}}) {
+  site.release_platform_address = desk->text("address");
+  if (!all->text("discovery").empty()) site.discovery_address = all->text("discovery");
+  for (const auto& [what, at] : {std::pair{"release_api.address", site.release_platform_address},
+                                 {"discovery", site.discovery_address}}) {
     if (!at.empty() && !is_address(at))
       throw StartError(std::string("configuration: '") + what + "' is no numeric address");
   }
-  if (const auto news = desk->member("news")) site.news = news->raw();
-  if (const auto known = all->member("known")) site.known = known->raw();
+  if (const auto news = desk->member("news")) site.configured_release_state = news->raw();
+  if (const auto known = all->member("known")) site.configured_endpoint_list = known->raw();
   start.site = std::move(site);
   start.settings = pairs_of(*settings);
   if (limits)
@@ -83,10 +83,10 @@
     if (!value || !*value) throw StartError(std::string(name) + " is not set");
     return std::string(value);
   };
-  Site site;
+  InstanceSettings site;
   site.name = need("PROXY_NAME");
-  site.listen = need("PROXY_LISTEN");
-  site.discovery = need("PROXY_DISCOVERY");
+  site.listen_address = need("PROXY_LISTEN");
+  site.discovery_address = need("PROXY_DISCOVERY");
   const std::string path = need("PROXY_CONFIG");
   std::ifstream file(path, std::ios::binary);
   std::ostringstream text;
--- a/src/program/environment.hpp
+++ b/src/program/environment.hpp
@@ -16,14 +16,14 @@
 };
 
 struct Start {
-  Site site;
+  InstanceSettings site;
   SettingsMap settings;
   std::size_t sockets = 1024;
 };
 
 // `variable` looks one up; both throw StartError, with one plain line, where something is missing.
 Start read_start(const char* (*variable)(const char*));
-Start start_from(std::string_view configuration, Site site);
+Start start_from(std::string_view configuration, InstanceSettings site);
 SettingsMap pairs_of(const Json& settings);  // nested objects and lists as paths
 
 Limits limits_for(std::size_t sockets, const WireSettings& door, const RouterSettings& terms);
--- a/src/program/serve.cpp
+++ b/src/program/serve.cpp
@@ -44,8 +44,9 @@
     const Start next = read();
     read_router_settings(next.settings);
     read_wire_settings(next.settings);
-    service.move_to(next.site.discovery, next.site.desk);
-    spdlog::info("configuration read again: discovery {}, desk {}{}", next.site.discovery, next.site.desk,
+    service.change_addresses(next.site.discovery_address, next.site.release_platform_address);
+    spdlog::info("configuration read again: discovery {}, desk {}{}", next.site.discovery_address,
+                 next.site.release_platform_address,
                  next.settings == standing.settings ? "" : "; other settings count from the next start");
   } catch (const std::exception& e) {
     spdlog::error("configuration can't be used, the old one stands: {}", e.what());
@@ -76,7 +77,7 @@
   const char* const log_wanted = std::getenv(kLogVariable);
   service.detail_log().enable(log_wanted ? log_wanted : "");
   service.start();
-  spdlog::info("{} serves at {}: {} path groups, router {} of {}", start.site.name, start.site.listen,
+  spdlog::info("{} serves at {}: {} path groups, router {} of {}", start.site.name, start.site.listen_address,
                terms.request_classes.size(), terms.router_index, terms.router_count);
 
   Timer signals(loop, [&] {
@@ -84,7 +85,7 @@
     if (stop_asked != 0) {
       stop_asked = 0;
       spdlog::info("told to stop");
-      service.wind_down([&] { loop.stop(); });
+      service.shut_down([&] { loop.stop(); });
     }
     if (detail_asked != 0) {
       detail_asked = 0;
@@ -94,7 +95,7 @@
     }
     if (reading_asked != 0) {
       reading_asked = 0;
-      if (service.winding_down()) return spdlog::info("configuration not read again: told to stop");
+      if (service.shutting_down()) return spdlog::info("configuration not read again: told to stop");
       read_again(start, service);
       if (guardian) guardian->reread();
     }
--- /dev/null
+++ b/src/routing/client_connection.cpp
@@ -0,0 +1,147 @@
+#include "routing/client_connection.hpp"
+
+#include <string>
+
+#include "routing/client_connections.hpp"
+
+namespace ashbeam {
+
+ClientConnection::ClientConnection(ClientConnections& owner, int accepted, std::unique_ptr<TlsStream> tls,
+                                   std::size_t slot)
+    : owner_(owner), slot_(slot), serial_number_(++owner.last_serial_number_),
+      state_since_(owner.loop_.now()),
+      connection_(owner.loop_, owner.limits_, *this, accepted, std::move(tls)),
+      requests_(http::Messages::Side::kRequests, owner.limits_.max_head_bytes, owner.limits_.max_body_bytes),
+      timer_(owner.loop_, [this] { on_timer(); }) {
+  timer_.in(connection_.handshaking() ? owner_.handshake_timeout_() : owner_.limits_.first_request_timeout);
+}
+
+void ClientConnection::on_connected() {
+  state_since_ = owner_.loop_.now();
+  timer_.in(owner_.limits_.first_request_timeout);
+}
+
+void ClientConnection::on_data() {
+  if (state_ != State::kReading) return on_data_out_of_turn();
+  if (!connection_.unread().empty()) read_request();
+}
+
+// The next request waits for its turn. A client that sends more than is held unread is cut off after its
+// answer: with bytes unread its close would not be seen, and its request would be forwarded for nobody.
+void ClientConnection::on_data_out_of_turn() {
+  if (state_ != State::kAwaitingAnswer) return;
+  if (connection_.unread().size() < owner_.limits_.max_unread_bytes) return;
+  close_after_answer_ = true;
+  connection_.discard();
+}
+
+void ClientConnection::read_request() {
+  std::string_view bytes = connection_.unread();
+  const std::size_t unread = bytes.size();
+  const bool had_begun = requests_.begun();
+  const auto got = requests_.feed(bytes);
+  connection_.take(unread - bytes.size());
+  if (got == http::Messages::Got::kMore) {
+    if (!had_begun && requests_.begun()) {
+      state_since_ = owner_.loop_.now();
+      if (answered_once_) timer_.in(owner_.limits_.request_read_timeout);
+    }
+    if (!timer_.armed()) wait_for_next_request();  // nothing but blank lines came early
+    return;
+  }
+  timer_.off();
+  state_ = State::kAwaitingAnswer;
+  if (got == http::Messages::Got::kWhole) {
+    close_after_answer_ = close_after_answer_ || requests_.last();
+    return owner_.callbacks_.on_request(*this, requests_);
+  }
+  close_after_answer_ = true;
+  const unsigned status = requests_.fault();
+  answer_plain(status);
+}
+
+void ClientConnection::answer_plain(unsigned status, std::string_view fields) {
+  const std::string body = std::string(http::reason(status)) + "\n";
+  std::string all_fields(fields);
+  all_fields += "Content-Type: text/plain\r\nContent-Length: " + std::to_string(body.size()) + "\r\n";
+  answer(status, all_fields, body);
+}
+
+void ClientConnection::answer(unsigned status, std::string_view fields, std::string_view body) {
+  if (state_ != State::kAwaitingAnswer) return;
+  state_ = State::kWritingAnswer;
+  answered_client_error_ = status >= 400 && status < 500;
+  close_after_answer_ = close_after_answer_ || owner_.shutting_down_ || owner_.at_idle_limit();
+  std::string bytes = "HTTP/1.1 " + std::to_string(status) + " ";
+  bytes.append(http::reason(status)).append("\r\n").append(fields);
+  if (close_after_answer_) bytes += "Connection: close\r\n";
+  bytes.append("\r\n").append(body);
+  timer_.in(owner_.limits_.answer_write_timeout);
+  connection_.write(bytes);
+  if (!connection_.unwritten()) on_answer_written();
+}
+
+void ClientConnection::on_write_complete() {
+  if (state_ == State::kWritingAnswer) on_answer_written();
+}
+
+void ClientConnection::on_answer_written() {
+  timer_.off();
+  state_since_ = owner_.loop_.now();
+  if (close_after_answer_) return linger();
+  answered_once_ = true;
+  requests_.next();
+  if (answered_client_error_) {  // slows down a client that repeats a bad request at once
+    state_ = State::kDelayed;
+    return timer_.in(owner_.limits_.bad_request_pause);
+  }
+  state_ = State::kReading;
+  if (connection_.unread().empty()) return wait_for_next_request();
+  timer_.at(state_since_);  // what came early is read after the callback at hand
+}
+
+void ClientConnection::close_idle() {
+  closed_idle_ = true;
+  ++owner_.closed_idle_;
+  state_since_ = owner_.loop_.now();
+  linger();
+}
+
+// Closing with bytes unread would reset the connection, and the answer with it.
+void ClientConnection::linger() {
+  state_ = State::kLingering;
+  connection_.finish_writing();
+  timer_.in(owner_.limits_.lingering_close_timeout);
+  connection_.discard();
+}
+
+void ClientConnection::wait_for_next_request() {
+  const Limits& limits = owner_.limits_;
+  const Span timeout = owner_.crowded() ? limits.crowded_client_idle_timeout : limits.client_idle_timeout;
+  timer_.at(state_since_ + timeout);
+}
+
+void ClientConnection::on_closed() {
+  if (state_ == State::kAwaitingAnswer) owner_.callbacks_.on_client_closed(*this);
+  owner_.remove(this);
+}
+
+void ClientConnection::on_timer() {
+  if (connection_.handshaking()) return owner_.remove(this);
+  if (state_ == State::kDelayed) {
+    state_ = State::kReading;
+    if (connection_.unread().empty()) return wait_for_next_request();
+  }
+  if (state_ == State::kReading && !connection_.unread().empty() && !requests_.begun()) return on_data();
+  if (request_begun()) {
+    state_ = State::kAwaitingAnswer;
+    close_after_answer_ = true;
+    return answer_plain(408);
+  }
+  if (state_ == State::kAwaitingAnswer) return owner_.callbacks_.on_answer_overdue(*this);
+  if (state_ != State::kReading) return owner_.remove(this);
+  if (!connection_.quiet()) return timer_.in(owner_.limits_.min_idle_before_close);  // a request is coming
+  close_idle();
+}
+
+}  // namespace ashbeam
--- /dev/null
+++ b/src/routing/client_connections.cpp
@@ -0,0 +1,154 @@
+#include "routing/client_connections.hpp"
+
+#include <unistd.h>
+
+#include <algorithm>
+
+namespace ashbeam {
+
+ClientConnections::ClientConnections(EventLoop& loop, const Limits& limits, const std::string& address,
+                                     Callbacks callbacks)
+    : loop_(loop), limits_(limits), callbacks_(std::move(callbacks)),
+      room_timer_(loop, [this] { make_room(); }),
+      listener_(loop, address, limits.accept_backlog, [this](int fd) { on_accept(fd, false); }) {}
+
+void ClientConnections::listen_with_tls(const std::string& address, MakeTlsStream make_tls,
+                                        std::function<Span()> handshake_timeout) {
+  make_tls_ = std::move(make_tls);
+  handshake_timeout_ = std::move(handshake_timeout);
+  tls_listener_ = std::make_unique<Listener>(loop_, address, limits_.accept_backlog,
+                                             [this](int fd) { on_accept(fd, true); });
+}
+
+void ClientConnections::pause_listeners(bool paused) {
+  listener_.pause(paused);
+  if (tls_listener_) tls_listener_->pause(paused);
+}
+
+void ClientConnections::on_accept(int fd, bool with_tls) {
+  if (fd < 0) return pause_accepting();
+  last_accepted_ = loop_.now();
+  std::unique_ptr<TlsStream> tls;
+  if (with_tls) {
+    tls = make_tls_(fd);
+    if (!tls) {
+      ::close(fd);
+      return;
+    }
+  }
+  connections_.push_back(std::make_unique<ClientConnection>(*this, fd, std::move(tls), connections_.size()));
+  make_room();
+}
+
+// As the last resort accepting pauses, until a connection ends or has been idle long enough.
+void ClientConnections::make_room() {
+  if (!full()) return pause_listeners(false);
+  if (!evict_one()) pause_accepting();
+}
+
+bool ClientConnections::at_idle_limit() const {
+  if (connections_.size() <= limits_.max_idle_client_connections) return false;
+  const auto idle = std::count_if(connections_.begin(), connections_.end(),
+                                  [](const auto& connection) { return connection->between_requests(); });
+  return static_cast<std::size_t>(idle) >= limits_.max_idle_client_connections;
+}
+
+void ClientConnections::pause_accepting() {
+  pause_listeners(true);
+  room_timer_.in(limits_.new_connection_grace);
+}
+
+bool ClientConnections::may_be_evicted(const ClientConnection& connection, Instant now) const {
+  using State = ClientConnection::State;
+  const bool reading = connection.state_ == State::kReading;
+  const bool lingering = connection.state_ == State::kLingering;
+  if (!lingering && !reading && connection.state_ != State::kDelayed) return false;
+  const bool kept_alive = connection.answered_once_ && reading;
+  Span spared = limits_.new_connection_grace;
+  if (kept_alive) {
+    spared = connection.request_begun() ? limits_.partial_request_timeout : limits_.min_idle_before_close;
+  }
+  return now - connection.state_since_ >= spared;
+}
+
+ClientConnections::EvictionRank ClientConnections::eviction_rank(const ClientConnection& connection) {
+  const bool reading = connection.state_ == ClientConnection::State::kReading;
+  return {connection.answered_once_ && reading, connection.state_since_};
+}
+
+ClientConnection* ClientConnections::eviction_candidate(Instant now) const {
+  ClientConnection* candidate = nullptr;
+  EvictionRank candidate_rank;
+  for (const auto& connection : connections_) {
+    if (!may_be_evicted(*connection, now)) continue;
+    const EvictionRank rank = eviction_rank(*connection);
+    if (candidate && rank >= candidate_rank) continue;
+    const bool lingering = connection->state_ == ClientConnection::State::kLingering;
+    if (!lingering && !connection->connection_.quiet()) continue;
+    candidate = connection.get();
+    candidate_rank = rank;
+  }
+  return candidate;
+}
+
+bool ClientConnections::evict_one() {
+  const Instant now = loop_.now();
+  ClientConnection* const candidate = eviction_candidate(now);
+  if (!candidate) return false;
+  if (candidate->between_requests()) {  // then no other kind is left that may go
+    for (const auto& connection : connections_) {
+      const bool idle_long_enough = now - connection->state_since_ >= limits_.min_idle_before_close;
+      if (connection->between_requests() && idle_long_enough && connection->connection_.quiet())
+        connection->close_idle();
+    }
+    return false;
+  }
+  if (candidate->request_begun()) {
+    candidate->state_ = ClientConnection::State::kAwaitingAnswer;
+    candidate->close_after_answer_ = true;
+    candidate->answer_plain(503);
+  }
+  remove(candidate);
+  return true;
+}
+
+void ClientConnections::remove(ClientConnection* connection) {
+  connection->timer_.off();
+  if (connection->closed_idle_ && connection->connection_.discarded()) ++closed_idle_with_request_;
+  connection->connection_.close();
+  const std::size_t slot = connection->slot_;
+  std::swap(connections_[slot], connections_.back());
+  connections_[slot]->slot_ = slot;
+  loop_.destroy_later(std::move(connections_.back()));
+  connections_.pop_back();
+  pause_listeners(false);
+}
+
+// Closing a listener resets whoever waits to be accepted: not while a full table keeps some outside, nor
+// while some still come.
+bool ClientConnections::close_listeners() {
+  bool none_waiting = true;
+  for (Listener* const listener : {&listener_, tls_listener_.get()}) {
+    if (!listener) continue;
+    listener->pause(false);
+    none_waiting = listener->accept_waiting() && none_waiting;
+  }
+  if (!none_waiting || loop_.now() - last_accepted_ < limits_.shutdown_quiet_time) return false;
+  listener_.close();
+  if (tls_listener_) tls_listener_->close();
+  return true;
+}
+
+void ClientConnections::close_idle() {
+  const Instant now = loop_.now();
+  for (const auto& connection : connections_) {
+    const bool reading =
+        connection->state_ == ClientConnection::State::kReading && !connection->requests_.begun();
+    const bool delayed = connection->state_ == ClientConnection::State::kDelayed;
+    const bool idle_long_enough =
+        connection->answered_once_ || now - connection->state_since_ >= limits_.min_idle_before_close;
+    if ((reading || delayed) && idle_long_enough && connection->connection_.quiet()) connection->close_idle();
+  }
+}
+
+}  // namespace ashbeam
--- /dev/null
+++ b/src/routing/endpoint_list_lease.cpp
@@ -0,0 +1,83 @@
+#include "routing/endpoint_list_lease.hpp"
+
+#include <algorithm>
+#include <string>
+
+namespace ashbeam {
+
+namespace {
+
+// What was confirmed longer ago than this never was.
+constexpr Span kMaxAge = Span::s(1e6);
+
+}  // namespace
+
+EndpointListLease::EndpointListLease(RouterContext& context, const policy::EndpointLeaseSettings& settings)
+    : context_(context), lease_(settings), expiry_timer_(context.loop, [this] { on_changed("no news"); }) {}
+
+void EndpointListLease::start() {
+  configured_list_valid_until_ = context_.loop.now() + context_.limits.configured_list_validity;
+  on_changed("started");
+}
+
+void EndpointListLease::confirmed() {
+  lease_.confirmed(context_.loop.now());
+  on_changed("confirmed");
+}
+
+void EndpointListLease::line_begun() {
+  lease_.line_begun(context_.loop.now());
+  publish();
+}
+
+void EndpointListLease::watch_lost(const char* reason, bool discovery_refused) {
+  lease_.watch_lost();
+  if (discovery_refused) lease_.unreachable(context_.loop.now());
+  on_changed(reason);
+}
+
+void EndpointListLease::on_endpoint_answered(EndpointIndex endpoint, Instant sent,
+                                             Instant connection_opened) {
+  if (!lease_.vouches(connection_opened)) return;
+  context_.policy.at_now().extend_endpoint_validity(endpoint, lease_.valid_after_answer(sent));
+}
+
+void EndpointListLease::on_changed(const char* reason) {
+  publish();
+  const policy::LeaseState now = state();
+  if (now == logged_state_) return;
+  logged_state_ = now;
+  log_state(reason);
+}
+
+void EndpointListLease::log_state(const char* reason) const {
+  if (logged_state_ == policy::LeaseState::kFresh) return context_.log("endpoint list: fresh");
+  const Span age = context_.loop.now() - lease_.confirmed_at();
+  const std::string confirmed = age < kMaxAge ? std::to_string(age.us() / 1000) + " ms ago" : "never";
+  context_.log(std::string("endpoint list: ") + policy::name_of(logged_state_) + ", " + reason +
+               ", last confirmed " + confirmed);
+}
+
+void EndpointListLease::publish() {
+  EndpointListValidity validity;
+  validity.any_endpoint = std::max(lease_.valid_until(), configured_list_valid_until_);
+  validity.no_endpoint = lease_.pending_until();
+  context_.policy.at_now().set_endpoint_list_validity(validity);
+  if (validity.any_endpoint > context_.loop.now()) {
+    expiry_timer_.at(validity.any_endpoint);
+  } else {
+    expiry_timer_.off();
+  }
+}
+
+policy::EndpointLeaseSettings endpoint_lease_settings(const Limits& limits, const RouterSettings& settings,
+                                                      Span connect_timeout) {
+  policy::EndpointLeaseSettings lease;
+  if (settings.must_watch_endpoints)
+    lease.notified_within = std::min(lease.notified_within, settings.endpoint_poll_interval);
+  lease.drain_grace = settings.drain_grace;
+  lease.send_delay = connect_timeout + limits.max_processing_delay + limits.max_network_delay;
+  return lease;
+}
+
+}  // namespace ashbeam
--- /dev/null
+++ b/src/routing/endpoint_watch.cpp
@@ -0,0 +1,54 @@
+#include "routing/endpoint_watch.hpp"
+
+#include "base/pcg.hpp"
+
+namespace ashbeam {
+
+EndpointWatch::EndpointWatch(RouterContext& context, const std::string& discovery_address,
+                             EndpointRegistry& registry, EndpointListLease& lease, Readiness& readiness)
+    : context_(context), registry_(registry), lease_(lease), readiness_(readiness),
+      discovery_(context.loop, context.limits, discovery_address, context.detail_log, *this),
+      first_call_timer_(context.loop, [this] { watch(); }) {}
+
+void EndpointWatch::apply_configured_list(const std::string& list) {
+  if (list.empty() || discovery_.apply_line(list)) return;
+  context_.log("configured endpoint list can't be read");
+}
+
+void EndpointWatch::start(std::uint64_t seed) {
+  started_ = true;
+  first_call_timer_.in(context_.limits.max_initial_poll_delay * Pcg(seed).unit());
+}
+
+// After the callback at hand, since the decisions may ask for it in an event that the discovery client
+// brings.
+void EndpointWatch::watch() {
+  if (started_) context_.loop.post([this] { discovery_.watch(); });
+}
+
+void EndpointWatch::move_to(const std::string& discovery_address) {
+  if (discovery_address != discovery_.address()) discovery_.move_to(discovery_address);
+}
+
+void EndpointWatch::on_endpoint_list(const EndpointList& list) {
+  registry_.apply(list);
+  if (watches_ended_ > 0)
+    context_.log("discovery: watch stands again, tries " + std::to_string(watches_ended_));
+  watches_ended_ = 0;
+}
+
+void EndpointWatch::on_list_confirmed() {
+  lease_.confirmed();
+  readiness_.on_list_confirmed();
+}
+
+void EndpointWatch::on_line_begun() { lease_.line_begun(); }
+
+void EndpointWatch::on_watch_ended(const WatchEnd& end) {
+  const char* const reason = name_of(end.reason);
+  lease_.watch_lost(reason, end.refused);
+  if (watches_ended_++ == 0) context_.log(std::string("discovery: watch ") + reason);
+  if (!end.replaced) context_.policy.at_now().on_endpoint_watch_failed();
+}
+
+}  // namespace ashbeam
--- /dev/null
+++ b/src/routing/graceful_shutdown.cpp
@@ -0,0 +1,53 @@
+#include "routing/graceful_shutdown.hpp"
+
+#include <algorithm>
+#include <string>
+#include <utility>
+
+namespace ashbeam {
+
+namespace {
+
+constexpr Span kCheckInterval = Span::ms(20);
+
+}  // namespace
+
+GracefulShutdown::GracefulShutdown(RouterContext& context, ClientConnections& clients,
+                                   RequestLifecycle& requests)
+    : context_(context), clients_(clients), requests_(requests),
+      check_timer_(context.loop, [this] { check(); }) {}
+
+void GracefulShutdown::begin(std::function<void()> done) {
+  if (begun_) return;
+  begun_ = true;
+  begun_at_ = context_.loop.now();
+  done_ = std::move(done);
+  clients_.begin_shutdown();
+  check_timer_.in(context_.limits.shutdown_accept_time);
+}
+
+Instant GracefulShutdown::bound_deadline(Instant deadline) const {
+  if (!begun_) return deadline;
+  return std::min(deadline, begun_at_ + context_.limits.earliest_kill - context_.limits.kill_margin);
+}
+
+void GracefulShutdown::check() {
+  const bool closed = clients_.close_listeners();
+  clients_.close_idle();
+  const Span since_begin = context_.loop.now() - begun_at_;
+  const Span timeout = context_.limits.shutdown_timeout;
+  // Whoever still waits gets an answer, and a moment to read it.
+  if (since_begin > timeout) requests_.fail_all_unanswered();
+  const bool over = closed && requests_.empty() && clients_.empty();
+  const bool timed_out = since_begin > timeout + context_.limits.min_idle_before_close;
+  if (!over && !timed_out) return check_timer_.in(kCheckInterval);
+  finish();
+}
+
+void GracefulShutdown::finish() {
+  context_.log("idle client connections closed " + std::to_string(clients_.closed_idle()) +
+               ", crossed by a request " + std::to_string(clients_.closed_idle_with_request()));
+  done_();
+}
+
+}  // namespace ashbeam
--- /dev/null
+++ b/src/routing/header_forwarding.cpp
@@ -0,0 +1,65 @@
+#include "routing/header_forwarding.hpp"
+
+#include <algorithm>
+
+namespace ashbeam {
+
+namespace {
+
+constexpr std::string_view kPrincipalField = "X-Caller";
+
+// Of one connection, or written anew.
+constexpr std::string_view kNeverForwarded[] = {
+    "Connection", "Keep-Alive",     "Proxy-Connection", "TE",           "Upgrade",
+    "Expect",     "X-Time-Left-Ms", "X-Backend-Load",   "X-Unprocessed"};
+
+// A message's end or its identity hangs on these: a sender can't have them left out by naming them in its
+// Connection field.
+constexpr std::string_view kAlwaysForwarded[] = {"Host", "Content-Length", "Transfer-Encoding",
+                                                 "X-Correlation-Id", "Idempotency-Key"};
+
+char lower_case(char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c - 'A' + 'a') : c; }
+
+// Some endpoints take - and _ in field names for the same.
+bool same_letter(char name, char expected) {
+  return lower_case(name == '_' ? '-' : name) == lower_case(expected);
+}
+
+bool names_principal(std::string_view name) {
+  return std::equal(name.begin(), name.end(), kPrincipalField.begin(), kPrincipalField.end(), same_letter);
+}
+
+bool contains(const auto& names, std::string_view name) {
+  return std::any_of(std::begin(names), std::end(names),
+                     [name](std::string_view one) { return http::same_name(name, one); });
+}
+
+}  // namespace
+
+bool is_forwarded(const http::Head& head, std::string_view name) {
+  if (contains(kNeverForwarded, name)) return false;
+  if (contains(kAlwaysForwarded, name)) return true;
+  return !head.says("Connection", name);
+}
+
+std::string forwarded_lines(const http::Head& head) {
+  std::string lines;
+  for (const http::Field& field : head.fields()) {
+    if (is_forwarded(head, field.name)) lines += field.line;
+  }
+  return lines;
+}
+
+std::string authorized_lines(const http::Head& head, std::string_view principal, bool forward_token) {
+  const bool hide_token = !principal.empty() && !forward_token;
+  std::string lines;
+  for (const http::Field& field : head.fields()) {
+    if (!is_forwarded(head, field.name) || names_principal(field.name)) continue;
+    if (hide_token && http::same_name(field.name, "Authorization")) continue;
+    lines += field.line;
+  }
+  if (!principal.empty()) lines.append(kPrincipalField).append(": ").append(principal).append("\r\n");
+  return lines;
+}
+
+}  // namespace ashbeam
--- /dev/null
+++ b/src/routing/readiness.hpp
@@ -0,0 +1,35 @@
+// Is the router ready to serve? It is once discovery has confirmed the endpoint list: the configured list may
+// be old, and a change that discovery has told the machine counts from a process' first moment. Where
+// discovery does not answer it is ready after a while all the same, and rejects.
+#pragma once
+#include "routing/router_context.hpp"
+
+namespace ashbeam {
+
+class Readiness {
+ public:
+  explicit Readiness(RouterContext& context)
+      : context_(context), wait_timer_(context.loop, [this] { on_wait_over(); }) {}
+
+  void start() { wait_timer_.in(context_.limits.ready_without_list_after); }
+  void on_list_confirmed() {
+    if (!ready_) set_ready();
+  }
+  bool ready() const { return ready_; }
+
+ private:
+  void on_wait_over() {
+    context_.log("ready without a list from discovery");
+    set_ready();
+  }
+  void set_ready() {
+    wait_timer_.off();
+    ready_ = true;
+  }
+
+  RouterContext& context_;
+  bool ready_ = false;
+  Timer wait_timer_;
+};
+
+}  // namespace ashbeam
--- a/src/routing/release_client.hpp
+++ b/src/routing/release_client.hpp
@@ -1,68 +1,87 @@
-// The release desk: one subscribed connection that brings news and takes our votes, opened anew when it
-// breaks or falls silent. A vote is written once; what became of it is told once.
+// The connection to the release platform: subscribed to its notifications, it takes this router's votes, and
+// is opened anew with a growing backoff when it breaks or falls silent. A vote is written once; its outcome
+// is notified once.
+//
+// Order of calls: start() once, then vote() at any time; retire() ends it. No callback comes while the owner
+// is in a call to this object. Units: as in Limits. Errors: a VoteOutcome for a vote; the loss and the return
+// of the connection are logged. Source: JSON-RPC 2.0, a message a line; the protocol's release pages.
 #pragma once
+#include <cstdint>
 #include <deque>
 #include <functional>
 #include <memory>
 #include <string>
+#include <string_view>
 
 #include "base/limits.hpp"
 #include "base/pcg.hpp"
-#include "policy/router_policy.hpp"
+#include "policy/types.hpp"
 #include "protocol/lines.hpp"
 #include "transport/connection.hpp"
 #include "transport/event_loop.hpp"
 
 namespace ashbeam {
 
-class ReleaseClient : public Connection::Owner {
+class ReleaseClient : private Connection::Owner {
  public:
-  // Both say whether what came could be read; if not, its connection is of no further use.
-  using News = std::function<bool(const std::string& method, const Json& params)>;
-  using Answered = std::function<bool(VoteOutcome, const Json* state)>;  // the state comes with kTaken
-  using Note =
-      std::function<void(const std::string& what)>;  // once when it is lost, once when it stands again
-  ReleaseClient(EventLoop& loop, const Limits& limits, std::string address, std::uint64_t seed, News news,
-                Answered answered, Note note);
+  struct Callbacks {
+    // A notification. False where it can't be read, so that the connection is of no further use.
+    std::function<bool(const std::string& method, const Json& params)> on_notification;
+    // A vote's outcome, with the release's state where it is kAccepted. False as above.
+    std::function<bool(VoteOutcome outcome, const Json* state)> on_vote_outcome;
+    // Once when the connection is lost, once when it stands again.
+    std::function<void(const std::string& line)> log;
+  };
+  // `seed`: for the jitter of the backoff.
+  ReleaseClient(EventLoop& loop, const Limits& limits, std::string address, std::uint64_t seed,
+                Callbacks callbacks);
   void start() { open(); }
-  // The desk is elsewhere from now on: no more news from here and no new connection; `over`, after this
-  // returns, once every vote cast here has its answer or is given up.
-  void retire(std::function<void()> over);
-  void vote(ReleaseVersion build, unsigned stage, Vote vote);  // `answered` comes after this returns
+  void vote(ReleaseVersion version, unsigned stage, Vote vote);
+  // The platform is elsewhere from now on: no more notifications from here and no new connection. Calls
+  // `on_retired`, after this returns, once every vote cast here has its outcome.
+  void retire(std::function<void()> on_retired);
 
  private:
   struct Call {
     std::uint64_t id = 0;
-    bool vote = false;  // false too once its answer is given up
-    Instant until;
+    bool awaits_outcome = false;  // of a vote; false too once its answer is given up
+    Instant deadline;
   };
+  enum class CallKind : std::uint8_t { kSubscribe, kVote };
+  enum class LossReason : std::uint8_t { kEnded, kSilent, kUnreadable };
+  static const char* name_of(LossReason reason);
+
+  // Connection::Owner.
   void on_connected() override;
   void on_data() override;
-  void on_closed() override { lost("ended"); }
+  void on_closed() override { on_lost(LossReason::kEnded); }
+
   void open();
-  void drop();
-  void lost(const char* why);
-  void call(const char* method, const std::string& params, bool vote);
-  bool line(std::string_view text);
-  bool answer(const Json& whole);
-  void check();
-  void end_if_retired();
+  void close();
+  void on_lost(LossReason reason);
+  void call(const char* method, const std::string& params, CallKind kind);
+  bool on_line(std::string_view line);
+  bool on_answer(const Json& answer);
+  void on_established();
+  void give_up_overdue_calls();
+  void finish_if_retired();
+
   EventLoop& loop_;
   const Limits& limits_;
   std::string address_;
-  Pcg chance_;
-  News news_;
-  Answered answered_;
-  Note note_;
+  Pcg random_;
+  Callbacks callbacks_;
   std::unique_ptr<Connection> connection_;
   Lines lines_;
-  std::deque<Call> calls_;  // written, not answered
-  std::uint64_t next_id_ = 1;
-  bool opened_ = false;
-  unsigned tries_ = 0;  // since it was lost
-  Span wait_;
-  std::function<void()> over_;  // once it is retired
-  Timer silence_, again_, answers_;
+  std::deque<Call> calls_;  // written, not answered; the oldest first
+  std::uint64_t next_call_id_ = 1;
+  bool connected_ = false;
+  unsigned failed_tries_ = 0;  // since it was lost
+  Span backoff_;
+  std::function<void()> on_retired_;  // set once it is retired
+  Timer silence_timer_;
+  Timer reconnect_timer_;
+  Timer answer_timer_;
 };
 
 }  // namespace ashbeam
--- /dev/null
+++ b/src/routing/request_authorization.cpp
@@ -0,0 +1,91 @@
+#include "routing/request_authorization.hpp"
+
+#include <string>
+#include <utility>
+
+#include "routing/retry_after.hpp"
+
+namespace ashbeam {
+
+namespace {
+
+constexpr Span kLogInterval = Span::s(1);
+
+std::string challenge_line(calling::Refusal reason) {
+  if (reason == calling::Refusal::kMissing) return "WWW-Authenticate: Bearer\r\n";
+  const std::string word(calling::word_of(reason));
+  return "WWW-Authenticate: Bearer error=\"invalid_token\", error_description=\"" + word + "\"\r\n";
+}
+
+}  // namespace
+
+RequestAuthorization::RequestAuthorization(RouterContext& context)
+    : context_(context), log_timer_(context.loop, [this] { log_refusals(); }) {}
+
+void RequestAuthorization::enable(std::unique_ptr<calling::Authorizer> authorizer, bool forward_token) {
+  authorizer_ = std::move(authorizer);
+  forward_token_ = forward_token;
+}
+
+const calling::Identity* RequestAuthorization::identify(ClientConnection& client, const http::Head& head,
+                                                        Instant now) {
+  const TlsStream::PeerProof proof = client.proof(now);
+  if (proof.refused) {
+    client.close_after_answer();
+    refuse(client, calling::Refusal::kCertificate, Span());
+    return nullptr;
+  }
+  if (!authorizer_) return &identity_;
+  calling::Asked asked;
+  asked.authorization = head.find("Authorization").value_or("");
+  asked.twice = head.count("Authorization") > 1 || head.count("X-Account") > 1;
+  asked.account = head.find("X-Account").value_or("");
+  asked.certificate = proof.certificate;
+  Span retry_after;
+  const calling::Refusal reason =
+      authorizer_->identify(asked, client.presence, context_.loop.now(), identity_, retry_after);
+  if (reason == calling::Refusal::kNone) return &identity_;
+  refuse(client, reason, retry_after);
+  return nullptr;
+}
+
+bool RequestAuthorization::admit(ClientConnection& client, const calling::Identity& identity,
+                                 unsigned request_class, calling::AdmissionToken& token) {
+  if (!authorizer_) return true;
+  Span retry_after;
+  const calling::Refusal reason =
+      authorizer_->let_in(identity, request_class, context_.loop.now(), token, retry_after);
+  if (reason == calling::Refusal::kNone) return true;
+  refuse(client, reason, retry_after);
+  return false;
+}
+
+void RequestAuthorization::release(const calling::AdmissionToken& token) {
+  if (authorizer_) authorizer_->ended(token);
+}
+
+void RequestAuthorization::refuse(ClientConnection& client, calling::Refusal reason, Span retry_after) {
+  if (authorizer_ && !log_timer_.armed()) log_timer_.in(kLogInterval);
+  const std::string refused_line = "X-Refused: " + std::string(calling::word_of(reason)) + "\r\n";
+  const unsigned status = calling::status_of(reason);
+  if (status == 403) return client.answer_plain(status, refused_line);
+  if (status == 401) return client.answer_plain(status, challenge_line(reason));
+  // A millisecond more than the wait, which is cut to whole ones.
+  const Span rounded_up = Span::us((retry_after.us() / 1000 + 1) * 1000);
+  client.answer_plain(429, retry_after_line(rounded_up) + refused_line);
+}
+
+void RequestAuthorization::log_refusals() {
+  std::string counts;
+  for (std::size_t i = 1; i < kReasons; ++i) {
+    const auto reason = static_cast<calling::Refusal>(i);
+    const std::uint64_t refused = authorizer_->refused(reason) - logged_refusals_[i];
+    if (refused == 0) continue;
+    logged_refusals_[i] += refused;
+    if (!counts.empty()) counts += ", ";
+    counts.append(calling::word_of(reason)).append(" ").append(std::to_string(refused));
+  }
+  context_.log("calling: refused within 1 s: " + counts);
+}
+
+}  // namespace ashbeam
--- /dev/null
+++ b/src/routing/request_lifecycle.cpp
@@ -0,0 +1,222 @@
+#include "routing/request_lifecycle.hpp"
+
+#include <algorithm>
+#include <utility>
+
+#include "routing/attempt_result.hpp"
+#include "routing/header_forwarding.hpp"
+#include "routing/retry_after.hpp"
+
+namespace ashbeam {
+
+namespace {
+
+constexpr unsigned kOkStatus = 200;
+constexpr unsigned kNotFoundStatus = 404;
+constexpr unsigned kBadGatewayStatus = 502;
+constexpr unsigned kUnavailableStatus = 503;
+constexpr unsigned kGatewayTimeoutStatus = 504;
+
+std::string refused_line(const MetadataRequest& metadata) {
+  return "X-Refused: " + metadata.refusal + "\r\n";
+}
+
+}  // namespace
+
+RequestLifecycle::RequestLifecycle(RouterContext& context, EndpointPools& pools, EndpointRegistry& registry,
+                                   EndpointListLease& lease, RequestAuthorization& authorization,
+                                   MetadataCheck& metadata)
+    : context_(context), pools_(pools), registry_(registry), lease_(lease), authorization_(authorization),
+      metadata_(metadata), local_failures_(context) {}
+
+// ---- Accepted ----
+
+RequestId RequestLifecycle::accept(ClientConnection& client, AcceptedRequest accepted) {
+  const RequestId id = requests_.take();
+  Request& request = requests_[id];
+  ++count_;
+  request.accepted = std::move(accepted);
+  request.in_use = true;
+  request.client = &client;
+  client.request = id;
+  client.set_answer_deadline(request.accepted.deadline + context_.limits.overdue_answer_delay);
+  return id;
+}
+
+// ---- Attempts ----
+
+void RequestLifecycle::send_attempt(RequestId id, EndpointIndex endpoint) {
+  Request& request = requests_[id];
+  const Instant now = context_.loop.now();
+  const Instant until = request.accepted.deadline;
+  const auto attempt = static_cast<unsigned>(request.attempts.size());
+  log_attempt_begin(id, attempt, endpoint, until - now);
+  request.attempts.push_back({endpoint, now, nullptr});
+  ++request.attempts_in_flight;
+  registry_.attempt_began(endpoint);
+  const auto make_bytes = [this, id](Instant end) { return attempt_bytes(id, end); };
+  const auto on_end = [this, id, attempt](AttemptResult result, const http::Messages* answer) {
+    on_attempt_end(id, attempt, result, answer);
+  };
+  request.attempts.back().connection = pools_.send(endpoint, make_bytes, until, on_end);
+}
+
+// The time left is that when the connection is open, which may be long after the decision.
+std::string RequestLifecycle::attempt_bytes(RequestId id, Instant until) {
+  const AcceptedRequest& request = requests_[id].accepted;
+  const std::int64_t left_ms = std::max<std::int64_t>(0, (until - context_.loop.now()).us() / 1000);
+  return request.head + "X-Time-Left-Ms: " + std::to_string(left_ms) + "\r\n\r\n" + request.body;
+}
+
+void RequestLifecycle::log_attempt_begin(RequestId id, unsigned attempt, EndpointIndex endpoint,
+                                         Span time_left) {
+  context_.detail_log.line(LogTopic::kRequests, context_.loop.now(),
+                           "request %u attempt %u to endpoint %u at %s, release %.0f, waits %.0f ms at most",
+                           id, attempt, endpoint, registry_.address(endpoint).c_str(),
+                           registry_.version(endpoint), time_left.ms());
+}
+
+void RequestLifecycle::cancel_attempt(RequestId id, unsigned attempt) {
+  Request& request = requests_[id];
+  if (attempt >= request.attempts.size()) return;
+  if (auto* const connection = std::exchange(request.attempts[attempt].connection, nullptr))
+    pools_.cancel(connection);
+}
+
+void RequestLifecycle::on_attempt_end(RequestId id, unsigned attempt, AttemptResult result,
+                                      const http::Messages* answer) {
+  const Attempt ended = take_ended(id, attempt);
+  const EndpointIndex endpoint = ended.endpoint;
+  const Span duration = context_.loop.now() - ended.sent_at;
+  if (result == AttemptResult::kLocalFailure) local_failures_.on_failure();
+  if (result == AttemptResult::kOk)
+    lease_.on_endpoint_answered(endpoint, ended.sent_at, EndpointPools::opened_at(ended.connection));
+  context_.detail_log.line(LogTopic::kRequests, context_.loop.now(),
+                           "request %u attempt %u to endpoint %u ended: %s, after %.1f ms", id, attempt,
+                           endpoint, name_of(result), duration.ms());
+  const CheckedAnswer checked = check_metadata(requests_[id], endpoint, result, answer);
+  const bool ok = checked.result == AttemptResult::kOk;
+  const bool answered_client = ok && answer_client(id, checked.status, *answer);
+  const std::uint64_t sticky_key = requests_[id].accepted.sticky_key;
+  if (ok && sticky_key != 0) cancel_unsent_to_older(sticky_key, registry_.version(endpoint));
+  context_.policy.at_now().on_attempt_end({id, attempt, endpoint, checked.result, duration, answered_client});
+  release_if_over(id);
+}
+
+RequestLifecycle::Attempt RequestLifecycle::take_ended(RequestId id, unsigned attempt) {
+  Request& request = requests_[id];
+  const Attempt ended = request.attempts[attempt];
+  request.attempts[attempt].connection = nullptr;
+  --request.attempts_in_flight;
+  registry_.attempt_ended(ended.endpoint);
+  return ended;
+}
+
+RequestLifecycle::CheckedAnswer RequestLifecycle::check_metadata(Request& request, EndpointIndex endpoint,
+                                                                 AttemptResult result,
+                                                                 const http::Messages* answer) {
+  MetadataRequest* const metadata = request.accepted.metadata.get();
+  if (!metadata || !answer) return {result, kOkStatus};
+  if (metadata->is_end_of_roots(result, *answer)) return {AttemptResult::kOk, kNotFoundStatus};
+  if (result == AttemptResult::kOk && !metadata_.passes(*metadata, *answer, registry_.address(endpoint)))
+    return {AttemptResult::kError, kOkStatus};
+  return {result, kOkStatus};
+}
+
+bool RequestLifecycle::answer_client(RequestId id, unsigned status, const http::Messages& answer) {
+  ClientConnection* const client = take_client(id);
+  if (!client) return false;
+  std::string fields = forwarded_lines(answer.head());
+  if (answer.body_by_stream_end())
+    fields += "Content-Length: " + std::to_string(answer.raw_body().size()) + "\r\n";
+  client->answer(status, fields, answer.raw_body());
+  return true;
+}
+
+// A sticky key must not go back to an older version: an attempt there that still waits for its connection
+// when a newer version answers would arrive after that answer. It has never run, and is decided anew.
+void RequestLifecycle::cancel_unsent_to_older(std::uint64_t sticky_key, double version) {
+  for (RequestId id = 0; id < requests_.places(); ++id) {
+    Request& request = requests_[id];
+    if (!request.in_use || request.accepted.sticky_key != sticky_key) continue;
+    for (Attempt& attempt : request.attempts) {
+      const bool older = attempt.connection && registry_.version(attempt.endpoint) < version;
+      // The decisions may cancel it, too, before its end is notified: it has no connection then.
+      if (older && pools_.cancel_if_unsent(attempt.connection)) attempt.connection = nullptr;
+    }
+  }
+}
+
+// ---- Final answers ----
+
+void RequestLifecycle::reject(RequestId id, Span retry_after) {
+  const std::string fields = retry_after > Span() ? retry_after_line(retry_after) : std::string();
+  const MetadataRequest* const metadata = requests_[id].accepted.metadata.get();
+  // A file that no endpoint had in a good form is no lack of capacity.
+  if (metadata && !metadata->refusal.empty())
+    return answer_without_attempt(id, kBadGatewayStatus, fields + refused_line(*metadata));
+  answer_without_attempt(id, kUnavailableStatus, fields);
+}
+
+void RequestLifecycle::fail(RequestId id) {
+  const MetadataRequest* const metadata = requests_[id].accepted.metadata.get();
+  const bool refused = metadata && !metadata->refusal.empty();
+  answer_without_attempt(id, kBadGatewayStatus, refused ? refused_line(*metadata) : std::string());
+}
+
+// The request is released after the callback at hand: the decisions may still name it in that.
+void RequestLifecycle::answer_without_attempt(RequestId id, unsigned status, std::string_view fields) {
+  context_.detail_log.line(LogTopic::kRequests, context_.loop.now(),
+                           "request %u answered %u without an endpoint's answer, endpoint list %s", id,
+                           status, policy::name_of(lease_.state()));
+  if (ClientConnection* const client = take_client(id)) client->answer_plain(status, fields);
+  context_.loop.post([this, id] { release_if_over(id); });
+}
+
+ClientConnection* RequestLifecycle::take_client(RequestId id) {
+  ClientConnection* const client = std::exchange(requests_[id].client, nullptr);
+  if (client) client->request.reset();
+  return client;
+}
+
+// ---- Ends without an answer of the decisions ----
+
+void RequestLifecycle::on_client_closed(ClientConnection& client) {
+  if (!client.request) return;
+  const RequestId id = *client.request;
+  context_.detail_log.line(LogTopic::kRequests, context_.loop.now(), "request %u: its client closed", id);
+  take_client(id);
+  disconnect(id);
+}
+
+void RequestLifecycle::on_answer_overdue(ClientConnection& client) {
+  if (client.request) fail_overdue(*client.request);
+}
+
+void RequestLifecycle::fail_all_unanswered() {
+  for (RequestId id = 0; id < requests_.places(); ++id) {
+    if (requests_[id].in_use && requests_[id].client) fail_overdue(id);
+  }
+}
+
+void RequestLifecycle::fail_overdue(RequestId id) {
+  context_.log("request overdue: answered with an error");
+  if (ClientConnection* const client = take_client(id)) client->answer_plain(kGatewayTimeoutStatus);
+  disconnect(id);
+}
+
+void RequestLifecycle::disconnect(RequestId id) {
+  context_.policy.at_now().on_client_disconnect(id);
+  release_if_over(id);
+}
+
+void RequestLifecycle::release_if_over(RequestId id) {
+  Request& request = requests_[id];
+  if (!request.in_use || request.client || request.attempts_in_flight > 0) return;
+  --count_;
+  authorization_.release(request.accepted.admission);
+  request = Request{};
+  requests_.give_back(id);
+}
+
+}  // namespace ashbeam
--- /dev/null
+++ b/src/routing/request_parser.cpp
@@ -0,0 +1,96 @@
+#include "routing/request_parser.hpp"
+
+#include <xxhash.h>
+
+#include <algorithm>
+#include <charconv>
+
+namespace ashbeam {
+
+namespace {
+
+constexpr double kMaxTimeLeftMs = 3.6e6;
+constexpr double kMaxNumericKey = 1.8e19;  // below 2^64
+
+constexpr std::string_view kIdField = "X-Correlation-Id";
+constexpr std::string_view kTimeLeftField = "X-Time-Left-Ms";
+constexpr std::string_view kIdempotencyKeyField = "Idempotency-Key";
+constexpr std::string_view kSessionKeyField = "X-Session-Key";
+
+// Fields that decisions hang on. Where one stands twice, an endpoint might read the other one.
+constexpr std::string_view kSingleFields[] = {kIdField, "X-Account", kTimeLeftField, kIdempotencyKeyField,
+                                              kSessionKeyField};
+
+bool has_required_fields(const http::Head& head, Idempotency idempotency, std::size_t max_id_bytes) {
+  for (const std::string_view name : kSingleFields) {
+    if (head.count(name) > 1) return false;
+  }
+  const std::string_view id = head.find(kIdField).value_or("");
+  if (id.empty() || id.size() > max_id_bytes) return false;
+  if (!head.find(kTimeLeftField)) return false;
+  return idempotency != Idempotency::kKeyed || !head.find(kIdempotencyKeyField).value_or("").empty();
+}
+
+std::optional<double> number_of(std::string_view text) {
+  double value = 0;
+  const char* const end = text.data() + text.size();
+  const auto [parsed_to, error] = std::from_chars(text.data(), end, value);
+  if (error != std::errc() || parsed_to != end) return std::nullopt;
+  return value;
+}
+
+// Calls back with each name=value of a comma-separated list whose value is a number.
+template <class Callback>
+void for_each_number(std::string_view list, Callback&& callback) {
+  http::each_listed(list, [&](std::string_view item) {
+    const std::size_t equals = item.find('=');
+    if (equals == std::string_view::npos) return;
+    if (const auto value = number_of(item.substr(equals + 1))) callback(item.substr(0, equals), *value);
+  });
+}
+
+}  // namespace
+
+std::string_view path_of(const http::Head& head) {
+  const std::string_view target = head.word(1);
+  return target.substr(0, target.find('?'));
+}
+
+std::variant<RequestParameters, RequestError> parse_request(const http::Messages& request,
+                                                            const std::vector<RequestClassRule>& rules,
+                                                            std::size_t max_request_id_bytes) {
+  const http::Head& head = request.head();
+  const std::string_view path = path_of(head).substr(1);
+  const std::string_view class_name = path.substr(0, path.find('/'));
+  const auto rule = std::find_if(rules.begin(), rules.end(),
+                                 [&](const RequestClassRule& one) { return one.name == class_name; });
+  if (rule == rules.end()) return RequestError{404, {}};
+  const bool idempotent = rule->idempotency == Idempotency::kIdempotent;
+  const std::string_view method = idempotent ? "GET" : "POST";
+  if (head.word(0) != method) return RequestError{405, method};
+  if (!has_required_fields(head, rule->idempotency, max_request_id_bytes)) return RequestError{400, {}};
+  const auto time_left_ms = http::whole_number(*head.find(kTimeLeftField));
+  if (!time_left_ms) return RequestError{400, {}};
+  // An endpoint might take the body of an idempotent request for the next request.
+  if (idempotent && !request.raw_body().empty()) return RequestError{400, {}};
+  RequestParameters parameters;
+  parameters.request_class = static_cast<unsigned>(rule - rules.begin());
+  parameters.time_left = Span::ms(std::min(static_cast<double>(*time_left_ms), kMaxTimeLeftMs));
+  return parameters;
+}
+
+std::uint64_t sticky_key_of(const http::Head& head, bool sticky_sessions) {
+  std::uint64_t key = 0;
+  const auto session = sticky_sessions ? head.find(kSessionKeyField) : std::nullopt;
+  // Decisions need only know a key again; 0 means none.
+  if (session && !session->empty()) key = XXH3_64bits(session->data(), session->size()) | 1U;
+  if (const auto facts = head.find("X-Facts")) {
+    for_each_number(*facts, [&](std::string_view name, double value) {
+      if (name == "targetKey" && value >= 1 && value < kMaxNumericKey)
+        key = static_cast<std::uint64_t>(value);
+    });
+  }
+  return key;
+}
+
+}  // namespace ashbeam
--- /dev/null
+++ b/src/routing/retry_after.hpp
@@ -0,0 +1,17 @@
+// The Retry-After line of a rejection: in seconds with three decimals, which the protocol allows beyond
+// RFC 9110, section 10.2.3.
+#pragma once
+#include <cstdio>
+#include <string>
+
+#include "base/time.hpp"
+
+namespace ashbeam {
+
+inline std::string retry_after_line(Span retry_after) {
+  char line[48];
+  std::snprintf(line, sizeof line, "Retry-After: %.3f\r\n", retry_after.s());
+  return line;
+}
+
+}  // namespace ashbeam
--- a/tests/access_config_loader_test.cpp
+++ b/tests/access_config_loader_test.cpp
@@ -155,7 +155,8 @@
   keys({});
   service_ = std::make_unique<Service>(
       loop_, limits_, terms_, door_,
-      Site{"n", "127.0.0.1:0", discovery_.address(), desk_.address(), 7, "", ""}, [](std::string_view) {});
+      InstanceSettings{"n", "127.0.0.1:0", discovery_.address(), desk_.address(), 7, "", ""},
+      [](std::string_view) {});
   EXPECT_THROW(
       AccessConfigLoader(loop_, *service_, door_, terms_, folder_.at("o.cue"), 7, [](std::string_view) {}),
       OperatorsError);
--- a/tests/calling_door_test.cpp
+++ b/tests/calling_door_test.cpp
@@ -17,7 +17,7 @@
     before_start_ = [this, keys] {
       auto gate = std::make_unique<Authorizer>(calling_, 7, loop_.now());
       gate->keys(keys, loop_.now());
-      service_->guard(std::move(gate), token_goes_on_);
+      service_->set_authorizer(std::move(gate), token_goes_on_);
     };
     begin(all_hosts());
   }
@@ -120,8 +120,8 @@
     usleep(20000);
     auto old = signer_.listed();
     old.revoked = revoked;
-    run_on_loop([&] { service_->gate()->keys(std::vector{next.listed(), old}, loop_.now()); });
-    if (!revoked) run_on_loop([&] { service_->gate()->keys(std::vector{next.listed()}, loop_.now()); });
+    run_on_loop([&] { service_->authorizer()->keys(std::vector{next.listed(), old}, loop_.now()); });
+    if (!revoked) run_on_loop([&] { service_->authorizer()->keys(std::vector{next.listed()}, loop_.now()); });
     c.say(request.substr(request.size() - 2));
     Stream h = forward(revoked ? 100 : 1000);
     EXPECT_EQ(h.message(100).empty(), revoked);
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -283,7 +283,7 @@
   run_on_loop([] {});
   stop();
   thread_.join();
-  EXPECT_TRUE(noted("idle clients let go 1, crossed by a request 1"));
+  EXPECT_TRUE(noted("idle client connections closed 1, crossed by a request 1"));
 }
 
 // ---- Settings ----
@@ -312,11 +312,11 @@
   }
   stop();
   thread_.join();
-  EXPECT_TRUE(noted("list: 'x' is not in the settings' zones") &&
-              noted("list: 'n' is not in the settings' kinds"));
-  EXPECT_EQ(
-      std::count_if(notes_.begin(), notes_.end(), [](const auto& n) { return n.starts_with("list: 'n'"); }),
-      1);
+  EXPECT_TRUE(noted("endpoint list: 'x' is not in the settings' zones") &&
+              noted("endpoint list: 'n' is not in the settings' machine types"));
+  EXPECT_EQ(std::count_if(notes_.begin(), notes_.end(),
+                          [](const auto& n) { return n.starts_with("endpoint list: 'n'"); }),
+            1);
 }
 
 // What hosts remember for less long than a forward may wait for its connection is never sent there again.
--- a/tests/metadata_verifier_test.cpp
+++ b/tests/metadata_verifier_test.cpp
@@ -117,7 +117,7 @@
   Publisher repository_{loop_.now() + Span::s(86400)};
   void open() {
     before_start_ = [this] {
-      service_->watch_metadata(std::make_unique<MetadataVerifier>(
+      service_->set_metadata_verifier(std::make_unique<MetadataVerifier>(
           std::vector<RepositorySettings>{{"/look/u/", repository_.root(), Span()}}, 100));
     };
     begin(all_hosts());
--- a/tests/router_test.cpp
+++ b/tests/router_test.cpp
@@ -269,7 +269,7 @@
   d.say(list(entry(0, "removed"), 42) + "\n");
   for (int rev = 43; rev < 60; ++rev) come_and_go(rev);
   usleep(100000);
-  EXPECT_EQ(service_->host_places(), 2U);  // the first still has a forward out
+  EXPECT_EQ(service_->endpoint_slots(), 2U);  // the first still has a forward out
   h.say(kOk);
   EXPECT_EQ(status_of(c.message()), 200U);
   d.say(list(entry(1), 60) + "\n");
@@ -456,9 +456,9 @@
   };
   EXPECT_TRUE(noted("build 2 stage 1 phase 0 cap 0.280"));
   EXPECT_TRUE(noted("build 2 stage 1 phase 1 cap 0.000"));
-  EXPECT_TRUE(noted("desk: a state that can't be read"));
-  EXPECT_TRUE(noted("desk: news that can't be used is passed over: NEW"));
-  EXPECT_TRUE(noted("list: an entry with no id or an unknown state"));
+  EXPECT_TRUE(noted("release platform: a state that can't be read"));
+  EXPECT_TRUE(noted("release platform: a notification that can't be used is ignored: NEW"));
+  EXPECT_TRUE(noted("endpoint list: an entry with no id or an unknown state"));
 }
 
 TEST_F(RouterTest, ToldToStopItAnswersWhatComesAndEnds) {
@@ -592,17 +592,17 @@
   std::vector<VoteOutcome> answers_;
   std::vector<std::string> news_;
   void run(const std::function<void(ReleaseClient&)>& first, const std::function<bool()>& until) {
-    ReleaseClient desk(
-        loop_, limits_, door_.address(), 3,
-        [this](const std::string& method, const Json& params) {
-          news_.push_back(method + std::string(params.raw()));
-          return true;
-        },
-        [this](VoteOutcome a, const Json* state) {
-          answers_.push_back(a);
-          return !state || state->is_object();
-        },
-        [](const std::string&) {});
+    ReleaseClient::Callbacks callbacks;
+    callbacks.on_notification = [this](const std::string& method, const Json& params) {
+      news_.push_back(method + std::string(params.raw()));
+      return true;
+    };
+    callbacks.on_vote_outcome = [this](VoteOutcome outcome, const Json* state) {
+      answers_.push_back(outcome);
+      return !state || state->is_object();
+    };
+    callbacks.log = [](const std::string&) {};
+    ReleaseClient desk(loop_, limits_, door_.address(), 3, callbacks);
     desk.start();
     int rounds = 0;
     Timer look(loop_, [&] {
@@ -716,7 +716,7 @@
   EXPECT_NE(
       complaint(R"({"discovery":"10.1",)" + rest + R"("1.2.3.4:5"}})").find("'discovery' is no numeric"),
       std::string::npos);
-  EXPECT_EQ(start_from(R"({"discovery":"1.2.3.4:6",)" + rest + R"("1.2.3.4:5"}})", {}).site.discovery,
+  EXPECT_EQ(start_from(R"({"discovery":"1.2.3.4:6",)" + rest + R"("1.2.3.4:5"}})", {}).site.discovery_address,
             "1.2.3.4:6");
   try {
     read_start([](const char*) -> const char* { return nullptr; });
--- a/tests/router_world.hpp
+++ b/tests/router_world.hpp
@@ -179,15 +179,16 @@
     const std::string news = R"({"image":1,"ring":0,"progress":"released","ceiling":1,"lag_ms":99000})";
     service_ = std::make_unique<Service>(
         loop_, limits_, terms_, door_,
-        Site{"n", "127.0.0.1:0", discovery_.address(), desk_.address(), 7, known, news},
+        InstanceSettings{"n", "127.0.0.1:0", discovery_.address(), desk_.address(), 7, known, news},
         [this](std::string_view line) { notes_.emplace_back(line); });
     if (before_start_) before_start_();
     service_->start();
     thread_ = std::thread([this] {
       Timer look(loop_, [&] {
-        if (const char* const to = new_desk_.exchange(nullptr)) service_->move_to(new_discovery_, to);
+        if (const char* const to = new_desk_.exchange(nullptr))
+          service_->change_addresses(new_discovery_, to);
         if (on_loop_asked_) on_loop_(), on_loop_asked_ = false;
-        if (stopping_) service_->wind_down([this] { wound_down_ = true, loop_.stop(); });
+        if (stopping_) service_->shut_down([this] { wound_down_ = true, loop_.stop(); });
         look.in(Span::ms(5));
       });
       look.in(Span());
--- a/tests/tls_test.cpp
+++ b/tests/tls_test.cpp
@@ -67,12 +67,13 @@
                             Span::ms(250),           Span::s(20)};
     RouterSettings terms = default_settings();
     terms.router_count = 1, terms.zone_count = 1;
-    service_ = std::make_unique<Service>(loop_, limits_, terms, door,
-                                         Site{"n", "127.0.0.1:0", discovery_->address(), desk_->address(), 7,
-                                              discovery_->list(), desk_->news()},
-                                         [this](std::string_view line) { notes_.emplace_back(line); });
-    service_->also_listen(tls_, std::make_shared<TlsCredentials>(tls_, files_));
-    service_->guard(std::make_unique<calling::Authorizer>(calling_, 7, loop_.now()), false);
+    service_ =
+        std::make_unique<Service>(loop_, limits_, terms, door,
+                                  InstanceSettings{"n", "127.0.0.1:0", discovery_->address(),
+                                                   desk_->address(), 7, discovery_->list(), desk_->news()},
+                                  [this](std::string_view line) { notes_.emplace_back(line); });
+    service_->listen_with_tls(tls_, std::make_shared<TlsCredentials>(tls_, files_));
+    service_->set_authorizer(std::make_unique<calling::Authorizer>(calling_, 7, loop_.now()), false);
     service_->start();
     theirs_.enable_posts_from_threads();
     loop_.enable_posts_from_threads();
@@ -107,7 +108,8 @@
     over.wait();
   }
   void take() {
-    on(loop_, [this] { service_->tls()->take(tls_, std::make_shared<TlsCredentials>(tls_, files_)); });
+    on(loop_,
+       [this] { service_->tls_acceptor()->take(tls_, std::make_shared<TlsCredentials>(tls_, files_)); });
   }
   std::string address() const { return "127.0.0.1:" + std::to_string(service_->tls_port()); }
   std::shared_ptr<ClientTls> tls(const fakes::Identity* id, bool resume = false, int newest = 0x0304,
