--- a/src/routing/client_connections.cpp
+++ b/src/routing/client_connections.cpp
@@ -82,7 +82,7 @@
   for (const auto& connection : connections_) {
     if (!may_be_evicted(*connection, now)) continue;
     const EvictionRank rank = eviction_rank(*connection);
-    if (candidate && rank >= candidate_rank) continue;
+    if (candidate && !rank.before(candidate_rank)) continue;
     const bool lingering = connection->state_ == ClientConnection::State::kLingering;
     if (!lingering && !connection->connection_.quiet()) continue;
     candidate = connection.get();
--- a/src/routing/client_connections.hpp
+++ b/src/routing/client_connections.hpp
@@ -61,7 +61,9 @@
   struct EvictionRank {
     bool kept_alive = false;  // has had an answer, and waits for the next request
     Instant since;
-    auto operator<=>(const EvictionRank&) const = default;
+    bool before(const EvictionRank& other) const {
+      return kept_alive == other.kept_alive ? since < other.since : !kept_alive;
+    }
   };
 
   void on_accept(int fd, bool with_tls);
--- a/src/routing/release_client.cpp
+++ b/src/routing/release_client.cpp
@@ -55,7 +55,9 @@
 // A vote without an answer may have been accepted, or may yet be: its answer is not waited for any more.
 void ReleaseClient::give_up_overdue_calls() {
   Instant next_deadline = Instant::never();
-  for (std::size_t i = 0; i < calls_.size(); ++i) {  // by index: the owner may vote again meanwhile
+  // By index: the owner may vote again meanwhile, which adds a call.
+  // NOLINTNEXTLINE(modernize-loop-convert): iterators would be invalidated by that.
+  for (std::size_t i = 0; i < calls_.size(); ++i) {
     Call& call = calls_[i];
     if (!call.awaits_outcome) continue;
     if (call.deadline > loop_.now()) {
