--- a/tests/access_config_loader_test.cpp
+++ b/tests/access_config_loader_test.cpp
@@ -11,7 +11,7 @@
 #include "metadata/publisher.hpp"
 #include "program/commands.hpp"
 #include "program/log_sink.hpp"
-#include "router_world.hpp"
+#include "router_fixture.hpp"
 #include "store/files.hpp"
 
 namespace ashbeam {
@@ -48,21 +48,22 @@
   void open() {
     before_start_ = [this] {
       guardian_ = std::make_unique<AccessConfigLoader>(
-          loop_, *service_, door_, terms_, folder_.at("o.cue"), 7,
+          loop_, *service_, wire_settings_, settings_, folder_.at("o.cue"), 7,
           [this](std::string_view line) { told_.emplace_back(line), ++noted_; });
     };
-    begin(all_hosts());
+    start_router(all_endpoints());
   }
   void TearDown() override {
     RouterTest::TearDown();
     guardian_.reset();
   }
   unsigned ask(const Signer& signer) {
-    Stream c = client();
-    c.say(get(1500, "Authorization: Bearer " + signer.token("shop", "r", loop_.now(), Span::s(60)) + "\r\n"));
-    Stream h = forward(100);
-    if (h.fd >= 0 && !h.message().empty()) h.say(kOk);
-    return status_of(c.message());
+    Stream c = connect_client();
+    c.send(
+        get(1500, "Authorization: Bearer " + signer.token("shop", "r", loop_.now(), Span::s(60)) + "\r\n"));
+    Stream h = take_attempt(100);
+    if (h.fd >= 0 && !h.read_message().empty()) h.send(kOkAnswer);
+    return status_of(c.read_message());
   }
   void settle() const { usleep(350000); }  // a few looks at the folder
   bool told(const std::string& part) const {
@@ -154,12 +155,12 @@
   file(", path_groups: [\"lok\"]");
   keys({});
   service_ = std::make_unique<Service>(
-      loop_, limits_, terms_, door_,
-      InstanceSettings{"n", "127.0.0.1:0", discovery_.address(), desk_.address(), 7, "", ""},
+      loop_, limits_, settings_, wire_settings_,
+      InstanceSettings{"n", "127.0.0.1:0", discovery_.address(), release_platform_.address(), 7, "", ""},
       [](std::string_view) {});
-  EXPECT_THROW(
-      AccessConfigLoader(loop_, *service_, door_, terms_, folder_.at("o.cue"), 7, [](std::string_view) {}),
-      OperatorsError);
+  EXPECT_THROW(AccessConfigLoader(loop_, *service_, wire_settings_, settings_, folder_.at("o.cue"), 7,
+                                  [](std::string_view) {}),
+               OperatorsError);
   service_.reset();
 }
 
--- a/tests/calling_door_test.cpp
+++ b/tests/calling_door_test.cpp
@@ -1,6 +1,6 @@
 // Who is calling, at the router's own door: tokens on plain connections, and what hosts are told.
 #include "calling_helpers.hpp"
-#include "router_world.hpp"
+#include "router_fixture.hpp"
 
 namespace ashbeam {
 namespace {
@@ -19,7 +19,7 @@
       gate->keys(keys, loop_.now());
       service_->set_authorizer(std::move(gate), token_goes_on_);
     };
-    begin(all_hosts());
+    start_router(all_endpoints());
   }
   Instant now() const { return loop_.now(); }
   std::string bearer(const std::string& subject, const std::string& more = "") const {
@@ -27,13 +27,13 @@
   }
   // Sends it, serves it if it comes to a host, and returns the answer; `seen` is what the host saw.
   std::string serve(const std::string& request, std::string* seen = nullptr) {
-    Stream c = client();
-    c.say(request);
-    Stream h = forward(150);
-    const std::string got = h.fd >= 0 ? h.message() : "";
+    Stream c = connect_client();
+    c.send(request);
+    Stream h = take_attempt(150);
+    const std::string got = h.fd >= 0 ? h.read_message() : "";
     if (seen) *seen = got;
-    if (!got.empty()) h.say(kOk);
-    return c.message();
+    if (!got.empty()) h.send(kOkAnswer);
+    return c.read_message();
   }
 };
 
@@ -91,17 +91,17 @@
   calling_.tenants[0].each = {0, 1, 1};
   open({signer_.listed()});
   for (int i = 0; i < 3; ++i) {
-    Stream first = client();
-    first.say(get(1500, bearer("r")));
-    Stream h = forward();
-    ASSERT_FALSE(h.message().empty()) << i;
-    EXPECT_EQ(status_of(ask(get(1500, bearer("r")))), 429U) << i;
-    if (i == 1) first.shut();  // the client leaves
-    else h.say(kOk);
+    Stream first = connect_client();
+    first.send(get(1500, bearer("r")));
+    Stream h = take_attempt();
+    ASSERT_FALSE(h.read_message().empty()) << i;
+    EXPECT_EQ(status_of(answer_to(get(1500, bearer("r")))), 429U) << i;
+    if (i == 1) first.close();  // the client leaves
+    else h.send(kOkAnswer);
     if (i != 1) {
-      EXPECT_EQ(status_of(first.message()), 200U);
+      EXPECT_EQ(status_of(first.read_message()), 200U);
     }
-    h.shut();
+    h.close();
     usleep(30000);
   }
 }
@@ -112,21 +112,21 @@
   open({signer_.listed()});
   const Signer next("k2", tokens::Algorithm::kEs256);
   for (const bool revoked : {false, true}) {
-    Stream c = client();
+    Stream c = connect_client();
     const std::string whole = post("pay");
     const std::size_t at = whole.find("\r\n") + 2;
     const std::string request = whole.substr(0, at) + bearer("r") + whole.substr(at);
-    c.say(request.substr(0, request.size() - 2));  // the body's end is still to come
+    c.send(request.substr(0, request.size() - 2));  // the body's end is still to come
     usleep(20000);
     auto old = signer_.listed();
     old.revoked = revoked;
     run_on_loop([&] { service_->authorizer()->keys(std::vector{next.listed(), old}, loop_.now()); });
     if (!revoked) run_on_loop([&] { service_->authorizer()->keys(std::vector{next.listed()}, loop_.now()); });
-    c.say(request.substr(request.size() - 2));
-    Stream h = forward(revoked ? 100 : 1000);
-    EXPECT_EQ(h.message(100).empty(), revoked);
-    if (!revoked) h.say(kOk);
-    const std::string answer = c.message();
+    c.send(request.substr(request.size() - 2));
+    Stream h = take_attempt(revoked ? 100 : 1000);
+    EXPECT_EQ(h.read_message(100).empty(), revoked);
+    if (!revoked) h.send(kOkAnswer);
+    const std::string answer = c.read_message();
     EXPECT_EQ(status_of(answer), revoked ? 401U : 200U);
     EXPECT_EQ(answer.find("revoked") != std::string::npos, revoked);
   }
@@ -138,14 +138,14 @@
   const std::string whole = post("pay", 1900);
   const std::size_t at = whole.find("\r\n") + 2;
   const std::string token = signer_.token("shop", "r", now(), Span::s(1));
-  Stream c = client();
-  c.say(whole.substr(0, at) + "Authorization: Bearer " + token + "\r\n" + whole.substr(at));
-  Stream h = forward();
-  ASSERT_FALSE(h.message().empty());
+  Stream c = connect_client();
+  c.send(whole.substr(0, at) + "Authorization: Bearer " + token + "\r\n" + whole.substr(at));
+  Stream h = take_attempt();
+  ASSERT_FALSE(h.read_message().empty());
   usleep(1100000);
-  h.say(kOk);
-  EXPECT_EQ(status_of(c.message()), 200U);
-  EXPECT_EQ(status_of(ask(get(900, "Authorization: Bearer " + token + "\r\n"))), 401U);
+  h.send(kOkAnswer);
+  EXPECT_EQ(status_of(c.read_message()), 200U);
+  EXPECT_EQ(status_of(answer_to(get(900, "Authorization: Bearer " + token + "\r\n"))), 401U);
 }
 
 TEST_F(CallingDoorTest, WhereProofIsOptionalAClaimStandsAsBefore) {
--- /dev/null
+++ b/tests/endpoint_pools_test.cpp
@@ -0,0 +1,131 @@
+// Connection pools of endpoints: reuse, settling, and attempts that wait for a connection.
+#include "router_fixture.hpp"
+
+namespace ashbeam {
+namespace {
+
+class EndpointPoolsTest : public RouterTest {
+ protected:
+  // Sends so many requests at a time, each on a connection of its own, and answers them; returns how many new
+  // connections to the endpoint they took.
+  int new_connections_of(int count, const std::string& after = "") {
+    std::vector<Stream> clients;
+    for (int i = 0; i < count; ++i) {
+      clients.push_back(connect_client());
+      clients.back().send(get());
+    }
+    int opened = 0;
+    for (int answered = 0; answered < count;) {
+      pollfd listener{endpoints_[0].fd, POLLIN, 0};
+      if (::poll(&listener, 1, 5) == 1) {
+        connections_.push_back(endpoints_[0].accept());
+        ++opened;
+      }
+      for (Stream& connection : connections_) {
+        if (connection.read_message(1).empty()) continue;
+        connection.send(kOkAnswer + after);
+        ++answered;
+      }
+    }
+    for (Stream& client : clients) client.read_message();
+    return opened;
+  }
+  std::vector<Stream> connections_;
+};
+
+TEST_F(EndpointPoolsTest, ConnectionsAreReusedAndNotPastTheirProcess) {
+  start_router(endpoint_list(endpoint_entry(0), 41, true));
+  Stream watch = discovery_.accept();
+  EXPECT_TRUE(watch.read_message().starts_with("GET /registry/instances?follow=1&since=41 HTTP/1.1\r\n"));
+  Stream client = connect_client();
+  client.send(get());
+  Stream attempt = take_attempt();
+  for (int i = 0; i < 3; ++i) {
+    ASSERT_FALSE(attempt.read_message().empty()) << i;
+    attempt.send(kOkAnswer);
+    ASSERT_EQ(status_of(client.read_message()), 200U);
+    usleep(70000);  // until it has settled
+    if (i < 2) client.send(get());
+  }
+  const std::string change =
+      endpoint_list(endpoint_entry(0, "up", 2), 42) + "\n";  // the same id, another version
+  char size[16];
+  std::snprintf(size, sizeof size, "%zx\r\n", change.size());
+  watch.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + std::string(size) +
+             change.substr(0, 9));
+  usleep(20000);
+  watch.send(change.substr(9) + "\r\n1\r\n\n\r\n");
+  EXPECT_TRUE(attempt.closed_by_peer());
+}
+
+TEST_F(EndpointPoolsTest, AnEndpointThatRefusesOrNeverAcceptsHasNotRunTheRequest) {
+  const FullListener full;
+  const std::string closed = [] { return FakeListener().address(); }();
+  start_router(endpoint_list(endpoint_entry(0, "up", 1, closed) + "," +
+                                 endpoint_entry(3, "up", 1, "localhost:1") + "," +
+                                 endpoint_entry(1, "up", 1, full.address()) + "," + endpoint_entry(2),
+                             41, true));
+  for (int i = 0; i < 6; ++i) {
+    Stream client = connect_client();
+    client.send(post("pay"));
+    Stream attempt = take_attempt(1500);
+    ASSERT_FALSE(attempt.read_message().empty());
+    attempt.send(kOkAnswer);
+    EXPECT_EQ(status_of(client.read_message()), 200U);
+  }
+}
+
+TEST_F(EndpointPoolsTest, AnAttemptThatWaitsForItsConnectionIsNotWrittenToADrainingEndpoint) {
+  limits_.connect_timeout = Span::s(5);
+  settings_.drain_grace = Span::s(20);
+  const FullListener full;
+  start_router(endpoint_list(endpoint_entry(0, "up", 1, full.address()), 41, true));
+  Stream watch = discovery_.accept(), client = connect_client();
+  watch.send("HTTP/1.1 200 OK\r\n\r\n");
+  client.send(post("pay", 5000));
+  usleep(50000);
+  watch.send(endpoint_list(endpoint_entry(0, "draining", 1, full.address()) + "," + endpoint_entry(2), 42) +
+             "\n");
+  // Never connected, so even this request may go elsewhere, long before the connect timeout.
+  Stream attempt = take_attempt(1000);
+  EXPECT_FALSE(attempt.read_message().empty());
+  attempt.send(kOkAnswer);
+  EXPECT_EQ(status_of(client.read_message()), 200U);
+}
+
+TEST_F(EndpointPoolsTest, MoreThanAnAnswerIsNeverTakenForTheNext) {
+  limits_.endpoint_settle_time = Span::ms(100);
+  start_router(endpoint_list(endpoint_entry(0), 41, true));
+  Stream client = connect_client();
+  client.send(get());
+  Stream attempt = take_attempt();
+  EXPECT_FALSE(attempt.read_message().empty());
+  attempt.send(std::string("HTTP/1.1 103 X\r\n\r\nHTTP/1.1 102 X\r\n\r\n") + kOkAnswer);
+  EXPECT_EQ(status_of(client.read_message()), 200U);
+  client.send(get());
+  Stream second_attempt = take_attempt();  // not where more may still come
+  EXPECT_FALSE(second_attempt.read_message().empty());
+  attempt.send(kOkAnswer);
+  EXPECT_TRUE(attempt.closed_by_peer());
+  second_attempt.send(kOkAnswer);
+  EXPECT_EQ(status_of(client.read_message()), 200U);
+}
+
+TEST_F(EndpointPoolsTest, WhereManyConnectionsSettleTheTimeIsShortUntilUnsolicitedBytesCome) {
+  settings_.may_cancel = false;
+  limits_.endpoint_settle_time = Span::s(2);
+  limits_.busy_endpoint_settle_time = Span();
+  limits_.max_settling_connections = 4;
+  start_router(endpoint_list(endpoint_entry(0), 41, true));
+  EXPECT_EQ(new_connections_of(2), 2);
+  usleep(20000);
+  EXPECT_EQ(new_connections_of(3), 3);  // two settle, which is few: none is used yet
+  usleep(20000);
+  EXPECT_LT(new_connections_of(5), 5);  // five settle: those above four are used
+  EXPECT_GT(new_connections_of(1, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx"), -1);
+  usleep(20000);
+  EXPECT_EQ(new_connections_of(2), 2);
+}
+
+}  // namespace
+}  // namespace ashbeam
--- /dev/null
+++ b/tests/endpoint_registry_test.cpp
@@ -0,0 +1,71 @@
+// Indices of endpoints, and the names of zones and machine types.
+#include "router_fixture.hpp"
+
+namespace ashbeam {
+namespace {
+
+class EndpointRegistryTest : public RouterTest {};
+
+// The entry, in another zone and of another machine type.
+std::string placed(const std::string& entry, const std::string& zone, const std::string& machine_type) {
+  std::string placed_entry = entry;
+  placed_entry.replace(placed_entry.find(R"("az":"a")"), 8, R"("az":")" + zone + '"');
+  return placed_entry.replace(placed_entry.find(R"("model":"m")"), 11, R"("model":")" + machine_type + '"');
+}
+
+TEST_F(EndpointRegistryTest, IndicesOfRemovedEndpointsAreReusedOnceNothingNamesThem) {
+  limits_.removed_endpoint_retention = Span();
+  start_router(endpoint_list(endpoint_entry(0), 41, true));
+  Stream watch = discovery_.accept(), client = connect_client();
+  watch.send("HTTP/1.1 200 OK\r\n\r\n");
+  client.send(get());
+  Stream attempt = take_attempt();
+  EXPECT_FALSE(attempt.read_message().empty());
+  const auto come_and_go = [&](int rev) {
+    const std::string one = std::string("n").append(std::to_string(rev)) + R"(","state":")";
+    watch.send(endpoint_list(R"({"uid":")" + one + R"(up","endpoint":"127.0.0.1:1","release":1})", rev) +
+               "\n" + endpoint_list(R"({"uid":")" + one + R"(removed","release":1})", rev) + "\n");
+  };
+  watch.send(endpoint_list(endpoint_entry(0, "removed"), 42) + "\n");
+  for (int rev = 43; rev < 60; ++rev) come_and_go(rev);
+  usleep(100000);
+  EXPECT_EQ(service_->endpoint_slots(), 2U);  // the first still has an attempt in flight
+  attempt.send(kOkAnswer);
+  EXPECT_EQ(status_of(client.read_message()), 200U);
+  watch.send(endpoint_list(endpoint_entry(1), 60) + "\n");
+  usleep(50000);
+  client.send(get());
+  Stream next_attempt = take_attempt();
+  EXPECT_FALSE(next_attempt.read_message().empty());
+  next_attempt.send(kOkAnswer);
+  EXPECT_EQ(status_of(client.read_message()), 200U);
+}
+
+// A retry must stay in the first attempt's zone: a zone that the settings do not name is none of theirs.
+TEST_F(EndpointRegistryTest, AZoneThatTheSettingsDoNotNameIsNeverTakenForAnother) {
+  settings_.request_classes[1].scope = IdempotencyScope::kZone;
+  settings_.request_classes[1].key_retention = Span::s(5);
+  start_router(endpoint_list(placed(endpoint_entry(0), "a", "m") + "," + placed(endpoint_entry(1), "x", "n") +
+                                 "," + placed(endpoint_entry(2), "y", "n"),
+                             41, true));
+  for (int i = 0; i < 12; ++i) {
+    Stream client = connect_client();
+    client.send(post("book", 600));
+    Stream attempt = take_attempt();
+    ASSERT_FALSE(attempt.read_message().empty());
+    attempt.send(status_line("500"));
+    Stream second = take_attempt(60);
+    EXPECT_EQ(second.fd, -1);
+    EXPECT_EQ(status_of(client.read_message()), 502U);
+  }
+  begin_shutdown();
+  thread_.join();
+  EXPECT_TRUE(logged("endpoint list: 'x' is not in the settings' zones") &&
+              logged("endpoint list: 'n' is not in the settings' machine types"));
+  EXPECT_EQ(std::count_if(log_lines_.begin(), log_lines_.end(),
+                          [](const auto& n) { return n.starts_with("endpoint list: 'n'"); }),
+            1);
+}
+
+}  // namespace
+}  // namespace ashbeam
--- a/tests/metadata_verifier_test.cpp
+++ b/tests/metadata_verifier_test.cpp
@@ -4,7 +4,7 @@
 #include <gtest/gtest.h>
 
 #include "metadata/publisher.hpp"
-#include "router_world.hpp"
+#include "router_fixture.hpp"
 
 namespace ashbeam {
 namespace {
@@ -120,7 +120,7 @@
       service_->set_metadata_verifier(std::make_unique<MetadataVerifier>(
           std::vector<RepositorySettings>{{"/look/u/", repository_.root(), Span()}}, 100));
     };
-    begin(all_hosts());
+    start_router(all_endpoints());
   }
   static std::string ask_for(const std::string& file) {
     const std::string whole = get();
@@ -139,50 +139,50 @@
 TEST_F(MetadataDoorTest, ARolledBackFileIsTriedElsewhereAndItsBytesNeverGoOn) {
   open();
   const std::string old = repository_.timestamp();
-  Stream c = client();
+  Stream c = connect_client();
   const auto serve = [&](const std::string& name, const std::vector<std::string>& answers) {
-    c.say(ask_for(name));
+    c.send(ask_for(name));
     for (const auto& a : answers) {
-      Stream h = forward();
-      EXPECT_FALSE(h.message().empty());
-      h.say(a);
+      Stream h = take_attempt();
+      EXPECT_FALSE(h.read_message().empty());
+      h.send(a);
     }
-    return c.message();
+    return c.read_message();
   };
   EXPECT_TRUE(serve("timestamp.json", {file(old)}).ends_with(old));
   ++repository_.versions["timestamp"];
   const std::string fresh = repository_.timestamp();
   EXPECT_EQ(status_of(serve("timestamp.json", {chunked(fresh)})), 200U);
-  while (c.held.find(fresh + "\r\n0\r\n\r\n") == std::string::npos) ASSERT_TRUE(c.fill(500));
-  c.held.clear();
+  while (c.received.find(fresh + "\r\n0\r\n\r\n") == std::string::npos) ASSERT_TRUE(c.receive(500));
+  c.received.clear();
   usleep(10000);
   const std::string answer = serve("timestamp.json", {file(old), file(fresh)});  // one host has gone back
   EXPECT_EQ(status_of(answer), 200U);
   EXPECT_TRUE(answer.ends_with(fresh));
   usleep(10000);
-  c.say(ask_for("timestamp.json"));
-  for (Stream h = forward(); h.fd >= 0; h = forward(100)) h.message(), h.say(file(old));
-  const std::string refused = c.message();
+  c.send(ask_for("timestamp.json"));
+  for (Stream h = take_attempt(); h.fd >= 0; h = take_attempt(100)) h.read_message(), h.send(file(old));
+  const std::string refused = c.read_message();
   EXPECT_EQ(status_of(refused), 502U);
   EXPECT_NE(refused.find("X-Refused: rollback timestamp 1 < 2"), std::string::npos) << refused;
   EXPECT_EQ(refused.find("signed"), std::string::npos);
-  EXPECT_FALSE(forward(50).fd >= 0);
+  EXPECT_FALSE(take_attempt(50).fd >= 0);
 }
 
 TEST_F(MetadataDoorTest, AProbeForTheNextRootThatIsNotThereIsNoFailure) {
   open();
-  Stream c = client();
-  c.say(ask_for("2.root.json"));
-  Stream h = forward();
-  h.message();
-  h.say(status_line("404"));
-  EXPECT_EQ(status_of(c.message()), 404U);
-  EXPECT_FALSE(forward(50).fd >= 0);
-  c.say(ask_for("app.bin"));  // no metadata: passes as before
-  Stream again = forward();
-  again.message();
-  again.say(kOk);
-  EXPECT_EQ(status_of(c.message()), 200U);
+  Stream c = connect_client();
+  c.send(ask_for("2.root.json"));
+  Stream h = take_attempt();
+  h.read_message();
+  h.send(status_line("404"));
+  EXPECT_EQ(status_of(c.read_message()), 404U);
+  EXPECT_FALSE(take_attempt(50).fd >= 0);
+  c.send(ask_for("app.bin"));  // no metadata: passes as before
+  Stream again = take_attempt();
+  again.read_message();
+  again.send(kOkAnswer);
+  EXPECT_EQ(status_of(c.read_message()), 200U);
 }
 
 TEST_F(MetadataDoorTest, ATruncatedOrCodedFileIsRefused) {
@@ -190,10 +190,10 @@
   const std::string coded = "HTTP/1.1 200 OK\r\nContent-Encoding: gzip\r\nContent-Length: 2\r\n\r\nxx";
   for (const std::string& bad :
        {file(repository_.timestamp().substr(0, 100)), file("{}"), coded, file(std::string(60000, '['))}) {
-    Stream c = client();
-    c.say(ask_for("timestamp.json"));
-    for (Stream h = forward(); h.fd >= 0; h = forward(100)) h.message(), h.say(bad);
-    EXPECT_EQ(status_of(c.message()), 502U);
+    Stream c = connect_client();
+    c.send(ask_for("timestamp.json"));
+    for (Stream h = take_attempt(); h.fd >= 0; h = take_attempt(100)) h.read_message(), h.send(bad);
+    EXPECT_EQ(status_of(c.read_message()), 502U);
   }
 }
 
--- /dev/null
+++ b/tests/request_acceptance_test.cpp
@@ -0,0 +1,78 @@
+// Which requests are accepted: their form, and their ids.
+#include "router_fixture.hpp"
+
+namespace ashbeam {
+namespace {
+
+class RequestAcceptanceTest : public RouterTest {};
+
+TEST_F(RequestAcceptanceTest, BadRequestsAreAnsweredAndReachNoEndpoint) {
+  start_router(all_endpoints());
+  const std::string head = " HTTP/1.1\r\nX-Correlation-Id: a\r\nX-Time-Left-Ms: 500\r\n";
+  const std::pair<std::string, unsigned> rows[] = {
+      {"GET /nowhere" + head + "\r\n", 404},
+      {"GET /lookout" + head + "\r\n", 404},
+      {"POST /look" + head + "Content-Length: 0\r\n\r\n", 405},
+      {"GET /pay" + head + "\r\n", 405},
+      {"POST /book" + head + "Content-Length: 0\r\n\r\n", 400},  // no key
+      {"GET /look HTTP/1.1\r\nX-Time-Left-Ms: 500\r\n\r\n", 400},
+      {"GET /look HTTP/1.1\r\nX-Correlation-Id: a\r\n\r\n", 400},
+      {"GET /look HTTP/1.1\r\nX-Correlation-Id: a\r\nX-Time-Left-Ms: soon\r\n\r\n", 400},
+      {"GET /look" + head + "X-Correlation-Id: b\r\n\r\n", 400},
+      {"GET /look" + head + "X-Time-Left-Ms: 501\r\n\r\n", 400},
+      {"GET /look" + head + "Content-Length: 1\r\n\r\na", 400},
+      {"GET /look" + head + "X-Correlation-Id: " + std::string(200, 'x') + "\r\n\r\n", 400},
+      {"POST /pay" + head + "Content-Length: 70000\r\n\r\n", 413},
+      {"POST /pay" + head + "Content-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n", 400},
+      {"GET /look" + head + "X: " + std::string(20000, 'x') + "\r\n\r\n", 431},
+      {"GET /look HTTP/1.0\r\n\r\n", 505},
+      {"\x16\x03\x01\r\n\r\n", 400},
+      {kHealthCheck, 200},
+      {"POST /health/ready HTTP/1.1\r\nContent-Length: 0\r\n\r\n", 405},
+  };
+  for (const auto& [request, status] : rows)
+    EXPECT_EQ(status_of(answer_to(request)), status) << request.substr(0, 60);
+  Stream half = connect_client();
+  half.send("POST /pay" + head + "Content-Length: 9\r\n\r\nhalf");
+  half.close();
+  EXPECT_EQ(take_attempt(50).fd, -1);
+}
+
+TEST_F(RequestAcceptanceTest, AnIdIsAcceptedOnceWhileItsRequestIsInFlightAndSoonAfter) {
+  start_router(all_endpoints());
+  Stream client = connect_client();
+  client.send(post("pay", 1500, "b"));
+  Stream attempt = take_attempt();
+  EXPECT_FALSE(attempt.read_message().empty());
+  EXPECT_EQ(status_of(answer_to(post("pay", 1500, "b"))), 409U);
+  attempt.send(kOkAnswer);
+  EXPECT_EQ(status_of(client.read_message()), 200U);
+  EXPECT_EQ(status_of(answer_to(post("pay", 1500, "b"))), 409U);
+  EXPECT_EQ(take_attempt(50).fd, -1);
+}
+
+TEST_F(RequestAcceptanceTest, TheSameIdOfTwoTenantsIsTwoRequests) {
+  start_router(all_endpoints());
+  const auto request_of = [](const std::string& tenant) {
+    return "POST /pay HTTP/1.1\r\nX-Correlation-Id: one\r\nX-Account: " + tenant +
+           "\r\nX-Time-Left-Ms: 900\r\nContent-Length: 0\r\n\r\n";
+  };
+  Stream a = connect_client(), b = connect_client();
+  a.send(request_of("shop"));
+  Stream attempt = take_attempt();
+  EXPECT_FALSE(attempt.read_message().empty());
+  b.send(request_of("other"));
+  Stream second_attempt = take_attempt();
+  EXPECT_FALSE(second_attempt.read_message().empty());
+  EXPECT_EQ(status_of(answer_to(request_of("shop"))), 409U);
+  attempt.send(kOkAnswer);
+  second_attempt.send(kOkAnswer);
+  EXPECT_EQ(status_of(a.read_message()), 200U);
+  EXPECT_EQ(status_of(b.read_message()), 200U);
+  EXPECT_EQ(status_of(answer_to("GET /look HTTP/1.1\r\nX-Correlation-Id: two\r\nX-Account: shop\r\n"
+                                "X-Account: other\r\nX-Time-Left-Ms: 900\r\n\r\n")),
+            400U);
+}
+
+}  // namespace
+}  // namespace ashbeam
--- a/tests/router_fixture.hpp
+++ b/tests/router_fixture.hpp
@@ -1,5 +1,5 @@
-// Shared by the tests of the router on sockets: stand-ins for clients, hosts, discovery and the desk, and a
-// Service on a thread of its own.
+// Shared by the tests of the router on sockets: fake listeners on plain blocking sockets for the endpoints,
+// discovery and the release platform, clients, and a Service on a thread of its own.
 #pragma once
 #include <gtest/gtest.h>
 #include <poll.h>
@@ -16,120 +16,127 @@
 
 namespace ashbeam {
 
-// One stream; what does not come within the wait counts as nothing.
+// One blocking TCP stream; what does not come within the wait counts as nothing.
 struct Stream {
   int fd = -1;
-  std::string held;
+  std::string received;  // and not yet read as a line or a message
   explicit Stream(int descriptor) : fd(descriptor) {}
-  Stream(Stream&& other) noexcept : fd(std::exchange(other.fd, -1)), held(std::move(other.held)) {}
+  Stream(Stream&& other) noexcept : fd(std::exchange(other.fd, -1)), received(std::move(other.received)) {}
   Stream& operator=(Stream&& other) noexcept {
-    shut();
-    fd = std::exchange(other.fd, -1), held = std::move(other.held);
+    close();
+    fd = std::exchange(other.fd, -1);
+    received = std::move(other.received);
     return *this;
   }
-  ~Stream() { shut(); }
-  void shut() {
+  ~Stream() { close(); }
+  void close() {
     if (fd >= 0) ::close(std::exchange(fd, -1));
   }
   void reset() {  // breaks the connection instead of ending it
-    const linger now{1, 0};
-    ::setsockopt(fd, SOL_SOCKET, SO_LINGER, &now, sizeof now);
-    shut();
-  }
-  void say(const std::string& text) { ::send(fd, text.data(), text.size(), MSG_NOSIGNAL); }
-  bool fill(int wait_ms) {  // false at the end or when nothing comes
-    pollfd in{fd, POLLIN, 0};
-    char some[4096];
-    const auto n = ::poll(&in, 1, wait_ms) == 1 ? ::recv(fd, some, sizeof some, 0) : -1;
-    if (n > 0) held.append(some, static_cast<std::size_t>(n));
-    return n > 0;
-  }
-  bool ended(int wait_ms = 1500) {  // by the other side
-    pollfd in{fd, POLLIN, 0};
-    char one;
-    return ::poll(&in, 1, wait_ms) == 1 && ::recv(fd, &one, 1, MSG_PEEK) <= 0;
-  }
-  std::string line(int wait_ms = 1500) {
+    const linger at_once{1, 0};
+    ::setsockopt(fd, SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
+    close();
+  }
+  void send(const std::string& text) { ::send(fd, text.data(), text.size(), MSG_NOSIGNAL); }
+  bool receive(int wait_ms) {  // false at the end or when nothing comes
+    pollfd readable{fd, POLLIN, 0};
+    char buffer[4096];
+    const auto size = ::poll(&readable, 1, wait_ms) == 1 ? ::recv(fd, buffer, sizeof buffer, 0) : -1;
+    if (size > 0) received.append(buffer, static_cast<std::size_t>(size));
+    return size > 0;
+  }
+  bool closed_by_peer(int wait_ms = 1500) {
+    pollfd readable{fd, POLLIN, 0};
+    char byte;
+    return ::poll(&readable, 1, wait_ms) == 1 && ::recv(fd, &byte, 1, MSG_PEEK) <= 0;
+  }
+  std::string read_line(int wait_ms = 1500) {
     std::size_t end;
-    while ((end = held.find('\n')) == std::string::npos) {
-      if (!fill(wait_ms)) return "";
+    while ((end = received.find('\n')) == std::string::npos) {
+      if (!receive(wait_ms)) return "";
     }
-    const std::string one = held.substr(0, end);
-    held.erase(0, end + 1);
-    return one;
+    const std::string line = received.substr(0, end);
+    received.erase(0, end + 1);
+    return line;
   }
-  // A head, and a body by length; empty where none comes whole.
-  std::string message(int wait_ms = 1500) {
+  // A head, and a body by length; empty where none comes completely.
+  std::string read_message(int wait_ms = 1500) {
     std::size_t end;
-    while ((end = held.find("\r\n\r\n")) == std::string::npos) {
-      if (!fill(wait_ms)) return "";
+    while ((end = received.find("\r\n\r\n")) == std::string::npos) {
+      if (!receive(wait_ms)) return "";
     }
-    const std::size_t at = held.find("Content-Length: ");
-    const std::size_t whole = end + 4 + (at < end ? std::stoul(held.substr(at + 16)) : 0);
-    while (held.size() < whole) {
-      if (!fill(wait_ms)) return "";
+    const std::size_t at = received.find("Content-Length: ");
+    const std::size_t size = end + 4 + (at < end ? std::stoul(received.substr(at + 16)) : 0);
+    while (received.size() < size) {
+      if (!receive(wait_ms)) return "";
     }
-    const std::string one = held.substr(0, whole);
-    held.erase(0, whole);
-    return one;
+    const std::string message = received.substr(0, size);
+    received.erase(0, size);
+    return message;
   }
 };
 
-struct Door {  // a stand-in's address
+// The address of a fake endpoint, of fake discovery or of a fake release platform.
+struct FakeListener {
   int fd = ::socket(AF_INET, SOCK_STREAM, 0);
-  Door() {
-    sockaddr_in at{};
-    at.sin_family = AF_INET;
-    at.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-    EXPECT_EQ(::bind(fd, reinterpret_cast<sockaddr*>(&at), sizeof at), 0);
+  FakeListener() {
+    sockaddr_in address{};
+    address.sin_family = AF_INET;
+    address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+    EXPECT_EQ(::bind(fd, reinterpret_cast<sockaddr*>(&address), sizeof address), 0);
     EXPECT_EQ(::listen(fd, 64), 0);
   }
-  ~Door() { ::close(fd); }
+  ~FakeListener() { ::close(fd); }
   std::uint16_t port() const {
-    sockaddr_in at{};
-    socklen_t size = sizeof at;
-    ::getsockname(fd, reinterpret_cast<sockaddr*>(&at), &size);
-    return ntohs(at.sin_port);
+    sockaddr_in address{};
+    socklen_t size = sizeof address;
+    ::getsockname(fd, reinterpret_cast<sockaddr*>(&address), &size);
+    return ntohs(address.sin_port);
   }
   std::string address() const { return "127.0.0.1:" + std::to_string(port()); }
-  bool asked(int wait_ms) const {
-    pollfd in{fd, POLLIN, 0};
-    return ::poll(&in, 1, wait_ms) == 1;
+  bool has_pending(int wait_ms) const {  // a connection to accept
+    pollfd readable{fd, POLLIN, 0};
+    return ::poll(&readable, 1, wait_ms) == 1;
   }
-  Stream take(int wait_ms = 1500) const {
-    return Stream(asked(wait_ms) ? ::accept(fd, nullptr, nullptr) : -1);
+  Stream accept(int wait_ms = 1500) const {
+    return Stream(has_pending(wait_ms) ? ::accept(fd, nullptr, nullptr) : -1);
   }
 };
 
-struct FullDoor : Door {  // further connections never come up
+// A listener whose accept queue is full: further connections never open.
+struct FullListener : FakeListener {
   std::vector<Stream> filling;
-  FullDoor() {
+  FullListener() {
     ::listen(fd, 0);
-    sockaddr_in at{};
-    socklen_t size = sizeof at;
-    ::getsockname(fd, reinterpret_cast<sockaddr*>(&at), &size);
+    sockaddr_in address{};
+    socklen_t size = sizeof address;
+    ::getsockname(fd, reinterpret_cast<sockaddr*>(&address), &size);
     for (int i = 0; i < 4; ++i) {
       filling.emplace_back(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0));
-      ::connect(filling.back().fd, reinterpret_cast<sockaddr*>(&at), size);
+      ::connect(filling.back().fd, reinterpret_cast<sockaddr*>(&address), size);
     }
   }
 };
 
-inline const char* const kOk = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nX-Kept: 1\r\n\r\nbody";
+inline const char* const kOkAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nX-Kept: 1\r\n\r\nbody";
+inline const std::string kHealthCheck = "GET /health/ready HTTP/1.1\r\n\r\n";
+inline const std::string kWatchHead = "HTTP/1.1 200 OK\r\n\r\n";  // its body goes on until the end
+
 inline std::string status_line(const std::string& status, const std::string& fields = "") {
   return "HTTP/1.1 " + status + " X\r\n" + fields + "Content-Length: 0\r\n\r\n";
 }
-inline std::string new_id() {
+inline std::string new_request_id() {
   static int ids = 0;
   return std::string("a").append(std::to_string(++ids));
 }
 inline std::string get(unsigned left_ms = 1500, const std::string& fields = "",
-                       const std::string& id = new_id()) {
+                       const std::string& id = new_request_id()) {
   return "GET /look/1?q HTTP/1.1\r\nHost: o\r\nX-Correlation-Id: " + id +
          "\r\nX-Time-Left-Ms: " + std::to_string(left_ms) + "\r\n" + fields + "\r\n";
 }
-inline std::string post(const std::string& group, unsigned left_ms = 1500, const std::string& id = new_id()) {
-  return "POST /" + group + " HTTP/1.1\r\nX-Correlation-Id: " + id +
+inline std::string post(const std::string& request_class, unsigned left_ms = 1500,
+                        const std::string& id = new_request_id()) {
+  return "POST /" + request_class + " HTTP/1.1\r\nX-Correlation-Id: " + id +
          "\r\nIdempotency-Key: k\r\nX-Time-Left-Ms: " + std::to_string(left_ms) +
          "\r\nContent-Length: 3\r\n\r\nabc";
 }
@@ -139,97 +146,149 @@
 
 class RouterTest : public testing::Test {
  protected:
-  static constexpr int kHosts = 3;
-  Door hosts_[kHosts], discovery_, desk_;
+  static constexpr int kEndpoints = 3;
+  FakeListener endpoints_[kEndpoints];
+  FakeListener discovery_;
+  FakeListener release_platform_;
   Limits limits_;
-  RouterSettings terms_ = default_settings();
-  WireSettings door_{{"look", "book", "pay"}, {"shop"},   {"a", "b"}, {"m"}, {"active"},
-                     Span::ms(250),           Span::s(20)};
+  RouterSettings settings_ = default_settings();
+  WireSettings wire_settings_{{"look", "book", "pay"}, {"shop"},   {"a", "b"}, {"m"}, {"active"},
+                              Span::ms(250),           Span::s(20)};
   EventLoop loop_;
   std::unique_ptr<Service> service_;
   std::thread thread_;
-  std::atomic<bool> stopping_ = false, wound_down_ = false;
-  std::atomic<const char*> new_desk_ = nullptr;  // once set, with new_discovery_: the router is to move
+  std::atomic<bool> stopping_ = false;
+  std::atomic<bool> shut_down_ = false;
+  // Once set, with new_discovery_, the router changes to these addresses.
+  std::atomic<const char*> new_release_platform_ = nullptr;
   std::string new_discovery_;
   std::function<void()> before_start_;  // the service is made, and not started yet
   std::atomic<bool> on_loop_asked_ = false;
-  std::function<void()> on_loop_;   // run there once, see run_on_loop
-  std::vector<std::string> notes_;  // read once the thread has ended
+  std::function<void()> on_loop_;       // run there once, see run_on_loop
+  std::vector<std::string> log_lines_;  // read once the thread has ended
 
-  std::string entry(int host, const std::string& state = "up", int build = 1,
-                    const std::string& at = "") const {
-    return R"({"uid":"h)" + std::to_string(host) + R"(","endpoint":")" +
-           (at.empty() ? hosts_[host].address() : at) + R"(","az":"a","model":"m","pod_group":1,"state":")" +
-           state + R"(","capacity_hint":1.0,"boot_ms":0,"release":)" + std::to_string(build) + "}";
+  std::string endpoint_entry(int endpoint, const std::string& state = "up", int version = 1,
+                             const std::string& address = "") const {
+    return R"({"uid":"h)" + std::to_string(endpoint) + R"(","endpoint":")" +
+           (address.empty() ? endpoints_[endpoint].address() : address) +
+           R"(","az":"a","model":"m","pod_group":1,"state":")" + state +
+           R"(","capacity_hint":1.0,"boot_ms":0,"release":)" + std::to_string(version) + "}";
   }
-  static std::string list(const std::string& entries, int rev, bool all = false) {
-    return R"({"rev":)" + std::to_string(rev) + R"(,"all":)" + (all ? "true" : "false") + R"(,"targets":[)" +
-           entries + "]}";
+  static std::string endpoint_list(const std::string& entries, int revision, bool complete = false) {
+    return R"({"rev":)" + std::to_string(revision) + R"(,"all":)" + (complete ? "true" : "false") +
+           R"(,"targets":[)" + entries + "]}";
+  }
+  std::string all_endpoints() const {
+    return endpoint_list(endpoint_entry(0) + "," + endpoint_entry(1) + "," + endpoint_entry(2), 41, true);
   }
-  std::string all_hosts() const { return list(entry(0) + "," + entry(1) + "," + entry(2), 41, true); }
   void SetUp() override {
-    terms_.must_watch_endpoints = true;
-    terms_.may_hedge = false;
-    terms_.router_count = 1;
+    settings_.must_watch_endpoints = true;
+    settings_.may_hedge = false;
+    settings_.router_count = 1;
     // Ready, and serving, without discovery, but for the tests of that.
     limits_.ready_without_list_after = Span();
     limits_.configured_list_validity = Span::s(600);
   }
-  void begin(const std::string& known) {
-    const std::string news = R"({"image":1,"ring":0,"progress":"released","ceiling":1,"lag_ms":99000})";
-    service_ = std::make_unique<Service>(
-        loop_, limits_, terms_, door_,
-        InstanceSettings{"n", "127.0.0.1:0", discovery_.address(), desk_.address(), 7, known, news},
-        [this](std::string_view line) { notes_.emplace_back(line); });
+  void start_router(const std::string& configured_list) {
+    InstanceSettings instance;
+    instance.name = "n";
+    instance.listen_address = "127.0.0.1:0";
+    instance.discovery_address = discovery_.address();
+    instance.release_platform_address = release_platform_.address();
+    instance.seed = 7;
+    instance.configured_endpoint_list = configured_list;
+    instance.configured_release_state =
+        R"({"image":1,"ring":0,"progress":"released","ceiling":1,"lag_ms":99000})";
+    service_ = std::make_unique<Service>(loop_, limits_, settings_, wire_settings_, instance,
+                                         [this](std::string_view line) { log_lines_.emplace_back(line); });
     if (before_start_) before_start_();
     service_->start();
-    thread_ = std::thread([this] {
-      Timer look(loop_, [&] {
-        if (const char* const to = new_desk_.exchange(nullptr))
-          service_->change_addresses(new_discovery_, to);
-        if (on_loop_asked_) on_loop_(), on_loop_asked_ = false;
-        if (stopping_) service_->shut_down([this] { wound_down_ = true, loop_.stop(); });
-        look.in(Span::ms(5));
-      });
-      look.in(Span());
-      loop_.run();
-    });
+    thread_ = std::thread([this] { run_loop(); });
   }
   void TearDown() override {
     stopping_ = true;
     if (thread_.joinable()) thread_.join();
   }
-  // Runs `what` on the router's own thread, and returns once it has run.
-  void run_on_loop(std::function<void()> what) {
-    on_loop_ = std::move(what);
+  // Runs `task` on the router's own thread, and returns once it has run.
+  void run_on_loop(std::function<void()> task) {
+    on_loop_ = std::move(task);
     on_loop_asked_ = true;
     for (int i = 0; on_loop_asked_ && i < 25000; ++i) usleep(200);
     ASSERT_FALSE(on_loop_asked_);
   }
-  Stream client() const {
+  // Returns once the router's shutdown has begun.
+  void begin_shutdown() {
+    stopping_ = true;
+    run_on_loop([] {});
+  }
+  // Has a line with that part been logged? After the thread has ended.
+  bool logged(const std::string& part) const {
+    return std::any_of(log_lines_.begin(), log_lines_.end(),
+                       [&](const std::string& line) { return line.find(part) != std::string::npos; });
+  }
+  Stream connect_client() const {
     const int fd = ::socket(AF_INET, SOCK_STREAM, 0);
-    sockaddr_in at{};
-    at.sin_family = AF_INET;
-    at.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-    at.sin_port = htons(service_->port());
-    ::connect(fd, reinterpret_cast<sockaddr*>(&at), sizeof at);
+    sockaddr_in address{};
+    address.sin_family = AF_INET;
+    address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+    address.sin_port = htons(service_->port());
+    ::connect(fd, reinterpret_cast<sockaddr*>(&address), sizeof address);
     return Stream(fd);
   }
-  std::string ask(const std::string& request) const {
-    Stream c = client();
-    c.say(request);
-    return c.message(3000);
-  }
-  // The next forward, at whichever host; the fd is -1 where none comes.
-  Stream forward(int wait_ms = 1000) const {
-    pollfd in[kHosts];
-    for (int i = 0; i < kHosts; ++i) in[i] = {hosts_[i].fd, POLLIN, 0};
-    ::poll(in, kHosts, wait_ms);
-    for (int i = 0; i < kHosts; ++i) {
-      if (in[i].revents != 0) return hosts_[i].take();
+  // To a request on a connection of its own.
+  std::string answer_to(const std::string& request) const {
+    Stream client = connect_client();
+    client.send(request);
+    return client.read_message(3000);
+  }
+  // The connection of the next attempt, at whichever endpoint; its fd is -1 where none comes.
+  Stream take_attempt(int wait_ms = 1000) const {
+    pollfd readable[kEndpoints];
+    for (int i = 0; i < kEndpoints; ++i) readable[i] = {endpoints_[i].fd, POLLIN, 0};
+    ::poll(readable, kEndpoints, wait_ms);
+    for (int i = 0; i < kEndpoints; ++i) {
+      if (readable[i].revents != 0) return endpoints_[i].accept();
     }
     return Stream(-1);
   }
+  // Which endpoints so many new requests reach: one connection each, since none is answered.
+  std::vector<bool> reached_endpoints(int requests) {
+    std::vector<bool> reached(kEndpoints);
+    std::vector<Stream> clients;
+    for (int i = 0; i < requests; ++i) {
+      clients.push_back(connect_client());
+      clients.back().send(get(300));
+    }
+    for (int i = 0; i < kEndpoints; ++i) {
+      while (endpoints_[i].has_pending(60)) {
+        Stream attempt = endpoints_[i].accept();
+        const bool sent = !attempt.read_message(200).empty();
+        if (sent) reached[static_cast<std::size_t>(i)] = true;
+      }
+    }
+    return reached;
+  }
+
+ private:
+  void run_loop() {
+    Timer look(loop_, [&] {
+      if (const char* const address = new_release_platform_.exchange(nullptr))
+        service_->change_addresses(new_discovery_, address);
+      if (on_loop_asked_) {
+        on_loop_();
+        on_loop_asked_ = false;
+      }
+      if (stopping_) {
+        service_->shut_down([this] {
+          shut_down_ = true;
+          loop_.stop();
+        });
+      }
+      look.in(Span::ms(5));
+    });
+    look.in(Span());
+    loop_.run();
+  }
 };
 
 }  // namespace ashbeam
--- a/tests/router_process.hpp
+++ b/tests/router_process.hpp
@@ -1,5 +1,5 @@
-// The program itself as a process, between fakes of our own on loopback: discovery that can be slow, crowded
-// or stall in the middle of a line, an upstream host that says when it was sent to, and a client.
+// The program itself as a process, between fakes on loopback: a crowded discovery, an endpoint that records
+// when it was sent to, and a client.
 #pragma once
 #include <sys/wait.h>
 
@@ -10,7 +10,7 @@
 #include <mutex>
 #include <nlohmann/json.hpp>
 
-#include "router_world.hpp"
+#include "router_fixture.hpp"
 
 namespace ashbeam {
 
@@ -21,27 +21,27 @@
   return std::chrono::duration<double>(to - from).count();
 }
 
-// Runs `what` again and again on a thread of its own until destroyed.
+// Runs `step` again and again on a thread of its own until destroyed.
 class Background {
  public:
-  explicit Background(std::function<void()> what)
-      : thread_([this, what = std::move(what)] {
-          while (!over_) what();
+  explicit Background(std::function<void()> step)
+      : thread_([this, step = std::move(step)] {
+          while (!stopping_) step();
         }) {}
   ~Background() {
-    over_ = true;
+    stopping_ = true;
     thread_.join();
   }
 
  private:
-  std::atomic<bool> over_ = false;
+  std::atomic<bool> stopping_ = false;
   std::thread thread_;
 };
 
-// An upstream host that answers each request at once and remembers when each came.
-class RecordingHost {
+// A fake endpoint that answers each request at once and remembers when each came.
+class RecordingEndpoint {
  public:
-  std::string address() const { return door_.address(); }
+  std::string address() const { return listener_.address(); }
   std::vector<SteadyTime> requests() const {
     const std::lock_guard lock(mutex_);
     return requests_;
@@ -51,28 +51,28 @@
     return static_cast<std::size_t>(
         std::count_if(all.begin(), all.end(), [&](SteadyTime t) { return t > when; }));
   }
-  // From now on requests are turned away, as by a server that drains.
+  // From now on requests are rejected, as by an endpoint that drains.
   void drain() { draining_ = true; }
 
  private:
   void serve() {
-    std::vector<pollfd> in{{door_.fd, POLLIN, 0}};
+    std::vector<pollfd> in{{listener_.fd, POLLIN, 0}};
     for (const Stream& stream : streams_) in.push_back({stream.fd, POLLIN, 0});
     if (::poll(in.data(), in.size(), kLookMs) <= 0) return;
     for (std::size_t i = streams_.size(); i-- > 0;) {
       if (in[i + 1].revents == 0) continue;
-      if (streams_[i].message(kLookMs).empty()) {
+      if (streams_[i].read_message(kLookMs).empty()) {
         streams_.erase(streams_.begin() + static_cast<std::ptrdiff_t>(i));
         continue;
       }
       const std::lock_guard lock(mutex_);
       requests_.push_back(steady_now());
-      streams_[i].say(draining_ ? status_line("503", "X-Unprocessed: 1\r\n") : kOk);
+      streams_[i].send(draining_ ? status_line("503", "X-Unprocessed: 1\r\n") : kOkAnswer);
     }
-    if (in[0].revents != 0) streams_.push_back(door_.take());
+    if (in[0].revents != 0) streams_.push_back(listener_.accept());
   }
   static constexpr int kLookMs = 5;
-  Door door_;
+  FakeListener listener_;
   mutable std::mutex mutex_;
   std::vector<SteadyTime> requests_;
   std::atomic<bool> draining_ = false;
@@ -80,26 +80,32 @@
   Background background_{[this] { serve(); }};
 };
 
-// Discovery that lets each call wait and then turns it away, as one with too many callers does; its patience
-// with a call is the page's.
+// Discovery that queues each call and then rejects it, as one with too many clients does.
 class CrowdedDiscovery {
  public:
-  std::string address() const { return door_.address(); }
+  std::string address() const { return listener_.address(); }
   std::size_t calls() const { return calls_; }
 
  private:
   void serve() {
-    while (door_.asked(0)) waiting_.emplace_back(steady_now() + kPatience, door_.take()), ++calls_;
-    while (!waiting_.empty() && waiting_.front().first <= steady_now()) {
-      waiting_.front().second.say(status_line("503"));
+    while (listener_.has_pending(0)) {
+      waiting_.push_back({steady_now() + kQueueTime, listener_.accept()});
+      ++calls_;
+    }
+    while (!waiting_.empty() && waiting_.front().rejected_at <= steady_now()) {
+      waiting_.front().stream.send(status_line("503"));
       waiting_.erase(waiting_.begin());
     }
     usleep(2000);
   }
-  static constexpr std::chrono::milliseconds kPatience{2000};
-  Door door_;
+  struct Call {
+    SteadyTime rejected_at;
+    Stream stream;
+  };
+  static constexpr std::chrono::milliseconds kQueueTime{2000};
+  FakeListener listener_;
   std::atomic<std::size_t> calls_ = 0;
-  std::vector<std::pair<SteadyTime, Stream>> waiting_;
+  std::vector<Call> waiting_;  // the oldest first
   Background background_{[this] { serve(); }};
 };
 
@@ -117,12 +123,12 @@
   }
 
  private:
-  void ask() {
+  void answer_to() {
     if (stream_.fd < 0) stream_ = connect();
     const SteadyTime asked = steady_now();
-    stream_.say(get(1500));
-    const std::string answer = stream_.message(2500);
-    if (answer.empty() || answer.find("Connection: close") != std::string::npos) stream_.shut();
+    stream_.send(get(1500));
+    const std::string answer = stream_.read_message(2500);
+    if (answer.empty() || answer.find("Connection: close") != std::string::npos) stream_.close();
     {
       const std::lock_guard lock(mutex_);
       answers_.push_back({asked, steady_now(), status_of(answer)});
@@ -142,14 +148,14 @@
   Stream stream_{-1};
   mutable std::mutex mutex_;
   std::vector<Answer> answers_;
-  Background background_{[this] { ask(); }};
+  Background background_{[this] { answer_to(); }};
 };
 
 // The program as a process of its own, from docs/example.json with what `change` makes of it.
 class RouterProcess {
  public:
   RouterProcess(const std::string& discovery, const std::function<void(nlohmann::json&)>& change)
-      : port_(Door().port()) {
+      : port_(FakeListener().port()) {
     std::ifstream example(ASHBEAM_EXAMPLE);
     nlohmann::json configuration = nlohmann::json::parse(example);
     change(configuration);
--- /dev/null
+++ b/tests/service_test.cpp
@@ -0,0 +1,82 @@
+// The parts of the router together: changes of addresses, and messages that can't be read.
+#include "router_fixture.hpp"
+
+namespace ashbeam {
+namespace {
+
+class ServiceTest : public RouterTest {};
+
+TEST_F(ServiceTest, AChangeOfAddressesLosesNothing) {
+  start_router(all_endpoints());
+  Stream watch = discovery_.accept(), subscription = release_platform_.accept(), client = connect_client();
+  watch.send("HTTP/1.1 200 OK\r\n\r\n" + endpoint_list(endpoint_entry(0), 42) + "\n");
+  client.send(get());
+  Stream attempt = take_attempt();
+  ASSERT_FALSE(attempt.read_message().empty());
+  const FakeListener discovery;
+  const FakeListener release_platform;
+  new_discovery_ = discovery.address();
+  const std::string address = release_platform.address();
+  new_release_platform_ = address.c_str();
+  EXPECT_TRUE(watch.read_message().starts_with("GET") && watch.closed_by_peer());
+  EXPECT_FALSE(subscription.read_line().empty());
+  EXPECT_TRUE(subscription.closed_by_peer());
+  Stream second_watch = discovery.accept(), second_subscription = release_platform.accept();
+  EXPECT_TRUE(second_watch.read_message().starts_with(
+      "GET /registry/instances?follow=1&since=42 HTTP/1.1\r\nHost: " + discovery.address()));
+  EXPECT_EQ(second_subscription.read_line(), R"({"jsonrpc":"2.0","id":1,"method":"subscribe"})");
+  attempt.send(kOkAnswer);
+  EXPECT_EQ(status_of(client.read_message()), 200U);
+  EXPECT_FALSE(discovery_.has_pending(600) ||
+               release_platform_.has_pending(0));  // the old ones hear nothing more
+}
+
+TEST_F(ServiceTest, UnreadableMessagesAreRequestedAgainAndThenIgnored) {
+  limits_.platform_retry_min = Span::ms(10);
+  start_router(all_endpoints());
+  for (const char* since : {"since=41", "since=41", "since=42"}) {
+    Stream watch = discovery_.accept();
+    EXPECT_NE(watch.read_message().find(since), std::string::npos);
+    watch.send(
+        "HTTP/1.1 200 OK\r\n\r\n" +
+        endpoint_list(R"({"uid":"x","state":"melted"},{"state":"up"},7,{"uid":"h9","state":"up"})", 42) +
+        "\n");
+    if (since[7] == '1') watch.close();
+  }
+  for (const char* odd : {"{\"method\":\"ROLLOUT\",\"params\":{\"image\":1,\"progress\":\"lost\"}}\n",
+                          "{\"method\":\"NEW\",\"params\":{}}\n", "{\"id\":77,\"result\":true}\n"}) {
+    Stream subscription = release_platform_.accept();
+    subscription.send(odd);
+    EXPECT_TRUE(!subscription.read_line().empty() && subscription.closed_by_peer()) << odd;
+  }
+  Stream subscription = release_platform_.accept();
+  EXPECT_EQ(subscription.read_line(), R"({"jsonrpc":"2.0","id":4,"method":"subscribe"})");
+  subscription.send(
+      "{\"jsonrpc\":\"2.0\",\"id\":4,\"result\":true}\n{\"method\":\"SAMPLE\",\"params\":{\"type\":\"none\"}}"
+      "\n"
+      "{\"method\":\"DISPUTE\","
+      "\"params\":"
+      "{\"host\":\"h1\",\"type\":\"look\",\"lag_ms\":5}}\n{\"method\":\"NEW\",\"params\":{}}\n{\"method\":"
+      "\"ping\"}\n");
+  Stream client = connect_client();
+  client.send(get());
+  Stream attempt = take_attempt();
+  attempt.send(kOkAnswer);
+  EXPECT_EQ(status_of(client.read_message()), 200U);
+  subscription.send(
+      "{\"method\":\"ROLLOUT\",\"params\":{\"image\":2,\"ring\":1,\"progress\":\"trial\",\"ceiling\":0.28,"
+      "\"lag_ms\":9}}\n{\"method\":\"ROLLOUT\",\"params\":{\"image\":2,\"ring\":1,\"progress\":\"rolling_"
+      "back\","
+      "\"ceiling\":0}}\n");
+  usleep(50000);
+  stopping_ = true;
+  thread_.join();
+  EXPECT_TRUE(logged("build 2 stage 1 phase 0 cap 0.280"));
+  EXPECT_TRUE(logged("build 2 stage 1 phase 1 cap 0.000"));
+  EXPECT_TRUE(logged("release platform: a state that can't be read"));
+  EXPECT_TRUE(logged("release platform: a notification that can't be used is ignored: NEW"));
+  EXPECT_TRUE(logged("endpoint list: an entry with no id or an unknown state"));
+}
+
+}  // namespace
+}  // namespace ashbeam
--- a/tests/signals_test.cpp
+++ b/tests/signals_test.cpp
@@ -5,14 +5,14 @@
 #include <csignal>
 #include <cstdlib>
 
-#include "router_world.hpp"
+#include "router_fixture.hpp"
 
 namespace ashbeam {
 namespace {
 
 class SignalsTest : public testing::Test {
  protected:
-  std::string at_ = Door().address();
+  std::string at_ = FakeListener().address();
   int log_ = -1;
   pid_t pid_ = -1;
   std::string text_;
--- a/tests/tls_test.cpp
+++ b/tests/tls_test.cpp
@@ -14,7 +14,7 @@
 #include "fakes/pki.hpp"
 #include "fakes/release_platform.hpp"
 #include "program/operators.hpp"
-#include "router_world.hpp"
+#include "router_fixture.hpp"
 
 namespace ashbeam {
 namespace {
@@ -309,20 +309,20 @@
   begin();
   for (int i = 0; i < 20; ++i) {
     Stream http = raw();
-    http.say(get());
-    EXPECT_TRUE(http.ended());
+    http.send(get());
+    EXPECT_TRUE(http.closed_by_peer());
   }
   Stream noise = raw(), huge = raw(), silent = raw(), half = raw();
-  noise.say(std::string(300, '\x7f'));
-  huge.say(std::string("\x16\x03\x01\xff\xff", 5) + std::string(1000, 'a'));  // a record over 2^14 bytes
-  half.say(std::string("\x16\x03\x01\x00\x80", 5));
+  noise.send(std::string(300, '\x7f'));
+  huge.send(std::string("\x16\x03\x01\xff\xff", 5) + std::string(1000, 'a'));  // a record over 2^14 bytes
+  half.send(std::string("\x16\x03\x01\x00\x80", 5));
   for (Stream* s : {&noise, &huge}) {
-    while (s->fill(500)) {  // the alert
+    while (s->receive(500)) {  // the alert
     }
-    EXPECT_TRUE(s->ended());
+    EXPECT_TRUE(s->closed_by_peer());
   }
-  EXPECT_TRUE(silent.ended(600));
-  EXPECT_TRUE(half.ended(600));
+  EXPECT_TRUE(silent.closed_by_peer(600));
+  EXPECT_TRUE(half.closed_by_peer(600));
   Owned c = client(tls(&van_));
   EXPECT_EQ(ask(c).status, 200U);
   drop(c);
@@ -343,7 +343,7 @@
   ASSERT_EQ(SSL_connect(ssl.get()), 1);
   SSL_renegotiate(ssl.get());
   EXPECT_NE(SSL_do_handshake(ssl.get()), 1);
-  EXPECT_TRUE(c.ended() || SSL_get_error(ssl.get(), -1) == SSL_ERROR_SSL);
+  EXPECT_TRUE(c.closed_by_peer() || SSL_get_error(ssl.get(), -1) == SSL_ERROR_SSL);
   usleep(30000);
   end();
   EXPECT_TRUE(noted("tls: renegotiation"));
