--- a/src/routing/endpoint_list_message.hpp
+++ b/src/routing/endpoint_list_message.hpp
@@ -26,7 +26,7 @@
   unsigned cell = 0;
   std::string_view text;  // as it came; valid as long as the line
 
-  // Can the endpoint be told apart, and its state be read?
+  // Does it name an endpoint, and a known state?
   bool identified() const { return !uid.empty() && state.has_value(); }
   // Is all there that a correct entry has?
   bool well_formed() const { return identified() && version.value_or(-1) >= 0; }
--- a/src/routing/endpoint_pools.cpp
+++ b/src/routing/endpoint_pools.cpp
@@ -3,6 +3,7 @@
 #include <algorithm>
 #include <utility>
 
+#include "routing/header_names.hpp"
 #include "transport/connection.hpp"
 
 namespace ashbeam {
@@ -17,7 +18,7 @@
   const unsigned status = answer.status();
   if (status == kOkStatus) return AttemptResult::kOk;
   const bool may_be_unprocessed = status == kUnavailableStatus || status == kTimeoutStatus;
-  if (may_be_unprocessed && answer.head().find("X-Unprocessed") == "1") return AttemptResult::kRejected;
+  if (may_be_unprocessed && answer.head().find(header::kUnprocessed) == "1") return AttemptResult::kRejected;
   return AttemptResult::kError;
 }
 
--- a/src/routing/header_forwarding.cpp
+++ b/src/routing/header_forwarding.cpp
@@ -2,21 +2,21 @@
 
 #include <algorithm>
 
+#include "routing/header_names.hpp"
+
 namespace ashbeam {
 
 namespace {
 
-constexpr std::string_view kPrincipalField = "X-Caller";
-
 // Of one connection, or written anew.
 constexpr std::string_view kNeverForwarded[] = {
-    "Connection", "Keep-Alive",     "Proxy-Connection", "TE",           "Upgrade",
-    "Expect",     "X-Time-Left-Ms", "X-Backend-Load",   "X-Unprocessed"};
+    "Connection",        "Keep-Alive",        "Proxy-Connection",  "TE", "Upgrade", "Expect",
+    header::kTimeLeftMs, header::kLoadReport, header::kUnprocessed};
 
 // A message's end or its identity hangs on these: a sender can't have them left out by naming them in its
 // Connection field.
 constexpr std::string_view kAlwaysForwarded[] = {"Host", "Content-Length", "Transfer-Encoding",
-                                                 "X-Correlation-Id", "Idempotency-Key"};
+                                                 header::kRequestId, header::kIdempotencyKey};
 
 char lower_case(char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c - 'A' + 'a') : c; }
 
@@ -26,7 +26,8 @@
 }
 
 bool names_principal(std::string_view name) {
-  return std::equal(name.begin(), name.end(), kPrincipalField.begin(), kPrincipalField.end(), same_letter);
+  const std::string_view expected = header::kPrincipal;
+  return std::equal(name.begin(), name.end(), expected.begin(), expected.end(), same_letter);
 }
 
 bool contains(const auto& names, std::string_view name) {
@@ -58,7 +59,7 @@
     if (hide_token && http::same_name(field.name, "Authorization")) continue;
     lines += field.line;
   }
-  if (!principal.empty()) lines.append(kPrincipalField).append(": ").append(principal).append("\r\n");
+  if (!principal.empty()) lines += header::line(header::kPrincipal, principal);
   return lines;
 }
 
--- a/src/routing/header_forwarding.hpp
+++ b/src/routing/header_forwarding.hpp
@@ -17,9 +17,9 @@
 // The forwarded lines of a head.
 std::string forwarded_lines(const http::Head& head);
 
-// The forwarded lines of a request that was authorised: `principal` is named in X-Caller, empty where nobody
-// is proven, and no line of the client's own says so. The token of a proven principal is left out unless
-// `forward_token`.
+// The forwarded lines of a request that was authorised: `principal` is named to the endpoint, empty where
+// nobody is proven, and no line of the client's own says so. The token of a proven principal is left out
+// unless `forward_token`.
 std::string authorized_lines(const http::Head& head, std::string_view principal, bool forward_token);
 
 }  // namespace ashbeam
--- /dev/null
+++ b/src/routing/header_names.hpp
@@ -0,0 +1,30 @@
+// The header fields that the router reads or writes, by what they mean. The only place with their names on
+// the wire, but for those of HTTP itself (RFC 9110). Source: the protocol's page on headers.
+#pragma once
+#include <string>
+#include <string_view>
+
+namespace ashbeam::header {
+
+// Of requests.
+inline constexpr std::string_view kRequestId = "X-Correlation-Id";
+inline constexpr std::string_view kTenant = "X-Account";
+inline constexpr std::string_view kTimeLeftMs = "X-Time-Left-Ms";  // until the client stops waiting
+inline constexpr std::string_view kIdempotencyKey = "Idempotency-Key";
+inline constexpr std::string_view kSessionKey = "X-Session-Key";  // a sticky key, any text
+inline constexpr std::string_view kFacts = "X-Facts";             // name=value pairs
+inline constexpr std::string_view kPrincipal = "X-Caller";        // from the router to endpoints
+
+// Of answers.
+inline constexpr std::string_view kUnprocessed = "X-Unprocessed";  // the endpoint has not run the request
+inline constexpr std::string_view kLoadReport = "X-Backend-Load";  // from endpoints
+inline constexpr std::string_view kRefusalReason = "X-Refused";    // from the router
+
+// A complete header line.
+inline std::string line(std::string_view name, std::string_view value) {
+  std::string text(name);
+  text.append(": ").append(value).append("\r\n");
+  return text;
+}
+
+}  // namespace ashbeam::header
--- a/src/routing/instance_settings.hpp
+++ b/src/routing/instance_settings.hpp
@@ -1,4 +1,4 @@
-// What one router is told of its own instance by its environment: where it listens, and whom it connects to.
+// Settings of one router's own instance, from its environment: where it listens, and whom it connects to.
 #pragma once
 #include <cstdint>
 #include <string>
--- a/src/routing/readiness.hpp
+++ b/src/routing/readiness.hpp
@@ -1,5 +1,5 @@
 // Is the router ready to serve? It is once discovery has confirmed the endpoint list: the configured list may
-// be old, and a change that discovery has told the machine counts from a process' first moment. Where
+// be old, and a change that discovery has sent to the machine counts from a process' first moment. Where
 // discovery does not answer it is ready after a while all the same, and rejects.
 #pragma once
 #include "routing/router_context.hpp"
--- a/src/routing/release_messages.cpp
+++ b/src/routing/release_messages.cpp
@@ -38,7 +38,7 @@
   return static_cast<unsigned>(found - names.begin());
 }
 
-// How long ago it happened that is told of.
+// How long ago it happened.
 Span lag_of(const Json& message) { return Span::ms(std::max(0.0, message.number("lag_ms", 0))); }
 
 }  // namespace
--- a/src/routing/request_authorization.cpp
+++ b/src/routing/request_authorization.cpp
@@ -3,6 +3,7 @@
 #include <string>
 #include <utility>
 
+#include "routing/header_names.hpp"
 #include "routing/retry_after.hpp"
 
 namespace ashbeam {
@@ -38,8 +39,8 @@
   if (!authorizer_) return &identity_;
   calling::Asked asked;
   asked.authorization = head.find("Authorization").value_or("");
-  asked.twice = head.count("Authorization") > 1 || head.count("X-Account") > 1;
-  asked.account = head.find("X-Account").value_or("");
+  asked.twice = head.count("Authorization") > 1 || head.count(header::kTenant) > 1;
+  asked.account = head.find(header::kTenant).value_or("");
   asked.certificate = proof.certificate;
   Span retry_after;
   const calling::Refusal reason =
@@ -66,7 +67,7 @@
 
 void RequestAuthorization::refuse(ClientConnection& client, calling::Refusal reason, Span retry_after) {
   if (authorizer_ && !log_timer_.armed()) log_timer_.in(kLogInterval);
-  const std::string refused_line = "X-Refused: " + std::string(calling::word_of(reason)) + "\r\n";
+  const std::string refused_line = header::line(header::kRefusalReason, calling::word_of(reason));
   const unsigned status = calling::status_of(reason);
   if (status == 403) return client.answer_plain(status, refused_line);
   if (status == 401) return client.answer_plain(status, challenge_line(reason));
--- a/src/routing/request_lifecycle.cpp
+++ b/src/routing/request_lifecycle.cpp
@@ -5,12 +5,15 @@
 
 #include "routing/attempt_result.hpp"
 #include "routing/header_forwarding.hpp"
+#include "routing/header_names.hpp"
 #include "routing/retry_after.hpp"
 
 namespace ashbeam {
 
 namespace {
 
+constexpr std::string_view kLineEnd = "\r\n";
+
 constexpr unsigned kOkStatus = 200;
 constexpr unsigned kNotFoundStatus = 404;
 constexpr unsigned kBadGatewayStatus = 502;
@@ -18,7 +21,7 @@
 constexpr unsigned kGatewayTimeoutStatus = 504;
 
 std::string refused_line(const MetadataRequest& metadata) {
-  return "X-Refused: " + metadata.refusal + "\r\n";
+  return header::line(header::kRefusalReason, metadata.refusal);
 }
 
 }  // namespace
@@ -65,7 +68,11 @@
 std::string RequestLifecycle::attempt_bytes(RequestId id, Instant until) {
   const AcceptedRequest& request = requests_[id].accepted;
   const std::int64_t left_ms = std::max<std::int64_t>(0, (until - context_.loop.now()).us() / 1000);
-  return request.head + "X-Time-Left-Ms: " + std::to_string(left_ms) + "\r\n\r\n" + request.body;
+  const std::string time_left = header::line(header::kTimeLeftMs, std::to_string(left_ms));
+  std::string bytes;
+  bytes.reserve(request.head.size() + time_left.size() + kLineEnd.size() + request.body.size());
+  bytes.append(request.head).append(time_left).append(kLineEnd).append(request.body);
+  return bytes;
 }
 
 void RequestLifecycle::log_attempt_begin(RequestId id, unsigned attempt, EndpointIndex endpoint,
--- a/src/routing/request_parser.cpp
+++ b/src/routing/request_parser.cpp
@@ -5,6 +5,8 @@
 #include <algorithm>
 #include <charconv>
 
+#include "routing/header_names.hpp"
+
 namespace ashbeam {
 
 namespace {
@@ -12,23 +14,18 @@
 constexpr double kMaxTimeLeftMs = 3.6e6;
 constexpr double kMaxNumericKey = 1.8e19;  // below 2^64
 
-constexpr std::string_view kIdField = "X-Correlation-Id";
-constexpr std::string_view kTimeLeftField = "X-Time-Left-Ms";
-constexpr std::string_view kIdempotencyKeyField = "Idempotency-Key";
-constexpr std::string_view kSessionKeyField = "X-Session-Key";
-
 // Fields that decisions hang on. Where one stands twice, an endpoint might read the other one.
-constexpr std::string_view kSingleFields[] = {kIdField, "X-Account", kTimeLeftField, kIdempotencyKeyField,
-                                              kSessionKeyField};
+constexpr std::string_view kSingleFields[] = {header::kRequestId, header::kTenant, header::kTimeLeftMs,
+                                              header::kIdempotencyKey, header::kSessionKey};
 
 bool has_required_fields(const http::Head& head, Idempotency idempotency, std::size_t max_id_bytes) {
   for (const std::string_view name : kSingleFields) {
     if (head.count(name) > 1) return false;
   }
-  const std::string_view id = head.find(kIdField).value_or("");
+  const std::string_view id = head.find(header::kRequestId).value_or("");
   if (id.empty() || id.size() > max_id_bytes) return false;
-  if (!head.find(kTimeLeftField)) return false;
-  return idempotency != Idempotency::kKeyed || !head.find(kIdempotencyKeyField).value_or("").empty();
+  if (!head.find(header::kTimeLeftMs)) return false;
+  return idempotency != Idempotency::kKeyed || !head.find(header::kIdempotencyKey).value_or("").empty();
 }
 
 std::optional<double> number_of(std::string_view text) {
@@ -69,7 +66,7 @@
   const std::string_view method = idempotent ? "GET" : "POST";
   if (head.word(0) != method) return RequestError{405, method};
   if (!has_required_fields(head, rule->idempotency, max_request_id_bytes)) return RequestError{400, {}};
-  const auto time_left_ms = http::whole_number(*head.find(kTimeLeftField));
+  const auto time_left_ms = http::whole_number(*head.find(header::kTimeLeftMs));
   if (!time_left_ms) return RequestError{400, {}};
   // An endpoint might take the body of an idempotent request for the next request.
   if (idempotent && !request.raw_body().empty()) return RequestError{400, {}};
@@ -81,10 +78,10 @@
 
 std::uint64_t sticky_key_of(const http::Head& head, bool sticky_sessions) {
   std::uint64_t key = 0;
-  const auto session = sticky_sessions ? head.find(kSessionKeyField) : std::nullopt;
+  const auto session = sticky_sessions ? head.find(header::kSessionKey) : std::nullopt;
   // Decisions need only know a key again; 0 means none.
   if (session && !session->empty()) key = XXH3_64bits(session->data(), session->size()) | 1U;
-  if (const auto facts = head.find("X-Facts")) {
+  if (const auto facts = head.find(header::kFacts)) {
     for_each_number(*facts, [&](std::string_view name, double value) {
       if (name == "targetKey" && value >= 1 && value < kMaxNumericKey)
         key = static_cast<std::uint64_t>(value);
--- a/src/routing/service.cpp
+++ b/src/routing/service.cpp
@@ -4,14 +4,13 @@
 #include <utility>
 
 #include "routing/header_forwarding.hpp"
+#include "routing/header_names.hpp"
 
 namespace ashbeam {
 
 namespace {
 
 constexpr std::string_view kHealthPath = "/health/ready";
-constexpr std::string_view kIdField = "X-Correlation-Id";
-constexpr std::string_view kTenantField = "X-Account";
 
 constexpr unsigned kOkStatus = 200;
 constexpr unsigned kMethodNotAllowedStatus = 405;
@@ -153,7 +152,9 @@
 // No second request is run with the id of one that is in flight or was answered lately. By tenant: what one
 // sends says nothing of another's.
 bool Service::remember_id(const http::Head& head, Instant now, Instant deadline) {
-  request_id_.assign(head.find(kTenantField).value_or("")).append(1, '\n').append(*head.find(kIdField));
+  request_id_.assign(head.find(header::kTenant).value_or(""))
+      .append(1, '\n')
+      .append(*head.find(header::kRequestId));
   return recent_ids_.insert(request_id_, now, deadline + context_.limits.request_id_retention);
 }
 
@@ -176,14 +177,14 @@
 // Past the end of the settings' tenants where the request names none of them.
 unsigned Service::tenant_of(const http::Head& head, const calling::Identity& identity) const {
   if (!identity.caller.empty()) return identity.customer;
-  const auto found = std::find(tenants_.begin(), tenants_.end(), head.find(kTenantField).value_or(""));
+  const auto found = std::find(tenants_.begin(), tenants_.end(), head.find(header::kTenant).value_or(""));
   return static_cast<unsigned>(found - tenants_.begin());
 }
 
 void Service::log_accepted(const RequestArrival& arrival, const http::Head& head, Instant now) {
   DetailLog& log = context_.detail_log;
   if (!log.on(LogTopic::kRequests)) return;
-  const std::string_view id = head.find(kIdField).value_or("");
+  const std::string_view id = head.find(header::kRequestId).value_or("");
   log.line(LogTopic::kRequests, now, "request %u accepted: id %.*s class %u, time left %.0f ms",
            arrival.request, static_cast<int>(id.size()), id.data(), arrival.request_class,
            (arrival.deadline - now).ms());
