--- a/src/routing/client_connection.hpp
+++ b/src/routing/client_connection.hpp
@@ -68,7 +68,8 @@
   // Ends the connection between two requests.
   void close_idle();
   bool request_begun() const { return state_ == State::kReading && requests_.begun(); }
-  bool between_requests() const { return state_ == State::kReading && answered_once_ && !requests_.begun(); }
+  bool kept_alive() const { return state_ == State::kReading && answered_once_; }
+  bool between_requests() const { return kept_alive() && !requests_.begun(); }
 
   ClientConnections& owner_;
   std::size_t slot_;
--- a/src/routing/client_connections.cpp
+++ b/src/routing/client_connections.cpp
@@ -63,17 +63,15 @@
   const bool reading = connection.state_ == State::kReading;
   const bool lingering = connection.state_ == State::kLingering;
   if (!lingering && !reading && connection.state_ != State::kDelayed) return false;
-  const bool kept_alive = connection.answered_once_ && reading;
   Span spared = limits_.new_connection_grace;
-  if (kept_alive) {
+  if (connection.kept_alive()) {
     spared = connection.request_begun() ? limits_.partial_request_timeout : limits_.min_idle_before_close;
   }
   return now - connection.state_since_ >= spared;
 }
 
 ClientConnections::EvictionRank ClientConnections::eviction_rank(const ClientConnection& connection) {
-  const bool reading = connection.state_ == ClientConnection::State::kReading;
-  return {connection.answered_once_ && reading, connection.state_since_};
+  return {connection.kept_alive(), connection.state_since_};
 }
 
 ClientConnection* ClientConnections::eviction_candidate(Instant now) const {
--- a/src/routing/client_connections.hpp
+++ b/src/routing/client_connections.hpp
@@ -71,8 +71,8 @@
   void pause_accepting();
   void remove(ClientConnection* connection);
   void make_room();
-  // May as many connections as are allowed be between requests already? The answer at hand is then the last
-  // of its connection, which no request can cross.
+  // Are as many connections between requests as may be? The answer at hand is then the last of its
+  // connection, since no request can cross that.
   bool at_idle_limit() const;
   bool full() const { return connections_.size() >= limits_.max_client_connections; }
   bool crowded() const { return connections_.size() * 2 >= limits_.max_client_connections; }
--- a/src/routing/discovery_client.hpp
+++ b/src/routing/discovery_client.hpp
@@ -8,7 +8,6 @@
 // protocol's discovery pages; chunked bodies as in RFC 9112, section 7.1.
 #pragma once
 #include <cstdint>
-#include <limits>
 #include <memory>
 #include <optional>
 #include <string>
@@ -100,9 +99,10 @@
   // The list.
   bool has_list_ = false;
   std::uint64_t revision_ = 0;
-  std::optional<std::uint64_t>
-      malformed_revision_;        // the last revision with an entry that is not well formed
-  bool stale_list_seen_ = false;  // a watch began with a complete list older than the one known
+  // The last revision with an entry that is not well formed.
+  std::optional<std::uint64_t> malformed_revision_;
+  // A watch began with a complete list older than the one known.
+  bool stale_list_seen_ = false;
 
   // The watch at hand.
   bool watching_ = false;      // watch() was called
--- a/src/routing/endpoint_registry.hpp
+++ b/src/routing/endpoint_registry.hpp
@@ -1,5 +1,5 @@
-// The endpoints by index, as the endpoint list has them: gives out the indices, and tells the decisions and
-// the connection pools of each change.
+// The endpoints by index, as the endpoint list has them: gives out the indices, and notifies the decisions
+// and the connection pools of each change.
 //
 // Order of calls: apply() with each list; attempt_began() and attempt_ended() for each attempt, in pairs.
 // Units: indices are small and used again a while after an endpoint is removed and its last attempt has
