--- a/tests/authorized_requests_test.cpp
+++ b/tests/authorized_requests_test.cpp
@@ -1,7 +1,7 @@
 // The authorizer as seen by clients and endpoints of a router: tokens on plain connections, what clients are
 // answered, and what endpoints are told.
 #include "calling_helpers.hpp"
-#include "router_world.hpp"
+#include "router_fixture.hpp"
 
 namespace ashbeam {
 namespace {
@@ -17,9 +17,9 @@
     before_start_ = [this, keys] {
       auto authorizer = std::make_unique<Authorizer>(settings_, 7, loop_.now());
       authorizer->update_keys(keys, loop_.now());
-      service_->guard(std::move(authorizer), /*token_goes_on=*/false);
+      service_->set_authorizer(std::move(authorizer), /*token_goes_on=*/false);
     };
-    begin(all_hosts());
+    start_router(all_endpoints());
   }
   Instant now() const { return loop_.now(); }
   std::string bearer(const std::string& subject, const std::string& more_members = "") const {
@@ -28,13 +28,13 @@
   }
   // Sends it, serves it if it reaches an endpoint, and returns the answer; `seen` is what the endpoint got.
   std::string serve(const std::string& request, std::string* seen = nullptr) {
-    Stream client_stream = client();
-    client_stream.say(request);
-    Stream attempt = forward(150);
-    const std::string request_seen = attempt.fd >= 0 ? attempt.message() : "";
+    Stream client_stream = connect_client();
+    client_stream.send(request);
+    Stream attempt = take_attempt(150);
+    const std::string request_seen = attempt.fd >= 0 ? attempt.read_message() : "";
     if (seen) *seen = request_seen;
-    if (!request_seen.empty()) attempt.say(kOk);
-    return client_stream.message();
+    if (!request_seen.empty()) attempt.send(kOkAnswer);
+    return client_stream.read_message();
   }
 };
 
@@ -93,19 +93,19 @@
   settings_.tenants[0].subject_limit = {0, 1, 1};
   begin_with({signer_.entry()});
   for (int i = 0; i < 3; ++i) {
-    Stream first = client();
-    first.say(get(1500, bearer("r")));
-    Stream attempt = forward();
-    ASSERT_FALSE(attempt.message().empty()) << i;
-    EXPECT_EQ(status_of(ask(get(1500, bearer("r")))), 429U) << i;
+    Stream first = connect_client();
+    first.send(get(1500, bearer("r")));
+    Stream attempt = take_attempt();
+    ASSERT_FALSE(attempt.read_message().empty()) << i;
+    EXPECT_EQ(status_of(answer_to(get(1500, bearer("r")))), 429U) << i;
     const bool client_leaves = i == 1;
     if (client_leaves) {
-      first.shut();
+      first.close();
     } else {
-      attempt.say(kOk);
-      EXPECT_EQ(status_of(first.message()), 200U);
+      attempt.send(kOkAnswer);
+      EXPECT_EQ(status_of(first.read_message()), 200U);
     }
-    attempt.shut();
+    attempt.close();
     usleep(30000);
   }
 }
@@ -116,21 +116,22 @@
   begin_with({signer_.entry()});
   const TokenSigner next("k2", tokens::Algorithm::kEs256);
   for (const bool revoked : {false, true}) {
-    Stream client_stream = client();
+    Stream client_stream = connect_client();
     const std::string whole = post("pay");
     const std::size_t at = whole.find("\r\n") + 2;
     const std::string request = whole.substr(0, at) + bearer("r") + whole.substr(at);
-    client_stream.say(request.substr(0, request.size() - 2));  // the body's end is still to come
+    client_stream.send(request.substr(0, request.size() - 2));  // the body's end is still to come
     usleep(20000);
     auto old = signer_.entry();
     old.revoked = revoked;
-    run_on_loop([&] { service_->gate()->update_keys(std::vector{next.entry(), old}, loop_.now()); });
-    if (!revoked) run_on_loop([&] { service_->gate()->update_keys(std::vector{next.entry()}, loop_.now()); });
-    client_stream.say(request.substr(request.size() - 2));
-    Stream attempt = forward(revoked ? 100 : 1000);
-    EXPECT_EQ(attempt.message(100).empty(), revoked);
-    if (!revoked) attempt.say(kOk);
-    const std::string answer = client_stream.message();
+    run_on_loop([&] { service_->authorizer()->update_keys(std::vector{next.entry(), old}, loop_.now()); });
+    if (!revoked)
+      run_on_loop([&] { service_->authorizer()->update_keys(std::vector{next.entry()}, loop_.now()); });
+    client_stream.send(request.substr(request.size() - 2));
+    Stream attempt = take_attempt(revoked ? 100 : 1000);
+    EXPECT_EQ(attempt.read_message(100).empty(), revoked);
+    if (!revoked) attempt.send(kOkAnswer);
+    const std::string answer = client_stream.read_message();
     EXPECT_EQ(status_of(answer), revoked ? 401U : 200U);
     EXPECT_EQ(answer.find("revoked") != std::string::npos, revoked);
   }
@@ -142,14 +143,14 @@
   const std::string whole = post("pay", 1900);
   const std::size_t at = whole.find("\r\n") + 2;
   const std::string token = signer_.token("shop", "r", now(), Span::s(1));
-  Stream client_stream = client();
-  client_stream.say(whole.substr(0, at) + "Authorization: Bearer " + token + "\r\n" + whole.substr(at));
-  Stream attempt = forward();
-  ASSERT_FALSE(attempt.message().empty());
+  Stream client_stream = connect_client();
+  client_stream.send(whole.substr(0, at) + "Authorization: Bearer " + token + "\r\n" + whole.substr(at));
+  Stream attempt = take_attempt();
+  ASSERT_FALSE(attempt.read_message().empty());
   usleep(1100000);
-  attempt.say(kOk);
-  EXPECT_EQ(status_of(client_stream.message()), 200U);
-  EXPECT_EQ(status_of(ask(get(900, "Authorization: Bearer " + token + "\r\n"))), 401U);
+  attempt.send(kOkAnswer);
+  EXPECT_EQ(status_of(client_stream.read_message()), 200U);
+  EXPECT_EQ(status_of(answer_to(get(900, "Authorization: Bearer " + token + "\r\n"))), 401U);
 }
 
 TEST_F(AuthorizedRequestsTest, WhereProofIsOptionalAnUnprovenAccountIsServed) {
--- a/tests/policy/endpoint_watch_test.cpp
+++ b/tests/policy/call_pacing_test.cpp
@@ -9,7 +9,7 @@
 
 // Soon once, then spread over some seconds, and over more where it stays so: discovery works off calls that
 // timed out as well. The list is not sent to past its validity meanwhile.
-TEST(EndpointWatch, FailedCallsAreRepeatedWithBackoffUntilAListComes) {
+TEST(CallPacing, FailedCallsAreRepeatedWithBackoffUntilAListComes) {
   RouterSettings settings = default_settings();
   settings.endpoint_poll_interval = Span::s(20);
   settings.must_watch_endpoints = true;
