--- a/src/metadata/keys.cpp
+++ b/src/metadata/keys.cpp
@@ -110,12 +110,11 @@
 
 std::string to_hex(std::string_view bytes) {
   constexpr char kHexDigits[] = "0123456789abcdef";
-  std::string hex;
-  hex.reserve(bytes.size() * 2);
-  for (const char c : bytes) {
-    const auto byte = static_cast<unsigned char>(c);
-    hex += kHexDigits[byte >> 4U];
-    hex += kHexDigits[byte & 15U];
+  std::string hex(bytes.size() * 2, '0');
+  for (std::size_t i = 0; i < bytes.size(); ++i) {
+    const auto byte = static_cast<unsigned char>(bytes[i]);
+    hex[2 * i] = kHexDigits[byte >> 4U];
+    hex[2 * i + 1] = kHexDigits[byte & 15U];
   }
   return hex;
 }
--- a/src/metadata/metadata_verifier.cpp
+++ b/src/metadata/metadata_verifier.cpp
@@ -174,9 +174,10 @@
   for (const AcceptedTimestamp& accepted : repository.timestamps) {
     if (accepted.timestamp->digest != digest) continue;
     // The very bytes that were accepted before: no signature is computed.
-    if (Refusal refusal = check_expiry("timestamp", *accepted.timestamp, file.now, "TUF 5.4.4"))
-      return refusal;
-    return serve_timestamp(repository, file, {accepted.key_generation, accepted.timestamp->version});
+    const Timestamp& timestamp = *accepted.timestamp;
+    if (file.now >= timestamp.expires)
+      return Refusal::expired("timestamp", timestamp.version, timestamp.expires, "TUF 5.4.4");
+    return serve_timestamp(repository, file, {accepted.key_generation, timestamp.version});
   }
   TrustUpdate update = update_timestamp(repository.trust, file.bytes, file.now);
   verifications_ += update.verifications;
