--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -71,8 +71,8 @@
   usleep(50000);
   stopping_ = true;
   thread_.join();
-  EXPECT_TRUE(logged("build 2 stage 1 phase 0 cap 0.280"));
-  EXPECT_TRUE(logged("build 2 stage 1 phase 1 cap 0.000"));
+  EXPECT_TRUE(logged("release 2: stage 1, phase canary, exposure cap 0.280"));
+  EXPECT_TRUE(logged("release 2: stage 1, phase rolling back, exposure cap 0.000"));
   EXPECT_TRUE(logged("release platform: a state that can't be read"));
   EXPECT_TRUE(logged("release platform: a notification that can't be used is ignored: NEW"));
   EXPECT_TRUE(logged("endpoint list: an entry with no id or an unknown state"));
