--- a/benches/calling.cpp
+++ b/benches/calling.cpp
@@ -15,6 +15,7 @@
 #include "fakes/pki.hpp"
 #include "fakes/release_platform.hpp"
 #include "program/environment.hpp"
+#include "terms/router_settings_reader.hpp"
 #include "tokens/jws.hpp"
 
 namespace ashbeam {
--- a/proofs/calling.cpp
+++ b/proofs/calling.cpp
@@ -25,6 +25,7 @@
 #include "figures.hpp"
 #include "program/access_config_loader.hpp"
 #include "program/environment.hpp"
+#include "terms/router_settings_reader.hpp"
 #include "tokens/base64url.hpp"
 #include "tokens/jws.hpp"
 
--- a/proofs/metadata.cpp
+++ b/proofs/metadata.cpp
@@ -20,6 +20,7 @@
 #include "metadata/metadata_verifier.hpp"
 #include "metadata/publisher.hpp"
 #include "program/environment.hpp"
+#include "terms/router_settings_reader.hpp"
 
 namespace ashbeam {
 namespace {
--- a/src/program/demo.cpp
+++ b/src/program/demo.cpp
@@ -14,6 +14,7 @@
 #include "fakes/release_platform.hpp"
 #include "program/environment.hpp"
 #include "protocol/json.hpp"
+#include "terms/router_settings_reader.hpp"
 #include "tokens/jws.hpp"
 
 namespace ashbeam {
--- a/src/program/environment.hpp
+++ b/src/program/environment.hpp
@@ -7,7 +7,7 @@
 #include "base/limits.hpp"
 #include "protocol/json.hpp"
 #include "routing/service.hpp"
-#include "terms/terms.hpp"
+#include "terms/wire_settings.hpp"
 
 namespace ashbeam {
 
--- a/src/program/operators.hpp
+++ b/src/program/operators.hpp
@@ -7,7 +7,8 @@
 
 #include "calling/settings.hpp"
 #include "metadata/metadata_verifier.hpp"
-#include "terms/terms.hpp"
+#include "policy/router_settings.hpp"
+#include "terms/wire_settings.hpp"
 #include "transport/tls_settings.hpp"
 
 namespace ashbeam {
--- a/src/program/serve.cpp
+++ b/src/program/serve.cpp
@@ -16,6 +16,7 @@
 #include "program/environment.hpp"
 #include "program/log_sink.hpp"
 #include "routing/service.hpp"
+#include "terms/router_settings_reader.hpp"
 
 namespace ashbeam {
 
--- a/src/routing/service.hpp
+++ b/src/routing/service.hpp
@@ -21,7 +21,7 @@
 #include "routing/host_pools.hpp"
 #include "routing/ids.hpp"
 #include "routing/release_client.hpp"
-#include "terms/terms.hpp"
+#include "terms/wire_settings.hpp"
 #include "transport/event_loop.hpp"
 #include "transport/tls.hpp"
 
--- a/src/simhost/fleet.hpp
+++ b/src/simhost/fleet.hpp
@@ -1,33 +1,36 @@
-// The instances of one process: decodes batches into calls on each instance's router and encodes what
-// the routers do. Instances share nothing but the list buffers, which are the wire's.
+// The simulated routers of one process: takes batches of event records apart, hands each event to its router,
+// and gathers the replies. Routers share nothing but the list buffers, which are the wire's.
 #pragma once
 #include <array>
+#include <cstdint>
 #include <map>
-#include <memory>
-#include <string_view>
+#include <span>
+#include <vector>
 
-#include "base/index_map.hpp"
-#include "policy/router_policy.hpp"
+#include "base/time.hpp"
+#include "simhost/codes.hpp"
+#include "simhost/reply.hpp"
+#include "simhost/router_instance.hpp"
 #include "simhost/wire.hpp"
 
 namespace ashbeam::simhost {
 
 class Fleet {
  public:
-  Fleet();
-  ~Fleet();
-  // One batch without its header; the reply, without its length, is left in `reply`.
-  void handle(double clock_ms, std::uint32_t records, std::span<const std::uint8_t> batch, Writer& reply);
+  // Handles one batch of so many records, without its header; appends the reply, without its length, to
+  // `reply`. `clock_ms` never goes back. Throws WireError where the batch is malformed, SettingsError where a
+  // router can't be started on its settings.
+  void handle(double clock_ms, std::uint32_t record_count, std::span<const std::uint8_t> batch,
+              Writer& reply);
 
  private:
-  class Instance;
-  void one_event(Reader& in, std::uint8_t code, Instance& to, Instant now);
+  RouterInstance& select_router(Reader& reader);
+  void fill_list_buffer(Reader& reader);
+  void dispatch(const Event& event, RouterInstance& router, Instant now);
 
-  std::map<std::uint32_t, std::unique_ptr<Instance>> instances_;
-  std::array<std::vector<std::uint8_t>, 16> sheets_;
-  Writer* reply_ = nullptr;
-  const Instance* speaking_ = nullptr;  // whose actions the reply is naming just now
-  std::vector<float> report_;
+  Reply reply_;
+  std::map<RouterId, RouterInstance> routers_;
+  std::array<std::vector<std::uint8_t>, kListBuffers> list_buffers_;
 };
 
 }  // namespace ashbeam::simhost
--- a/src/simhost/main.cpp
+++ b/src/simhost/main.cpp
@@ -1,4 +1,6 @@
-// Reads batches from standard input and answers each on standard output, until the input ends.
+// `ashbeam_simhost`: reads batches from standard input and answers each on standard output, until the input
+// ends. A batch is its number of records, its length from the clock on, the clock in milliseconds, and the
+// records; a reply is its length and its records.
 #include <cstdio>
 #include <exception>
 
@@ -8,46 +10,57 @@
 
 using namespace ashbeam::simhost;
 
-// False at a clean end of input; a frame that stops half way is an error.
-bool read_all(std::uint8_t* to, std::size_t n, bool may_end) {
-  const std::size_t got = std::fread(to, 1, n, stdin);
-  if (got == n) return true;
-  if (got == 0 && may_end) return false;
-  throw WireError("input ended inside a frame: " + std::to_string(got) + " of " + std::to_string(n) +
+constexpr std::size_t kHeaderBytes = 16;
+constexpr std::uint32_t kClockBytes = 8;  // counted in a batch's length
+
+enum class ReadResult { kComplete, kEndOfInput };
+
+// Fills `to`. Input that ends within it is an error, but for its very beginning where `may_end` is set.
+ReadResult read_input(std::uint8_t* to, std::size_t size, bool may_end) {
+  const std::size_t got = std::fread(to, 1, size, stdin);
+  if (got == size) return ReadResult::kComplete;
+  if (got == 0 && may_end) return ReadResult::kEndOfInput;
+  throw WireError("input ended inside a frame: " + std::to_string(got) + " of " + std::to_string(size) +
                   " bytes");
 }
 
-int serve() {
+void write_reply(const Writer& reply) {
+  Writer length;
+  length.u32(static_cast<std::uint32_t>(reply.bytes().size()));
+  std::fwrite(length.bytes().data(), 1, length.bytes().size(), stdout);
+  std::fwrite(reply.bytes().data(), 1, reply.bytes().size(), stdout);
+  if (std::fflush(stdout) != 0) throw WireError("standard output is closed");
+}
+
+void serve() {
   Fleet fleet;
   std::vector<std::uint8_t> batch;
-  Writer reply, length;
-  std::uint8_t head[16];
-  while (read_all(head, sizeof head, true)) {
-    Reader in(head);
-    const std::uint32_t records = in.u32();
-    const std::uint32_t bytes = in.u32();
-    const double clock_ms = in.f64();
-    if (bytes < 8) throw WireError("batch header: length " + std::to_string(bytes) + " is too short");
-    batch.resize(bytes - 8);
-    read_all(batch.data(), batch.size(), false);
+  Writer reply;
+  std::uint8_t header[kHeaderBytes];
+  while (read_input(header, sizeof header, true) == ReadResult::kComplete) {
+    Reader fields(header);
+    const std::uint32_t record_count = fields.u32();
+    const std::uint32_t length = fields.u32();
+    const double clock_ms = fields.f64();
+    if (length < kClockBytes) {
+      throw WireError("batch header: length " + std::to_string(length) + " is too short");
+    }
+    batch.resize(length - kClockBytes);
+    read_input(batch.data(), batch.size(), false);
     reply.clear();
-    fleet.handle(clock_ms, records, batch, reply);
-    length.clear();
-    length.u32(static_cast<std::uint32_t>(reply.bytes().size()));
-    std::fwrite(length.bytes().data(), 1, 4, stdout);
-    std::fwrite(reply.bytes().data(), 1, reply.bytes().size(), stdout);
-    if (std::fflush(stdout) != 0) throw WireError("standard output is closed");
+    fleet.handle(clock_ms, record_count, batch, reply);
+    write_reply(reply);
   }
-  return 0;
 }
 
 }  // namespace
 
 int main() {
   try {
-    return serve();
-  } catch (const std::exception& e) {
-    std::fprintf(stderr, "ashbeam_simhost: %s\n", e.what());
+    serve();
+    return 0;
+  } catch (const std::exception& error) {
+    std::fprintf(stderr, "ashbeam_simhost: %s\n", error.what());
     return 1;
   }
 }
--- /dev/null
+++ b/src/simhost/router_instance.hpp
@@ -0,0 +1,63 @@
+// One simulated router: hands decoded events to its decisions, and encodes what they do. The wire's endpoint
+// addresses become small indices here.
+#pragma once
+#include <cstdint>
+#include <memory>
+#include <span>
+#include <string_view>
+#include <vector>
+
+#include "base/index_map.hpp"
+#include "base/time.hpp"
+#include "policy/router_policy.hpp"
+#include "simhost/events.hpp"
+#include "simhost/reply.hpp"
+
+namespace ashbeam::simhost {
+
+class RouterInstance : public RouterActions {
+ public:
+  // `reply` has to outlive the instance.
+  RouterInstance(RouterId id, Reply& reply) : id_(id), reply_(reply) {}
+
+  // Throws SettingsError where the settings can't be used. Starts the router anew if it runs.
+  void handle(const StartEvent& event, Instant now);
+  void handle(HaltEvent) { router_.reset(); }
+
+  // The events below are dropped where the router does not run. An exception of the decisions goes out as a
+  // fault.
+  void update_endpoints(bool complete, std::span<const std::uint8_t> rows, Instant now);
+  void handle(EndpointWatchFailedEvent event, Instant now);
+  void handle(const RequestEvent& event, Instant now);
+  void handle(const AttemptEndEvent& event, Instant now);
+  void handle(ClientDisconnectEvent event, Instant now);
+  void handle(WakeupEvent event, Instant now);
+  void handle(const ReleaseStateEvent& event, Instant now);
+  void handle(VoteRefusedEvent event, Instant now);
+  void handle(const OutcomeSampleEvent& event, Instant now);
+  void handle(const DisputedAnswerEvent& event, Instant now);
+
+  void send_attempt(RequestId request, EndpointIndex endpoint) override;
+  void reject(RequestId request, Span retry_after) override;
+  void fail(RequestId request) override;
+  void cancel_attempt(RequestId request, unsigned attempt) override;
+  void schedule_wakeup(Span delay, std::uint64_t token) override;
+  void watch_endpoints() override;
+  void cast_vote(ReleaseVersion version, unsigned stage, Vote vote) override;
+  void log(std::string_view line) override;
+
+ private:
+  template <class Deliver>
+  void deliver(Instant now, Deliver&& to_router);
+  EndpointIndex index_of(WireAddress address);
+  bool is_known(WireAddress address) const { return indices_.find(address) != IndexMap::kNone; }
+  Writer& action(ActionCode code) { return reply_.action(id_, code); }
+
+  RouterId id_;
+  Reply& reply_;
+  std::vector<WireAddress> addresses_;  // by EndpointIndex
+  IndexMap indices_;
+  std::unique_ptr<RouterPolicy> router_;  // null: not started, or halted
+};
+
+}  // namespace ashbeam::simhost
--- a/src/simhost/wire.hpp
+++ b/src/simhost/wire.hpp
@@ -1,12 +1,12 @@
-// Reading and writing the wire's numbers: big-endian, no padding. No message has a type here: the fleet
-// reads field after field and hands each straight on.
+// Reading and writing the simulator's wire: big-endian numbers without padding. What the records mean stands
+// in events.hpp and reply.hpp.
 #pragma once
 #include <bit>
+#include <cstddef>
 #include <cstdint>
 #include <span>
 #include <stdexcept>
 #include <string>
-#include <string_view>
 #include <vector>
 
 namespace ashbeam::simhost {
@@ -15,50 +15,58 @@
   using std::runtime_error::runtime_error;
 };
 
+// An endpoint's four-byte address and its port, as one number.
+using WireAddress = std::uint64_t;
+
+// Reads fields one after another; each throws WireError where the bytes end before the field does.
 class Reader {
  public:
   explicit Reader(std::span<const std::uint8_t> bytes) : bytes_(bytes) {}
-  bool done() const { return at_ == bytes_.size(); }
-  std::size_t at() const { return at_; }
+
+  bool done() const { return position_ == bytes_.size(); }
   std::uint8_t u8() { return static_cast<std::uint8_t>(number(1)); }
   std::uint16_t u16() { return static_cast<std::uint16_t>(number(2)); }
   std::uint32_t u32() { return static_cast<std::uint32_t>(number(4)); }
   std::uint64_t u64() { return number(8); }
   float f32() { return std::bit_cast<float>(u32()); }
   double f64() { return std::bit_cast<double>(u64()); }
-  std::uint64_t address() {  // four bytes and a port, as one number
-    const std::uint64_t ip = u32();
+  WireAddress address() {
+    const WireAddress ip = u32();
     return ip << 16U | u16();
   }
-  std::span<const std::uint8_t> bytes(std::size_t n);
+  std::span<const std::uint8_t> bytes(std::size_t count);
+  // Throws WireError, with the position reached.
   [[noreturn]] void fail(const std::string& what) const;
 
  private:
-  std::uint64_t number(std::size_t n);
+  std::uint64_t number(std::size_t byte_count);
+
   std::span<const std::uint8_t> bytes_;
-  std::size_t at_ = 0;
+  std::size_t position_ = 0;
 };
 
 class Writer {
  public:
-  void u8(std::uint8_t v) { out_.push_back(v); }
-  void u16(std::uint16_t v) { number(v, 2); }
-  void u32(std::uint32_t v) { number(v, 4); }
-  void u64(std::uint64_t v) { number(v, 8); }
-  void f64(double v) { u64(std::bit_cast<std::uint64_t>(v)); }
-  void address(std::uint64_t a) { number(a, 6); }
-  void text(std::span<const std::uint8_t> s) {
-    u16(static_cast<std::uint16_t>(s.size()));
-    out_.insert(out_.end(), s.begin(), s.end());
+  void u8(std::uint8_t value) { bytes_.push_back(value); }
+  void u16(std::uint16_t value) { number(value, 2); }
+  void u32(std::uint32_t value) { number(value, 4); }
+  void u64(std::uint64_t value) { number(value, 8); }
+  void f64(double value) { u64(std::bit_cast<std::uint64_t>(value)); }
+  void address(WireAddress address) { number(address, 6); }
+  // A two-byte length, and the text.
+  void text(std::span<const std::uint8_t> text) {
+    u16(static_cast<std::uint16_t>(text.size()));
+    bytes_.insert(bytes_.end(), text.begin(), text.end());
   }
-  void clear() { out_.clear(); }
-  const std::vector<std::uint8_t>& bytes() const { return out_; }
+  void clear() { bytes_.clear(); }
+  const std::vector<std::uint8_t>& bytes() const { return bytes_; }
 
  private:
-  void number(std::uint64_t v, unsigned n) {
-    for (unsigned i = n; i-- > 0;) out_.push_back(static_cast<std::uint8_t>(v >> (8U * i)));
+  void number(std::uint64_t value, unsigned byte_count) {
+    for (unsigned i = byte_count; i-- > 0;) bytes_.push_back(static_cast<std::uint8_t>(value >> (8U * i)));
   }
-  std::vector<std::uint8_t> out_;
+
+  std::vector<std::uint8_t> bytes_;
 };
 
 }  // namespace ashbeam::simhost
--- a/tests/router_test.cpp
+++ b/tests/router_test.cpp
@@ -1,5 +1,6 @@
 // The router on loopback, against stand-ins on plain blocking sockets.
 #include "router_world.hpp"
+#include "terms/router_settings_reader.hpp"
 
 namespace ashbeam {
 namespace {
@@ -731,9 +732,9 @@
       R"({"tickMs":5.0,"allowed":{"cancel":true},"zones":["a b","c"],"grades":[{"name":"x","worth":2}],"no":[]})"));
   EXPECT_EQ(pairs.number("tickMs"), 5.0);
   EXPECT_TRUE(pairs.flag("allowed.cancel"));
-  EXPECT_EQ(pairs.words("zones"), (std::vector<std::string>{"a_b", "c"}));
+  EXPECT_EQ(pairs.texts("zones"), (std::vector<std::string>{"a_b", "c"}));
   EXPECT_EQ(pairs.count("grades.count"), 1U);
-  EXPECT_EQ(pairs.word("grades.0.name"), "x");
+  EXPECT_EQ(pairs.text("grades.0.name"), "x");
   EXPECT_TRUE(pairs.numbers("no").empty());
 }
 
