--- a/benches/calling.cpp
+++ b/benches/calling.cpp
@@ -14,7 +14,8 @@
 #include "fakes/endpoint.hpp"
 #include "fakes/pki.hpp"
 #include "fakes/release_platform.hpp"
-#include "program/environment.hpp"
+#include "program/router_limits.hpp"
+#include "program/startup_configuration.hpp"
 #include "terms/router_settings_reader.hpp"
 #include "tokens/jws.hpp"
 
@@ -125,7 +126,7 @@
 class Whole {
  public:
   explicit Whole(Kind kind) : kind_(kind), key_(tokens::Key::fresh(tokens::Algorithm::kEs256)) {
-    const Start start = start_from(kSettings, Site{"bench", "127.0.0.1:0", "", "", 7, "", ""});
+    const StartupConfiguration start = parse_startup_configuration(kSettings, Site{"bench", "127.0.0.1:0", "", "", 7, "", ""});
     terms_ = read_router_settings(start.settings), door_ = read_wire_settings(start.settings);
     limits_ = limits_for(1024, door_, terms_);
     for (int i = 0; i < 4; ++i) {
--- a/proofs/calling.cpp
+++ b/proofs/calling.cpp
@@ -24,7 +24,8 @@
 #include "fakes/release_platform.hpp"
 #include "figures.hpp"
 #include "program/access_config_loader.hpp"
-#include "program/environment.hpp"
+#include "program/router_limits.hpp"
+#include "program/startup_configuration.hpp"
 #include "terms/router_settings_reader.hpp"
 #include "tokens/base64url.hpp"
 #include "tokens/jws.hpp"
@@ -99,7 +100,7 @@
   Running(const Files& files, Site site) {
     thread_ = std::thread([this, &files, site] {
       EventLoop loop;
-      const Start start = start_from(kSettings, site);
+      const StartupConfiguration start = parse_startup_configuration(kSettings, site);
       Site full = start.site;
       full.desk = site.desk, full.discovery = site.discovery, full.known = site.known, full.news = site.news;
       const RouterSettings terms = read_router_settings(start.settings);
@@ -132,7 +133,7 @@
   // What the files say now is in force for every hit that comes after the time that `revoked` is then given.
   void reread(const std::shared_ptr<Revoked>& revoked) {
     loop_->post_from_thread([this, revoked] {
-      revoked->reading = guardian_->reread();
+      revoked->reading = guardian_->reload();
       waiting_.push_back(revoked);
     });
   }
@@ -145,7 +146,7 @@
   void look() {
     if (!guardian_) return;
     std::erase_if(waiting_, [this](const auto& r) {
-      if (r->reading > guardian_->taken()) return false;
+      if (r->reading > guardian_->completed_loads()) return false;
       r->in_force_us = loop_->now().us();
       return true;
     });
--- a/proofs/discovery_queue.cpp
+++ b/proofs/discovery_queue.cpp
@@ -11,7 +11,8 @@
 #include "base/pcg.hpp"
 #include "figures.hpp"
 #include "policy/call_pacing.hpp"
-#include "program/environment.hpp"
+#include "program/router_limits.hpp"
+#include "program/startup_configuration.hpp"
 
 namespace ashbeam {
 namespace {
--- a/proofs/metadata.cpp
+++ b/proofs/metadata.cpp
@@ -19,7 +19,8 @@
 #include "figures.hpp"
 #include "metadata/metadata_verifier.hpp"
 #include "metadata/publisher.hpp"
-#include "program/environment.hpp"
+#include "program/router_limits.hpp"
+#include "program/startup_configuration.hpp"
 #include "terms/router_settings_reader.hpp"
 
 namespace ashbeam {
@@ -109,7 +110,7 @@
   Running(Site site, std::string root) {
     thread_ = std::thread([this, site, root] {
       EventLoop loop;
-      const Start start = start_from(kSettings, site);
+      const StartupConfiguration start = parse_startup_configuration(kSettings, site);
       Site full = start.site;
       full.desk = site.desk, full.discovery = site.discovery, full.known = site.known, full.news = site.news;
       const RouterSettings terms = read_router_settings(start.settings);
--- a/src/program/access_config_loader.cpp
+++ b/src/program/access_config_loader.cpp
@@ -1,144 +1,194 @@
 #include "program/access_config_loader.hpp"
 
 #include <algorithm>
+#include <exception>
+#include <functional>
 #include <utility>
+#include <vector>
 
 namespace ashbeam {
 
-AccessConfigLoader::AccessConfigLoader(EventLoop& loop, Service& service, const WireSettings& door,
-                                       const RouterSettings& terms, std::string path, std::uint64_t seed,
-                                       Service::Note note)
+namespace {
+
+constexpr Span kMaxPollInterval = Span::s(1);
+constexpr Span kWallClockTolerance = Span::s(1);
+constexpr Span kHangingLoad = Span::s(5);
+
+}  // namespace
+
+AccessConfigLoader::AccessConfigLoader(EventLoop& loop, Service& service, const WireSettings& wire,
+                                       const RouterSettings& router, std::string path, std::uint64_t seed,
+                                       Service::Note log)
     : loop_(loop), service_(service),
-      reading_by_(std::make_shared<Reading>(Reading{std::move(path), door, terms})), note_(std::move(note)),
-      look_(loop, [this] { look(); }) {
-  Fresh fresh = reading_by_->read("");
-  if (!fresh.problem.empty()) throw OperatorsError(fresh.problem);
-  standing_ = fresh.operators;
-  if (standing_.metadata) {
-    std::vector<metadata::RepositorySettings> all = standing_.metadata->repositories;
-    for (auto& r : all) r.root = read_file(r.root, metadata::most_bytes("root"));
-    service_.watch_metadata(
-        std::make_unique<metadata::MetadataVerifier>(std::move(all), standing_.metadata->clients));
-  }
-  if (!standing_.calling && !standing_.tls) return;
-  worker_ = std::make_unique<Worker>(loop_);
-  if (standing_.tls) service_.also_listen(*standing_.tls, fresh.tls);
-  if (!standing_.calling) return;
-  service_.guard(std::make_unique<calling::Authorizer>(standing_.calling->terms, seed, loop_.now()),
-                 standing_.calling->token_goes_on);
-  take_keys(fresh.keys);
-  look_.in(Span());
+      source_(std::make_shared<Source>(Source{std::move(path), Deployment{wire, router}})),
+      log_(std::move(log)), poll_timer_(loop, [this] { poll(); }) {
+  const Loaded loaded = source_->load_everything();
+  if (!loaded.error.empty()) throw OperatorConfigError(loaded.error);
+  install(loaded, seed);
 }
 
-AccessConfigLoader::Fresh AccessConfigLoader::Reading::read(const std::string& keys_only) const {
-  Fresh fresh;
+// ---- Reading, on the worker's thread but for the start ----
+
+AccessConfigLoader::Loaded AccessConfigLoader::Source::load_everything() const {
+  Loaded loaded;
   try {
-    std::string folder = keys_only;
-    if (folder.empty()) {
-      fresh.operators = read_operators(path, &door, &terms);
-      if (fresh.operators.calling) folder = fresh.operators.calling->keys;
+    loaded.config = read_operator_config(path, &deployment);
+    if (loaded.config.calling && !loaded.config.calling->key_folder.empty()) {
+      loaded.keys = read_key_folder(loaded.config.calling->key_folder);
+    }
+    if (loaded.config.tls) {
+      const TlsSettings& tls = *loaded.config.tls;
+      loaded.tls = std::make_shared<TlsCredentials>(tls, read_tls_files(tls));
     }
-    if (!folder.empty()) fresh.keys = read_key_folder(folder);
-    if (fresh.operators.tls)
-      fresh.tls =
-          std::make_shared<TlsCredentials>(*fresh.operators.tls, read_tls_files(*fresh.operators.tls));
-  } catch (const std::exception& e) {
-    fresh.problem = e.what();
+  } catch (const std::exception& error) {
+    loaded.error = error.what();
   }
-  return fresh;
+  return loaded;
 }
 
-void AccessConfigLoader::begin_reading() {
-  reading_ = true;
-  reading_since_ = loop_.now();
-  stuck_told_ = false;
+AccessConfigLoader::Loaded AccessConfigLoader::Source::load_key_sets(const std::string& folder,
+                                                                     const std::string& known_stamp) {
+  Loaded loaded;
+  try {
+    loaded.unchanged = key_folder_stamp(folder) == known_stamp;
+    if (!loaded.unchanged) loaded.keys = read_key_folder(folder);
+  } catch (const std::exception& error) {
+    loaded.error = error.what();
+  }
+  return loaded;
 }
 
-std::uint64_t AccessConfigLoader::reread() {
+// ---- The start ----
+
+void AccessConfigLoader::install(const Loaded& loaded, std::uint64_t seed) {
+  config_ = loaded.config;
+  if (config_.metadata) install_metadata_verifier();
+  if (!config_.calling && !config_.tls) return;
+  worker_ = std::make_unique<Worker>(loop_);
+  if (config_.tls) service_.also_listen(*config_.tls, loaded.tls);
+  if (!config_.calling) return;
+  service_.guard(std::make_unique<calling::Authorizer>(config_.calling->settings, seed, loop_.now()),
+                 config_.calling->forward_tokens);
+  apply_key_sets(loaded.keys);
+  poll_timer_.in(Span());
+}
+
+void AccessConfigLoader::install_metadata_verifier() {
+  std::vector<metadata::RepositorySettings> repositories = config_.metadata->repositories;
+  for (metadata::RepositorySettings& repository : repositories) {
+    repository.root = read_file(repository.root, metadata::most_bytes("root"));
+  }
+  service_.watch_metadata(
+      std::make_unique<metadata::MetadataVerifier>(std::move(repositories), config_.metadata->max_clients));
+}
+
+// ---- Loading again ----
+
+std::uint64_t AccessConfigLoader::reload() {
   if (!worker_) {
-    note_("operator's file: counts from the next start, nothing of it was on at this one");
+    log_("operator's file: counts from the next start, nothing of it was on at this one");
     return 0;
   }
-  if (reading_) {  // that one may have read before what is new was there
-    again_ = true;
-    return taken_ + 2;
+  if (loading_) {  // that load may have read the files before they changed
+    load_again_ = true;
+    return completed_loads_ + 2;
   }
-  begin_reading();
-  worker_->run([this, by = reading_by_]() -> std::function<void()> {
-    return [this, fresh = by->read("")] {
-      reading_ = false;
-      ++taken_;
-      take(fresh, true);
-      if (std::exchange(again_, false)) reread();
-    };
+  begin_load();
+  worker_->run([this, source = source_]() -> Worker::Answer {
+    return [this, loaded = source->load_everything()] { finish_load(loaded, Scope::kEverything); };
   });
-  return taken_ + 1;
+  return completed_loads_ + 1;
 }
 
-// A folder on a file system that hangs must not go unnoticed: what is revoked there is not known here.
-void AccessConfigLoader::look() {
-  look_.in(std::min(standing_.calling->reread, Span::s(1)));
-  const Span ahead = loop_.wall_ahead(), before = service_.gate()->wall_ahead();
-  if (ahead > before + Span::s(1) || ahead < before - Span::s(1))
-    note_("calling: the machine's clock was set by " + std::to_string((ahead - before).us() / 1000) + " ms");
-  service_.gate()->wall_ahead(ahead);
+void AccessConfigLoader::poll() {
+  const std::string& folder = config_.calling->key_folder;
+  const Span interval = config_.calling->key_poll_interval;
+  poll_timer_.in(std::min(interval, kMaxPollInterval));
+  check_wall_clock();
   const Instant now = loop_.now();
-  if (reading_ && now - reading_since_ > Span::s(5) && !std::exchange(stuck_told_, true))
-    note_("calling: reading keys and files has taken 5 s and goes on; the old ring and rights stand");
-  if (reading_ || standing_.calling->keys.empty() || now - reading_since_ < standing_.calling->reread) return;
-  begin_reading();
-  worker_->run(
-      [this, by = reading_by_, folder = standing_.calling->keys, stamp = stamp_]() -> std::function<void()> {
-        Fresh fresh;
-        bool changed = true;
-        try {
-          changed = key_folder_stamp(folder) != stamp;
-          if (changed) fresh = by->read(folder);
-        } catch (const std::exception& e) {
-          fresh.problem = e.what();
-        }
-        return [this, changed, fresh] {
-          reading_ = false;
-          ++taken_;
-          if (changed) take(fresh, false);
-          if (std::exchange(again_, false)) reread();
-        };
-      });
+  warn_if_load_hangs(now);
+  if (loading_ || folder.empty() || now - load_started_at_ < interval) return;
+  begin_load();
+  worker_->run([this, folder, stamp = keys_stamp_]() -> Worker::Answer {
+    return [this, loaded = Source::load_key_sets(folder, stamp)] { finish_load(loaded, Scope::kKeySets); };
+  });
 }
 
-void AccessConfigLoader::take(const Fresh& fresh, bool all) {
-  if (!fresh.problem.empty()) {
-    // A folder that stays spoilt is looked at again and again; it is told once.
-    if (all || fresh.problem != complaint_) note_("calling: the old ring and rights stand: " + fresh.problem);
-    complaint_ = fresh.problem;
+void AccessConfigLoader::check_wall_clock() {
+  const Span ahead = loop_.wall_ahead();
+  const Span before = service_.gate()->wall_ahead();
+  if (ahead > before + kWallClockTolerance || ahead < before - kWallClockTolerance) {
+    const std::int64_t change_ms = (ahead - before).us() / 1000;
+    log_("calling: the machine's clock was set by " + std::to_string(change_ms) + " ms");
+  }
+  service_.gate()->wall_ahead(ahead);
+}
+
+// While a folder's file system hangs, keys that have been revoked there are not known here.
+void AccessConfigLoader::warn_if_load_hangs(Instant now) {
+  if (!loading_ || hang_logged_ || now - load_started_at_ <= kHangingLoad) return;
+  hang_logged_ = true;
+  log_("calling: reading keys and files has taken 5 s and goes on; the old ring and rights stand");
+}
+
+void AccessConfigLoader::begin_load() {
+  loading_ = true;
+  load_started_at_ = loop_.now();
+  hang_logged_ = false;
+}
+
+void AccessConfigLoader::finish_load(const Loaded& loaded, Scope scope) {
+  loading_ = false;
+  ++completed_loads_;
+  if (!loaded.unchanged) apply(loaded, scope);
+  if (std::exchange(load_again_, false)) reload();
+}
+
+void AccessConfigLoader::apply(const Loaded& loaded, Scope scope) {
+  if (!loaded.error.empty()) {
+    // A folder that stays malformed is read again and again; it is logged once.
+    const bool repeated = scope == Scope::kKeySets && loaded.error == last_error_;
+    if (!repeated) log_("calling: the old ring and rights stand: " + loaded.error);
+    last_error_ = loaded.error;
     return;
   }
-  complaint_.clear();
-  if (all) {
-    // What listens and whether callers are asked is settled at the start; what they are asked is not.
-    if (fresh.operators.calling.has_value() != standing_.calling.has_value() ||
-        fresh.operators.tls.has_value() != standing_.tls.has_value() ||
-        (fresh.tls && fresh.operators.tls->listen != standing_.tls->listen))
-      return note_(
-          "operator's file: the old one stands: calling, tls and its listener come and go by a restart");
-    standing_ = fresh.operators;
-    if (fresh.tls) service_.tls()->take(*standing_.tls, fresh.tls);
-    if (!standing_.calling) return note_("operator's file read again");
-    service_.gate()->terms(standing_.calling->terms, loop_.now());
-    note_("operator's file read again: " + std::to_string(standing_.calling->terms.tenants.size()) +
-          " tenants");
+  last_error_.clear();
+  if (scope == Scope::kEverything && !apply_config(loaded)) return;
+  apply_key_sets(loaded.keys);
+}
+
+// False where there are no key sets to apply.
+bool AccessConfigLoader::apply_config(const Loaded& loaded) {
+  if (needs_restart(loaded)) {
+    log_("operator's file: the old one stands: calling, tls and its listener come and go by a restart");
+    return false;
+  }
+  config_ = loaded.config;
+  if (loaded.tls) service_.tls()->take(*config_.tls, loaded.tls);
+  if (!config_.calling) {
+    log_("operator's file read again");
+    return false;
   }
-  take_keys(fresh.keys);
+  service_.gate()->terms(config_.calling->settings, loop_.now());
+  log_("operator's file read again: " + std::to_string(config_.calling->settings.tenants.size()) +
+       " tenants");
+  return true;
+}
+
+bool AccessConfigLoader::needs_restart(const Loaded& loaded) const {
+  return loaded.config.calling.has_value() != config_.calling.has_value() ||
+         loaded.config.tls.has_value() != config_.tls.has_value() ||
+         (loaded.tls && loaded.config.tls->listen != config_.tls->listen);
 }
 
-void AccessConfigLoader::take_keys(const KeyFolder& folder) {
-  stamp_ = folder.stamp;
+void AccessConfigLoader::apply_key_sets(const KeyFolder& folder) {
+  keys_stamp_ = folder.stamp;
   const auto change = service_.gate()->keys(folder.keys, loop_.now());
   if (!change.any()) return;
-  note_("calling: key ring " + std::to_string(service_.gate()->ring().epoch()) + ": " +
-        std::to_string(folder.keys.size()) + " keys listed, " + std::to_string(change.added) + " new, " +
-        std::to_string(change.back) + " back, " + std::to_string(change.retiring) + " retiring, " +
-        std::to_string(change.revoked) + " revoked, " + std::to_string(change.forgotten) + " forgotten");
+  log_("calling: key ring " + std::to_string(service_.gate()->ring().epoch()) + ": " +
+       std::to_string(folder.keys.size()) + " keys listed, " + std::to_string(change.added) + " new, " +
+       std::to_string(change.back) + " back, " + std::to_string(change.retiring) + " retiring, " +
+       std::to_string(change.revoked) + " revoked, " + std::to_string(change.forgotten) + " forgotten");
 }
 
 }  // namespace ashbeam
--- a/src/program/check_command.cpp
+++ b/src/program/check_command.cpp
@@ -1,25 +1,29 @@
-// `ashbeam check`: is the operator's file good, and what may stand in one?
+// `ashbeam check`: whether an operator's file can be used, and the schema of such files.
 #include <cstdio>
+#include <exception>
+#include <string_view>
 
 #include "program/commands.hpp"
-#include "program/operators.hpp"
+#include "program/operator_config.hpp"
+#include "program/operator_schema.hpp"
 
 namespace ashbeam {
 
 int check_file(const std::string& path) {
   try {
-    const Operators o = read_operators(path, nullptr, nullptr);
-    std::printf("%s: good; calling %s, %zu tenants; tls %s\n", path.c_str(), o.calling ? "on" : "off",
-                o.calling ? o.calling->terms.tenants.size() : 0, o.tls ? "on" : "off");
+    const OperatorConfig config = read_operator_config(path, nullptr);
+    const std::size_t tenants = config.calling ? config.calling->settings.tenants.size() : 0;
+    std::printf("%s: good; calling %s, %zu tenants; tls %s\n", path.c_str(), config.calling ? "on" : "off",
+                tenants, config.tls ? "on" : "off");
     return 0;
-  } catch (const std::exception& e) {
-    std::fprintf(stderr, "%s\n", e.what());
+  } catch (const std::exception& error) {
+    std::fprintf(stderr, "%s\n", error.what());
     return 1;
   }
 }
 
 int print_schema() {
-  const std::string_view schema = operators_schema();
+  const std::string_view schema = operator_schema();
   std::printf("%.*s", static_cast<int>(schema.size()), schema.data());
   return 0;
 }
--- a/src/program/commands.hpp
+++ b/src/program/commands.hpp
@@ -1,12 +1,13 @@
-// The sub-commands. Each returns the program's exit code: 0 good, 1 failed; wrong use is met before.
+// The sub-commands. Each returns the program's exit code: 0 for success, 1 for failure. Wrong use of the
+// command line ends before they are called.
 #pragma once
 #include <string>
 
 namespace ashbeam {
 
 struct ServeOptions {
-  std::string operators;  // path of the operator's file; empty: none
-  bool json = false;      // one JSON object a log line
+  std::string operator_file;  // its path; empty: none
+  bool json_log = false;      // one JSON object a log line
 };
 int serve(const ServeOptions& options);
 
--- a/src/program/demo.cpp
+++ b/src/program/demo.cpp
@@ -12,7 +12,8 @@
 #include "fakes/discovery.hpp"
 #include "fakes/endpoint.hpp"
 #include "fakes/release_platform.hpp"
-#include "program/environment.hpp"
+#include "program/router_limits.hpp"
+#include "program/startup_configuration.hpp"
 #include "protocol/json.hpp"
 #include "terms/router_settings_reader.hpp"
 #include "tokens/jws.hpp"
@@ -44,7 +45,7 @@
 class Demo {
  public:
   explicit Demo(const DemoOptions& options)
-      : start_(start_from(kSettings,
+      : start_(parse_startup_configuration(kSettings,
                           Site{"demo", "127.0.0.1:" + std::to_string(options.port), "", "", 7, "", ""})),
         terms_(read_router_settings(start_.settings)), door_(read_wire_settings(start_.settings)),
         limits_(limits_for(1024, door_, terms_)), discovery_(loop_, limits_),
@@ -180,7 +181,7 @@
   }
 
   EventLoop loop_;
-  Start start_;
+  StartupConfiguration start_;
   RouterSettings terms_;
   WireSettings door_;
   Limits limits_;
--- a/src/program/main.cpp
+++ b/src/program/main.cpp
@@ -1,5 +1,8 @@
-// The command line: plain `ashbeam` serves.
+// The command line. Without a sub-command `ashbeam` serves.
 #include <CLI/CLI.hpp>
+#include <cstdio>
+#include <functional>
+#include <string>
 
 #include "program/commands.hpp"
 #include "program/demo.hpp"
@@ -8,97 +11,131 @@
 
 using namespace ashbeam;
 
-constexpr int kWrongUse = 2;
+constexpr int kWrongUse = 2;  // exit code
 
-}  // namespace
+// What the command line has said.
+struct CommandLine {
+  ServeOptions serve;
+  std::string log_format = "plain";
+  std::string checked_file;
+  bool wants_schema = false;
+  KeysOptions keys;
+  std::string metadata_file;
+  std::string metadata_root;
+  std::string metadata_folder;
+  DemoOptions demo;
+  std::function<int()> command;  // empty: serve
+};
 
-int main(int argc, char** argv) {
-  CLI::App app{"ashbeam: a router that stands beside a service and votes on staged releases"};
-  app.require_subcommand(0, 1);
-  int code = 0;
-
-  ServeOptions serving;
-  std::string log = "plain";
-  const auto serve_flags = [&](CLI::App& on) {
-    on.add_option("--file", serving.operators, "the operator's file (typed records)")
-        ->envname("ASHBEAM_FILE");
-    on.add_option("--log", log, "plain or json: one object a line")->check(CLI::IsMember({"plain", "json"}));
-  };
-  serve_flags(app);
-  auto* const serve_command = app.add_subcommand("serve", "serve; what plain ashbeam does, too");
-  serve_flags(*serve_command);
-
-  std::string checked;
-  bool schema = false;
-  auto* const check = app.add_subcommand("check", "check an operator's file, or print what may stand in one");
-  auto* const file = check->add_option("FILE", checked, "the file");
-  check->add_flag("--schema", schema, "print the schema")->excludes(file);
+void add_serve_options(CLI::App& app, CommandLine& line) {
+  app.add_option("--file", line.serve.operator_file, "the operator's file (typed records)")
+      ->envname("ASHBEAM_FILE");
+  app.add_option("--log", line.log_format, "plain or json: one object a line")
+      ->check(CLI::IsMember({"plain", "json"}));
+}
 
-  KeysOptions keys;
-  auto* const keys_command =
-      app.add_subcommand("keys", "make, list, retire and revoke signing keys; sign tokens");
-  keys_command->require_subcommand(1);
-  const auto key_command = [&](const char* name, const char* what, int (*run)(const KeysOptions&)) {
-    auto* const command = keys_command->add_subcommand(name, what);
-    command->add_option("--keys", keys.folder, "folder of key sets")->capture_default_str();
-    command->callback([&code, &keys, run] { code = run(keys); });
-    return command;
-  };
-  auto* const fresh =
-      key_command("new", "make a key; the set that routers read gains its public part", keys_new);
-  fresh->add_option("--alg", keys.algorithm, "EdDSA or ES256")
+void add_serve_command(CLI::App& app, CommandLine& line) {
+  add_serve_options(*app.add_subcommand("serve", "serve; what plain ashbeam does, too"), line);
+}
+
+int check(const CommandLine& line) {
+  if (line.wants_schema) return print_schema();
+  if (!line.checked_file.empty()) return check_file(line.checked_file);
+  std::fprintf(stderr, "ashbeam check: FILE or --schema is needed\n");
+  return kWrongUse;
+}
+
+void add_check_command(CLI::App& app, CommandLine& line) {
+  CLI::App& command =
+      *app.add_subcommand("check", "check an operator's file, or print what may stand in one");
+  CLI::Option* const file = command.add_option("FILE", line.checked_file, "the file");
+  command.add_flag("--schema", line.wants_schema, "print the schema")->excludes(file);
+  command.callback([&line] { line.command = [&line] { return check(line); }; });
+}
+
+using KeysCommand = int (*)(const KeysOptions&);
+
+CLI::App& add_keys_subcommand(CLI::App& keys, CommandLine& line, const char* name, const char* description,
+                              KeysCommand run) {
+  CLI::App& command = *keys.add_subcommand(name, description);
+  command.add_option("--keys", line.keys.folder, "folder of key sets")->capture_default_str();
+  command.callback([&line, run] { line.command = [&line, run] { return run(line.keys); }; });
+  return command;
+}
+
+void add_token_command(CLI::App& keys, CommandLine& line) {
+  CLI::App& token = add_keys_subcommand(keys, line, "token", "sign a token and print it", keys_token);
+  token.add_option("--sub", line.keys.subject, "subject")->required();
+  token.add_option("--tenant", line.keys.tenant, "tenant")->required();
+  token.add_option("--iss", line.keys.issuer, "issuer");
+  token.add_option("--aud", line.keys.audience, "audience");
+  token.add_option("--life", line.keys.life, "until it expires, like 1h")->capture_default_str();
+  token.add_option("--kid", line.keys.kid, "the key; by default the newest that signs");
+  token.add_option("--cert", line.keys.certificate, "PEM certificate that the token is bound to");
+}
+
+void add_keys_command(CLI::App& app, CommandLine& line) {
+  CLI::App& keys = *app.add_subcommand("keys", "make, list, retire and revoke signing keys; sign tokens");
+  keys.require_subcommand(1);
+  CLI::App& create = add_keys_subcommand(
+      keys, line, "new", "make a key; the set that routers read gains its public part", keys_new);
+  create.add_option("--alg", line.keys.algorithm, "EdDSA or ES256")
       ->check(CLI::IsMember({"EdDSA", "ES256"}))
       ->capture_default_str();
-  fresh->add_option("--kid", keys.kid, "its name; by default its time and kind");
-  fresh->add_option("--from", keys.from, "how long until it signs, like 10m")->capture_default_str();
-  key_command("list", "the keys and their states", keys_list);
-  auto* const retire =
-      key_command("retire", "it signs no more; what it signed goes on for the overlap", keys_retire);
-  retire->add_option("KID", keys.kid, "the key's name")->required();
-  auto* const revoke = key_command("revoke", "nothing that it signed counts any more", keys_revoke);
-  revoke->add_option("KID", keys.kid, "the key's name")->required();
-  auto* const token = key_command("token", "sign a token and print it", keys_token);
-  token->add_option("--sub", keys.subject, "subject")->required();
-  token->add_option("--tenant", keys.tenant, "tenant")->required();
-  token->add_option("--iss", keys.issuer, "issuer");
-  token->add_option("--aud", keys.audience, "audience");
-  token->add_option("--life", keys.life, "until it expires, like 1h")->capture_default_str();
-  token->add_option("--kid", keys.kid, "the key; by default the newest that signs");
-  token->add_option("--cert", keys.certificate, "PEM certificate that the token is bound to");
-
-  auto* const metadata = app.add_subcommand("metadata", "look at update metadata (TUF)");
-  metadata->require_subcommand(1);
-  std::string shown, root, folder;
-  auto* const show = metadata->add_subcommand("show", "what a file says");
-  show->add_option("FILE", shown, "a role's file")->required();
-  show->callback([&] { code = metadata_show(shown); });
-  auto* const walk = metadata->add_subcommand("check", "follow a folder's files as a client does");
-  walk->add_option("--root", root, "the root that is trusted")->required();
-  walk->add_option("DIR", folder, "the folder")->required();
-  walk->callback([&] { code = metadata_check(root, folder); });
-
-  DemoOptions demoing;
-  auto* const demo_command =
-      app.add_subcommand("demo", "a router with stand-in hosts, discovery and desk on loopback");
-  demo_command
-      ->add_option("--seconds", demoing.seconds, "end after so long; 0: once both releases have ended")
+  create.add_option("--kid", line.keys.kid, "its name; by default its time and kind");
+  create.add_option("--from", line.keys.from, "how long until it signs, like 10m")->capture_default_str();
+  add_keys_subcommand(keys, line, "list", "the keys and their states", keys_list);
+  add_keys_subcommand(keys, line, "retire", "it signs no more; what it signed goes on for the overlap",
+                      keys_retire)
+      .add_option("KID", line.keys.kid, "the key's name")
+      ->required();
+  add_keys_subcommand(keys, line, "revoke", "nothing that it signed counts any more", keys_revoke)
+      .add_option("KID", line.keys.kid, "the key's name")
+      ->required();
+  add_token_command(keys, line);
+}
+
+void add_metadata_command(CLI::App& app, CommandLine& line) {
+  CLI::App& metadata = *app.add_subcommand("metadata", "look at update metadata (TUF)");
+  metadata.require_subcommand(1);
+  CLI::App& show = *metadata.add_subcommand("show", "what a file says");
+  show.add_option("FILE", line.metadata_file, "a role's file")->required();
+  show.callback([&line] { line.command = [&line] { return metadata_show(line.metadata_file); }; });
+  CLI::App& check = *metadata.add_subcommand("check", "follow a folder's files as a client does");
+  check.add_option("--root", line.metadata_root, "the root that is trusted")->required();
+  check.add_option("DIR", line.metadata_folder, "the folder")->required();
+  check.callback([&line] {
+    line.command = [&line] { return metadata_check(line.metadata_root, line.metadata_folder); };
+  });
+}
+
+void add_demo_command(CLI::App& app, CommandLine& line) {
+  CLI::App& command =
+      *app.add_subcommand("demo", "a router with fake endpoints, discovery and release platform on loopback");
+  command.add_option("--seconds", line.demo.seconds, "end after so long; 0: once both releases have ended")
       ->capture_default_str();
-  demo_command->add_option("--port", demoing.port, "the router's port; 0: any")->capture_default_str();
+  command.add_option("--port", line.demo.port, "the router's port; 0: any")->capture_default_str();
+  command.callback([&line] { line.command = [&line] { return demo(line.demo); }; });
+}
+
+}  // namespace
 
+int main(int argc, char** argv) {
+  CLI::App app{"ashbeam: a router that stands beside a service and votes on staged releases"};
+  app.require_subcommand(0, 1);
+  CommandLine line;
+  add_serve_options(app, line);
+  add_serve_command(app, line);
+  add_check_command(app, line);
+  add_keys_command(app, line);
+  add_metadata_command(app, line);
+  add_demo_command(app, line);
   try {
     app.parse(argc, argv);
-  } catch (const CLI::ParseError& e) {
-    return app.exit(e) == 0 ? 0 : kWrongUse;
-  }
-  serving.json = log == "json";
-  if (check->parsed()) {
-    if (!schema && checked.empty()) {
-      std::fprintf(stderr, "ashbeam check: FILE or --schema is needed\n");
-      return kWrongUse;
-    }
-    return schema ? print_schema() : check_file(checked);
+  } catch (const CLI::ParseError& error) {
+    return app.exit(error) == 0 ? 0 : kWrongUse;
   }
-  if (demo_command->parsed()) return demo(demoing);
-  if (keys_command->parsed() || metadata->parsed()) return code;
-  return serve(serving);
+  if (line.command) return line.command();
+  line.serve.json_log = line.log_format == "json";
+  return serve(line.serve);
 }
--- /dev/null
+++ b/src/program/operator_config.cpp
@@ -0,0 +1,243 @@
+#include "program/operator_config.hpp"
+
+#include <algorithm>
+#include <cstdint>
+#include <filesystem>
+#include <utility>
+
+#include "calling/directory.hpp"
+#include "program/operator_schema.hpp"
+#include "records/value.hpp"
+#include "store/files.hpp"
+#include "transport/connection.hpp"
+
+namespace ashbeam {
+
+namespace {
+
+using records::Value;
+
+constexpr std::size_t kMaxPemBytes = std::size_t{1024} * 1024;
+constexpr std::size_t kMaxRevocationListBytes = 16 * kMaxPemBytes;
+
+calling::Limit limit_of(const Value& value) {
+  calling::Limit limit;
+  if (!value.given()) return limit;
+  limit.per_s = value["per_s"].number;
+  limit.burst = value["burst"].number;
+  limit.in_hand = static_cast<std::uint32_t>(value["in_hand"].number);
+  return limit;
+}
+
+std::vector<std::string> names_of(const Value& list) {
+  std::vector<std::string> names;
+  for (const Value& item : list.items) names.push_back(item.text);
+  return names;
+}
+
+calling::SubjectTerms subject_of(const Value& value) {
+  calling::SubjectTerms subject;
+  subject.name = value["name"].text;
+  subject.any_path = !value["path_groups"].given();
+  subject.may = names_of(value["path_groups"]);
+  subject.limited = value["limit"].given();
+  subject.limit = limit_of(value["limit"]);
+  return subject;
+}
+
+calling::TenantSettings tenant_of(const Value& value) {
+  calling::TenantSettings tenant;
+  tenant.name = value["name"].text;
+  tenant.issuer = value["issuer"].text;
+  tenant.organisation = value["organisation"].text;
+  tenant.any_path = !value["path_groups"].given();
+  tenant.may = names_of(value["path_groups"]);
+  tenant.all = limit_of(value["limit"]);
+  tenant.each = limit_of(value["each"]);
+  tenant.only_listed = value["only_listed"].truth;
+  for (const Value& subject : value["subjects"].items) tenant.subjects.push_back(subject_of(subject));
+  return tenant;
+}
+
+TlsSettings::Clients client_certificates_of(const std::string& word) {
+  if (word == "off") return TlsSettings::Clients::kOff;
+  if (word == "optional") return TlsSettings::Clients::kOptional;
+  return TlsSettings::Clients::kRequired;
+}
+
+// The names that the deployment has; without one, whatever the tenants name.
+void set_known_names(calling::CallingSettings& settings, const Deployment* deployment) {
+  if (deployment) {
+    settings.path_groups = deployment->wire.request_classes;
+    settings.customers = deployment->wire.tenants;
+    return;
+  }
+  const auto add = [&settings](const std::vector<std::string>& names) {
+    settings.path_groups.insert(settings.path_groups.end(), names.begin(), names.end());
+  };
+  for (const calling::TenantSettings& tenant : settings.tenants) {
+    add(tenant.may);
+    for (const calling::SubjectTerms& subject : tenant.subjects) add(subject.may);
+  }
+}
+
+// Turns one checked file into settings, and gathers what the schema can't say.
+class ConfigReader {
+ public:
+  ConfigReader(const std::string& path, const Deployment* deployment)
+      : path_(path), deployment_(deployment) {}
+
+  OperatorConfig read(std::string_view text) {
+    records::Checked checked = records::check(operator_schema(), kOperatorFileDefinition, text);
+    problems_ = std::move(checked.problems);
+    OperatorConfig config;
+    if (problems_.empty()) config = read_sections(checked.value);
+    if (!problems_.empty()) throw OperatorConfigError(records::told(path_, problems_));
+    return config;
+  }
+
+ private:
+  OperatorConfig read_sections(const Value& file) {
+    const Value& calling = file["calling"];
+    const Value& tls = file["tls"];
+    const Value& metadata = file["metadata"];
+    OperatorConfig config;
+    if (calling.given()) config.calling = read_calling(calling);
+    if (tls.given()) config.tls = read_tls(tls);
+    if (metadata.given()) config.metadata = read_metadata(metadata);
+    const bool has_certificates = tls.given() && tls["clients"].text != "off";
+    if (calling.given() && calling["prove"].text == "required" && !calling["tokens"].given() &&
+        !has_certificates) {
+      add_problem(calling, "calling.prove", "tokens or tls.clients, or nobody can prove anything", "neither");
+    }
+    return config;
+  }
+
+  CallingConfig read_calling(const Value& value) {
+    CallingConfig config;
+    calling::CallingSettings& settings = config.settings;
+    settings.required = value["prove"].text == "required";
+    if (value["tokens"].given()) read_tokens(value["tokens"], config);
+    settings.subjects = static_cast<std::size_t>(value["subjects"].number);
+    settings.reach = static_cast<std::uint32_t>(value["reach"].number);
+    settings.bank = value["bank"].span();
+    settings.lend = value["lend"].number;
+    for (const Value& tenant : value["tenants"].items) settings.tenants.push_back(tenant_of(tenant));
+    if (deployment_) {
+      settings.routers = deployment_->router.router_count;
+      for (const RequestClass& request_class : deployment_->router.request_classes) {
+        settings.longest_hit = std::max(settings.longest_hit, request_class.client_timeout);
+      }
+    }
+    set_known_names(settings, deployment_);
+    for (const std::string& problem : calling::problems_of(settings)) {
+      add_problem(value["tenants"], "calling.tenants", "names that fit", problem);
+    }
+    return config;
+  }
+
+  void read_tokens(const Value& value, CallingConfig& config) {
+    config.key_folder = resolve_path(value["keys"]);
+    config.key_poll_interval = value["reread"].span();
+    config.forward_tokens = value["go_on"].truth;
+    calling::CallingSettings& settings = config.settings;
+    settings.issuer = value["issuer"].text;
+    settings.audience = value["audience"].text;
+    settings.tenant_claim = value["tenant_claim"].text;
+    settings.leeway = value["leeway"].span();
+    settings.overlap = value["overlap"].span();
+    settings.longest_life = value["longest"].span();
+    settings.cached_tokens = static_cast<std::size_t>(value["cached"].number);
+    settings.verifications_per_s = value["verifications_per_s"].number;
+  }
+
+  MetadataConfig read_metadata(const Value& value) {
+    MetadataConfig config;
+    config.max_clients = static_cast<std::size_t>(value["clients"].number);
+    for (const Value& repository : value["repositories"].items) {
+      check_prefix(repository["prefix"]);
+      config.repositories.push_back(
+          {repository["prefix"].text, resolve_path(repository["root"]), repository["lag"].span()});
+    }
+    return config;
+  }
+
+  // A prefix is a request class of the deployment, and a path within it.
+  void check_prefix(const Value& value) {
+    const std::string& prefix = value.text;
+    const std::size_t second_slash = prefix.find('/', 1);
+    const bool well_formed = prefix[0] == '/' && second_slash != std::string::npos && prefix.ends_with('/');
+    if (!well_formed) {
+      add_problem(value, "metadata.repositories", "a prefix like /look/updates/", records::quoted(prefix));
+      return;
+    }
+    if (!deployment_) return;
+    const std::vector<std::string>& known = deployment_->wire.request_classes;
+    const std::string request_class = prefix.substr(1, second_slash - 1);
+    if (std::find(known.begin(), known.end(), request_class) != known.end()) return;
+    add_problem(value, "metadata.repositories", "a path group at the prefix's head", records::quoted(prefix));
+  }
+
+  TlsSettings read_tls(const Value& value) {
+    TlsSettings settings;
+    settings.listen = value["listen"].text;
+    if (!is_address(settings.listen) && !settings.listen.ends_with(":0")) {
+      add_problem(value["listen"], "tls.listen", "a numeric address and port",
+                  records::quoted(settings.listen));
+    }
+    settings.certificate = resolve_path(value["certificate"]);
+    settings.key = resolve_path(value["key"]);
+    settings.trust = resolve_path(value["trust"]);
+    settings.crl = resolve_path(value["crl"]);
+    settings.revoked = resolve_path(value["revoked"]);
+    settings.clients = client_certificates_of(value["clients"].text);
+    if (settings.clients != TlsSettings::Clients::kOff && settings.trust.empty()) {
+      add_problem(value["clients"], "tls.trust", "who signs clients' certificates", "nothing");
+    }
+    settings.only_13 = value["oldest"].text == "1.3";
+    settings.handshakes = static_cast<std::size_t>(value["handshakes"].number);
+    settings.handshake = value["handshake"].span();
+    settings.handshake_cpu = value["handshake_cpu"].number;
+    settings.ticket_turn = value["ticket_turn"].span();
+    return settings;
+  }
+
+  std::string resolve_path(const Value& value) const {
+    if (value.text.empty()) return {};
+    const std::filesystem::path given(value.text);
+    if (given.is_absolute()) return value.text;
+    return (std::filesystem::path(path_).parent_path() / given).string();
+  }
+
+  void add_problem(const Value& value, const std::string& path, const std::string& wanted,
+                   const std::string& found) {
+    problems_.push_back({value.at, path, "wanted " + wanted + ", found " + found});
+  }
+
+  const std::string& path_;
+  const Deployment* deployment_;
+  std::vector<records::Problem> problems_;
+};
+
+}  // namespace
+
+OperatorConfig read_operator_config(const std::string& path, const Deployment* deployment) {
+  return parse_operator_config(read_file(path, records::kLongestFile), path, deployment);
+}
+
+OperatorConfig parse_operator_config(std::string_view text, const std::string& path,
+                                     const Deployment* deployment) {
+  return ConfigReader(path, deployment).read(text);
+}
+
+TlsFiles read_tls_files(const TlsSettings& settings) {
+  const auto read_if_named = [](const std::string& path, std::size_t max_bytes) {
+    return path.empty() ? "" : read_file(path, max_bytes);
+  };
+  need_private(settings.key);
+  return {read_if_named(settings.certificate, kMaxPemBytes), read_if_named(settings.key, kMaxPemBytes),
+          read_if_named(settings.trust, kMaxPemBytes), read_if_named(settings.crl, kMaxRevocationListBytes),
+          read_if_named(settings.revoked, kMaxRevocationListBytes)};
+}
+
+}  // namespace ashbeam
--- a/src/program/serve.cpp
+++ b/src/program/serve.cpp
@@ -1,4 +1,4 @@
-// One router: reads what the machine tells it, serves until it is told to stop.
+// `ashbeam serve`: one router, from its configuration to the signal that stops it.
 #include <Poco/ErrorHandler.h>
 #include <Poco/Exception.h>
 #include <spdlog/spdlog.h>
@@ -9,12 +9,15 @@
 #include <cstdio>
 #include <cstdlib>
 #include <memory>
+#include <string>
 #include <string_view>
+#include <vector>
 
 #include "program/access_config_loader.hpp"
 #include "program/commands.hpp"
-#include "program/environment.hpp"
 #include "program/log_sink.hpp"
+#include "program/router_limits.hpp"
+#include "program/startup_configuration.hpp"
 #include "routing/service.hpp"
 #include "terms/router_settings_reader.hpp"
 
@@ -22,108 +25,157 @@
 
 namespace {
 
-volatile std::sig_atomic_t stop_asked = 0, reading_asked = 0, detail_asked = 0;
-
 // Topics of detailed log lines from the start, see DetailLog; SIGUSR1 switches all of them on and off in
 // service.
-constexpr const char* kLogVariable = "ASHBEAM_LOG";
+constexpr const char* kDetailLogVariable = "ASHBEAM_LOG";
+constexpr Span kSignalPollInterval = Span::ms(20);
+constexpr std::size_t kMinSockets = 64;
+
+// Set by signal handlers, cleared by the event loop.
+volatile std::sig_atomic_t stop_requested = 0;
+volatile std::sig_atomic_t reload_requested = 0;
+volatile std::sig_atomic_t detail_log_requested = 0;
+
+bool take_request(volatile std::sig_atomic_t& request) {
+  const bool requested = request != 0;
+  if (requested) request = 0;
+  return requested;
+}
 
-class Complaints : public Poco::ErrorHandler {  // no exception ends the loop
+void install_signal_handlers() {
+  std::signal(SIGPIPE, SIG_IGN);
+  for (const int signal : {SIGTERM, SIGINT}) std::signal(signal, [](int) { stop_requested = 1; });
+  std::signal(SIGUSR1, [](int) { detail_log_requested = 1; });
+  std::signal(SIGHUP, [](int) { reload_requested = 1; });
+}
+
+// Logs what callbacks of the event loop throw, so that no exception ends the loop.
+class LoopErrorLog : public Poco::ErrorHandler {
  public:
-  void exception(const Poco::Exception& e) override { spdlog::error("exception: {}", e.displayText()); }
-  void exception(const std::exception& e) override { spdlog::error("exception: {}", e.what()); }
+  void exception(const Poco::Exception& error) override {
+    spdlog::error("exception: {}", error.displayText());
+  }
+  void exception(const std::exception& error) override { spdlog::error("exception: {}", error.what()); }
   void exception() override { spdlog::error("exception of an unknown kind"); }
 };
 
-Start read() {
-  return read_start([](const char* name) -> const char* { return std::getenv(name); });
+void log_line(std::string_view line) { spdlog::info("{}", line); }
+
+StartupConfiguration read_configuration() {
+  return read_startup_configuration([](const char* name) -> const char* { return std::getenv(name); });
 }
 
-// The configuration is read whole and checked before anything of it counts.
-void read_again(const Start& standing, Service& service) {
-  try {
-    const Start next = read();
-    read_router_settings(next.settings);
-    read_wire_settings(next.settings);
-    service.move_to(next.site.discovery, next.site.desk);
-    spdlog::info("configuration read again: discovery {}, desk {}{}", next.site.discovery, next.site.desk,
-                 next.settings == standing.settings ? "" : "; other settings count from the next start");
-  } catch (const std::exception& e) {
-    spdlog::error("configuration can't be used, the old one stands: {}", e.what());
-  }
+// The machine may grant fewer descriptors than the configuration says.
+std::size_t available_sockets(std::size_t configured) {
+  rlimit descriptors{};
+  if (::getrlimit(RLIMIT_NOFILE, &descriptors) != 0) return configured;
+  return std::min<std::size_t>(configured, std::max<rlim_t>(descriptors.rlim_cur, kMinSockets));
 }
 
-int run(const ServeOptions& options) {
-  Start start = read();
-  rlimit descriptors{};  // the machine may grant fewer than the configuration says
-  if (::getrlimit(RLIMIT_NOFILE, &descriptors) == 0) {
-    start.sockets = std::min<std::size_t>(start.sockets, std::max<rlim_t>(descriptors.rlim_cur, 64));
-  }
+RouterSettings read_settings_and_log_doubts(const SettingsMap& settings) {
   std::vector<std::string> doubts;
-  const RouterSettings terms = read_router_settings(start.settings, &doubts);
+  RouterSettings router = read_router_settings(settings, &doubts);
   for (const std::string& doubt : doubts) spdlog::warn("{}", doubt);
-  const WireSettings door = read_wire_settings(start.settings);
-  const Limits limits = limits_for(start.sockets, door, terms);
-
-  EventLoop loop;
-  Service service(loop, limits, terms, door, start.site,
-                  [](std::string_view line) { spdlog::info("{}", line); });
-  std::unique_ptr<AccessConfigLoader> guardian;  // nothing of it is there where no file is named
-  if (!options.operators.empty()) {
-    guardian =
-        std::make_unique<AccessConfigLoader>(loop, service, door, terms, options.operators, start.site.seed,
-                                             [](std::string_view line) { spdlog::info("{}", line); });
+  return router;
+}
+
+// A router's process between its start and its end.
+class Process {
+ public:
+  explicit Process(const ServeOptions& options)
+      : configuration_(read_configuration()),
+        router_settings_(read_settings_and_log_doubts(configuration_.settings)),
+        wire_settings_(read_wire_settings(configuration_.settings)),
+        limits_(limits_for(available_sockets(configuration_.max_sockets), wire_settings_, router_settings_)),
+        service_(loop_, limits_, router_settings_, wire_settings_, configuration_.site, log_line),
+        signal_timer_(loop_, [this] { handle_signals(); }) {
+    if (options.operator_file.empty()) return;
+    access_loader_ =
+        std::make_unique<AccessConfigLoader>(loop_, service_, wire_settings_, router_settings_,
+                                             options.operator_file, configuration_.site.seed, log_line);
   }
-  const char* const log_wanted = std::getenv(kLogVariable);
-  service.detail_log().enable(log_wanted ? log_wanted : "");
-  service.start();
-  spdlog::info("{} serves at {}: {} path groups, router {} of {}", start.site.name, start.site.listen,
-               terms.request_classes.size(), terms.router_index, terms.router_count);
-
-  Timer signals(loop, [&] {
-    signals.in(Span::ms(20));  // first: what a signal asks for may fail, and the next must still be heard
-    if (stop_asked != 0) {
-      stop_asked = 0;
-      spdlog::info("told to stop");
-      service.wind_down([&] { loop.stop(); });
-    }
-    if (detail_asked != 0) {
-      detail_asked = 0;
-      DetailLog& detail = service.detail_log();
-      detail.enable(detail.on() ? "" : "all");
-      spdlog::info("detailed lines {}", detail.on() ? "on" : "off");
+
+  void run() {
+    const char* const topics = std::getenv(kDetailLogVariable);
+    service_.detail_log().enable(topics ? topics : "");
+    service_.start();
+    spdlog::info("{} serves at {}: {} request classes, router {} of {}", configuration_.site.name,
+                 configuration_.site.listen, router_settings_.request_classes.size(),
+                 router_settings_.router_index, router_settings_.router_count);
+    signal_timer_.in(Span());
+    loop_.run();
+    spdlog::info("stopped");
+  }
+
+ private:
+  void handle_signals() {
+    signal_timer_.in(kSignalPollInterval);  // first: what follows may throw, and the next signal still counts
+    if (take_request(stop_requested)) stop();
+    if (take_request(detail_log_requested)) toggle_detail_log();
+    if (take_request(reload_requested)) reload();
+  }
+
+  void stop() {
+    spdlog::info("stop signal received");
+    service_.wind_down([this] { loop_.stop(); });
+  }
+
+  void toggle_detail_log() {
+    DetailLog& detail = service_.detail_log();
+    detail.enable(detail.on() ? "" : "all");
+    spdlog::info("detailed lines {}", detail.on() ? "on" : "off");
+  }
+
+  void reload() {
+    if (service_.winding_down()) {
+      spdlog::info("configuration not read again: shutting down");
+      return;
     }
-    if (reading_asked != 0) {
-      reading_asked = 0;
-      if (service.winding_down()) return spdlog::info("configuration not read again: told to stop");
-      read_again(start, service);
-      if (guardian) guardian->reread();
+    reload_configuration();
+    if (access_loader_) access_loader_->reload();
+  }
+
+  // The configuration is read and checked as a whole before anything of it counts.
+  void reload_configuration() {
+    try {
+      const StartupConfiguration next = read_configuration();
+      read_router_settings(next.settings);
+      read_wire_settings(next.settings);
+      service_.move_to(next.site.discovery, next.site.desk);
+      const bool same_settings = next.settings == configuration_.settings;
+      spdlog::info("configuration read again: discovery {}, release platform {}{}", next.site.discovery,
+                   next.site.desk, same_settings ? "" : "; other settings count from the next start");
+    } catch (const std::exception& error) {
+      spdlog::error("configuration can't be used, the old one stands: {}", error.what());
     }
-  });
-  signals.in(Span());
-  loop.run();
-  spdlog::info("stopped");
-  return 0;
-}
+  }
+
+  StartupConfiguration configuration_;
+  RouterSettings router_settings_;
+  WireSettings wire_settings_;
+  Limits limits_;
+  EventLoop loop_;
+  Service service_;
+  std::unique_ptr<AccessConfigLoader> access_loader_;  // null where no operator's file is named
+  Timer signal_timer_;
+};
 
 }  // namespace
 
 int serve(const ServeOptions& options) {
-  std::signal(SIGPIPE, SIG_IGN);
-  for (const int signal : {SIGTERM, SIGINT}) std::signal(signal, [](int) { stop_asked = 1; });
-  std::signal(SIGUSR1, [](int) { detail_asked = 1; });
-  std::signal(SIGHUP, [](int) { reading_asked = 1; });
-  Complaints complaints;
-  Poco::ErrorHandler::set(&complaints);
+  install_signal_handlers();
+  LoopErrorLog loop_errors;
+  Poco::ErrorHandler::set(&loop_errors);
   spdlog::set_default_logger(std::make_shared<spdlog::logger>("ashbeam", std::make_shared<LogSink>()));
-  if (options.json) spdlog::set_formatter(std::make_unique<JsonLines>());
+  if (options.json_log) spdlog::set_formatter(std::make_unique<JsonLineFormatter>());
   else spdlog::set_pattern("%Y-%m-%dT%H:%M:%S.%e %l %v");
   try {
-    return run(options);
-  } catch (const Poco::Exception& e) {
-    std::fprintf(stderr, "ashbeam: %s\n", e.displayText().c_str());
-  } catch (const std::exception& e) {
-    std::fprintf(stderr, "ashbeam: %s\n", e.what());
+    Process(options).run();
+    return 0;
+  } catch (const Poco::Exception& error) {
+    std::fprintf(stderr, "ashbeam: %s\n", error.displayText().c_str());
+  } catch (const std::exception& error) {
+    std::fprintf(stderr, "ashbeam: %s\n", error.what());
   }
   return 1;
 }
--- /dev/null
+++ b/src/program/startup_configuration.cpp
@@ -0,0 +1,129 @@
+#include "program/startup_configuration.hpp"
+
+#include <algorithm>
+#include <charconv>
+#include <cstdint>
+#include <fstream>
+#include <optional>
+#include <sstream>
+#include <string>
+#include <utility>
+
+#include "transport/connection.hpp"
+
+namespace ashbeam {
+
+namespace {
+
+constexpr double kDefaultSockets = 1024;
+constexpr double kMinSockets = 64;
+constexpr double kMaxSockets = 1e6;
+constexpr int kSeedBase = 16;
+
+// A plain value, as text.
+std::string plain_text(const Json& value) { return value.text().value_or(std::string(value.raw())); }
+
+void flatten(SettingsMap& settings, const std::string& key, const Json& value);
+
+void flatten_list(SettingsMap& settings, const std::string& key, const std::string& prefix,
+                  const Json& list) {
+  std::string joined;
+  std::size_t count = 0;
+  bool has_objects = false;
+  list.each_item([&](const Json& item) {
+    if (item.is_object()) {
+      has_objects = true;
+      flatten(settings, prefix + std::to_string(count), item);
+    } else {
+      joined.append(count > 0 ? "," : "").append(listed_name(plain_text(item)));
+    }
+    ++count;
+  });
+  if (has_objects) settings.put(prefix + "count", std::to_string(count));
+  else settings.put(key, joined);
+}
+
+void flatten(SettingsMap& settings, const std::string& key, const Json& value) {
+  const std::string prefix = key.empty() ? "" : key + ".";
+  if (value.is_object()) {
+    value.each_member(
+        [&](const std::string& name, const Json& member) { flatten(settings, prefix + name, member); });
+  } else if (value.is_list()) {
+    flatten_list(settings, key, prefix, value);
+  } else {
+    settings.put(key, listed_name(plain_text(value)));
+  }
+}
+
+std::uint64_t parse_seed(const std::optional<Json>& given) {
+  const std::string text = given ? plain_text(*given) : "";
+  const char* const last = text.data() + text.size();
+  std::uint64_t seed = 0;
+  const auto [end, error] = std::from_chars(text.data(), last, seed, kSeedBase);
+  if (error != std::errc() || end != last) throw ConfigurationError("configuration: 'seed' is no seed");
+  return seed;
+}
+
+void check_address(const char* key, const std::string& address) {
+  if (address.empty() || is_address(address)) return;
+  throw ConfigurationError(std::string("configuration: '") + key + "' is no numeric address");
+}
+
+std::string read_whole_file(const std::string& path) {
+  std::ifstream file(path, std::ios::binary);
+  std::ostringstream text;
+  if (!file || !(text << file.rdbuf())) {
+    throw ConfigurationError("PROXY_CONFIG: '" + path + "' can't be read");
+  }
+  return text.str();
+}
+
+}  // namespace
+
+SettingsMap flatten_settings(const Json& settings) {
+  SettingsMap flat;
+  flatten(flat, "", settings);
+  return flat;
+}
+
+StartupConfiguration parse_startup_configuration(std::string_view text, Site site) {
+  const auto file = Json::parse(text);
+  if (!file || !file->is_object()) throw ConfigurationError("configuration: not a JSON object");
+  const auto settings = file->member("settings");
+  if (!settings || !settings->is_object()) throw ConfigurationError("configuration: 'settings' is missing");
+  const auto platform = file->member("release_api");
+  if (!platform || platform->text("address").empty()) {
+    throw ConfigurationError("configuration: 'release_api.address' is missing");
+  }
+  site.seed = parse_seed(file->member("seed"));
+  site.desk = platform->text("address");
+  if (!file->text("discovery").empty()) site.discovery = file->text("discovery");
+  check_address("release_api.address", site.desk);
+  check_address("discovery", site.discovery);
+  if (const auto release_state = platform->member("news")) site.news = release_state->raw();
+  if (const auto endpoint_list = file->member("known")) site.known = endpoint_list->raw();
+  StartupConfiguration configuration;
+  configuration.site = std::move(site);
+  configuration.settings = flatten_settings(*settings);
+  if (const auto limits = file->member("limits")) {
+    const double sockets = limits->number("sockets", kDefaultSockets);
+    configuration.max_sockets = static_cast<std::size_t>(std::clamp(sockets, kMinSockets, kMaxSockets));
+  }
+  return configuration;
+}
+
+StartupConfiguration read_startup_configuration(const char* (*variable)(const char*)) {
+  const auto required = [variable](const char* name) {
+    const char* const value = variable(name);
+    if (!value || !*value) throw ConfigurationError(std::string(name) + " is not set");
+    return std::string(value);
+  };
+  Site site;
+  site.name = required("PROXY_NAME");
+  site.listen = required("PROXY_LISTEN");
+  site.discovery = required("PROXY_DISCOVERY");
+  const std::string path = required("PROXY_CONFIG");
+  return parse_startup_configuration(read_whole_file(path), std::move(site));
+}
+
+}  // namespace ashbeam
--- a/tests/access_config_loader_test.cpp
+++ b/tests/access_config_loader_test.cpp
@@ -28,10 +28,10 @@
   std::string at(const std::string& name) const { return path + "/" + name; }
 };
 
-class GuardianTest : public RouterTest {
+class AccessConfigLoaderTest : public RouterTest {
  protected:
   Folder folder_;
-  std::unique_ptr<AccessConfigLoader> guardian_;
+  std::unique_ptr<AccessConfigLoader> loader_;
   Signer signer_{"k1", tokens::Algorithm::kEdDsa};
   std::atomic<unsigned> noted_ = 0;
   std::vector<std::string> told_;
@@ -47,7 +47,7 @@
   }
   void open() {
     before_start_ = [this] {
-      guardian_ = std::make_unique<AccessConfigLoader>(
+      loader_ = std::make_unique<AccessConfigLoader>(
           loop_, *service_, door_, terms_, folder_.at("o.cue"), 7,
           [this](std::string_view line) { told_.emplace_back(line), ++noted_; });
     };
@@ -55,7 +55,7 @@
   }
   void TearDown() override {
     RouterTest::TearDown();
-    guardian_.reset();
+    loader_.reset();
   }
   unsigned ask(const Signer& signer) {
     Stream c = client();
@@ -71,7 +71,7 @@
   }
 };
 
-TEST_F(GuardianTest, KeysThatChangeInTheFolderCountSoon) {
+TEST_F(AccessConfigLoaderTest, KeysThatChangeInTheFolderCountSoon) {
   file("");
   keys({signer_.listed()});
   open();
@@ -85,12 +85,12 @@
   auto gone = signer_.listed();
   gone.revoked = true;
   keys({next.listed(), gone});
-  run_on_loop([&] { guardian_->reread(); });
+  run_on_loop([&] { loader_->reload(); });
   usleep(100000);
   EXPECT_EQ(ask(signer_), 401U);
 }
 
-TEST_F(GuardianTest, WhatIsSpoiltChangesNothingAndIsNamedOnce) {
+TEST_F(AccessConfigLoaderTest, WhatIsSpoiltChangesNothingAndIsNamedOnce) {
   file("");
   keys({signer_.listed()});
   open();
@@ -127,18 +127,18 @@
     EXPECT_EQ(line.find(signer_.key.members(true).substr(60)), std::string::npos);
 }
 
-TEST_F(GuardianTest, RightsAreReadAgainWholeOrNotAtAll) {
+TEST_F(AccessConfigLoaderTest, RightsAreReadAgainWholeOrNotAtAll) {
   file(", path_groups: [\"look\"]", "1h");
   keys({signer_.listed()});
   open();
   EXPECT_EQ(ask(signer_), 200U);
   file(", path_groups: [\"lok\"]", "1h");
-  run_on_loop([&] { guardian_->reread(); });
+  run_on_loop([&] { loader_->reload(); });
   usleep(100000);
   EXPECT_EQ(ask(signer_), 200U);
   file(", path_groups: [\"pay\"]", "1h");
   run_on_loop([&] {
-    for (int i = 0; i < 50; ++i) guardian_->reread();  // a storm of signals is read twice
+    for (int i = 0; i < 50; ++i) loader_->reload();  // a storm of signals is read twice
   });
   usleep(150000);
   EXPECT_EQ(ask(signer_), 403U);
@@ -150,7 +150,7 @@
             2);
 }
 
-TEST_F(GuardianTest, ABadFileAtTheStartEndsIt) {
+TEST_F(AccessConfigLoaderTest, ABadFileAtTheStartEndsIt) {
   file(", path_groups: [\"lok\"]");
   keys({});
   service_ = std::make_unique<Service>(
@@ -158,7 +158,7 @@
       Site{"n", "127.0.0.1:0", discovery_.address(), desk_.address(), 7, "", ""}, [](std::string_view) {});
   EXPECT_THROW(
       AccessConfigLoader(loop_, *service_, door_, terms_, folder_.at("o.cue"), 7, [](std::string_view) {}),
-      OperatorsError);
+      OperatorConfigError);
   service_.reset();
 }
 
@@ -232,12 +232,12 @@
 }
 
 TEST(JsonLog, EachLineIsOneObjectHoweverLongOrOddItsText) {
-  JsonLines lines;
+  JsonLineFormatter formatter;
   for (const std::string& text : {std::string("plain"), std::string("quote \" and \n and \x01"),
                                   std::string(5000, '"'), std::string(5000, 'x')}) {
     spdlog::details::log_msg msg("n", spdlog::level::info, text);
     spdlog::memory_buf_t line;
-    lines.format(msg, line);
+    formatter.format(msg, line);
     ASSERT_LE(line.size(), 1024U);
     ASSERT_EQ(line.data()[line.size() - 1], '\n');
     const auto json = Json::parse(std::string_view(line.data(), line.size() - 1));
--- a/tests/records_test.cpp
+++ b/tests/records_test.cpp
@@ -3,7 +3,7 @@
 
 #include <chrono>
 
-#include "program/operators.hpp"
+#include "program/operator_config.hpp"
 #include "records/value.hpp"
 #include "store/files.hpp"
 
@@ -134,27 +134,28 @@
 // ---- The operator's file ----
 
 std::string operators_faults(const std::string& text) {
-  WireSettings door;
-  door.request_classes = {"look"}, door.tenants = {"shop"};
+  Deployment deployment;
+  deployment.wire.request_classes = {"look"};
+  deployment.wire.tenants = {"shop"};
   try {
-    operators_from(text, "o.cue", &door, nullptr);
-  } catch (const OperatorsError& e) {
+    parse_operator_config(text, "o.cue", &deployment);
+  } catch (const OperatorConfigError& e) {
     return e.what();
   }
   return "";
 }
 
 TEST(OperatorsFile, SaysWhoMayWhat) {
-  const Operators o = operators_from(
+  const OperatorConfig o = parse_operator_config(
       "calling: {prove: \"required\", tokens: {keys: \"k\"}, tenants: [{name: \"shop\", each: {per_s: 5, "
       "burst: 2}, "
       "subjects: [{name: \"app-*\", limit: {in_hand: 3}}]}]}",
-      "dir/o.cue", nullptr, nullptr);
+      "dir/o.cue", nullptr);
   ASSERT_TRUE(o.calling && !o.tls);
-  EXPECT_EQ(o.calling->keys, "dir/k");
-  EXPECT_TRUE(o.calling->terms.required);
-  EXPECT_EQ(o.calling->terms.tenants[0].each, (calling::Limit{5, 2, 0}));
-  EXPECT_EQ(o.calling->terms.tenants[0].subjects[0].limit.in_hand, 3U);
+  EXPECT_EQ(o.calling->key_folder, "dir/k");
+  EXPECT_TRUE(o.calling->settings.required);
+  EXPECT_EQ(o.calling->settings.tenants[0].each, (calling::Limit{5, 2, 0}));
+  EXPECT_EQ(o.calling->settings.tenants[0].subjects[0].limit.in_hand, 3U);
   EXPECT_EQ(operators_faults(""), "");
 }
 
--- a/tests/router_test.cpp
+++ b/tests/router_test.cpp
@@ -699,7 +699,7 @@
 TEST(Start, WhatIsMissingIsNamed) {
   const auto complaint = [](const std::string& text) {
     try {
-      read_router_settings(start_from(text, {}).settings);
+      read_router_settings(parse_startup_configuration(text, {}).settings);
     } catch (const std::runtime_error& e) {
       return std::string(e.what());
     }
@@ -717,18 +717,18 @@
   EXPECT_NE(
       complaint(R"({"discovery":"10.1",)" + rest + R"("1.2.3.4:5"}})").find("'discovery' is no numeric"),
       std::string::npos);
-  EXPECT_EQ(start_from(R"({"discovery":"1.2.3.4:6",)" + rest + R"("1.2.3.4:5"}})", {}).site.discovery,
+  EXPECT_EQ(parse_startup_configuration(R"({"discovery":"1.2.3.4:6",)" + rest + R"("1.2.3.4:5"}})", {}).site.discovery,
             "1.2.3.4:6");
   try {
-    read_start([](const char*) -> const char* { return nullptr; });
+    read_startup_configuration([](const char*) -> const char* { return nullptr; });
     FAIL();
-  } catch (const StartError& e) {
+  } catch (const ConfigurationError& e) {
     EXPECT_STREQ(e.what(), "PROXY_NAME is not set");
   }
 }
 
 TEST(Start, NestedSettingsBecomePaths) {
-  const SettingsMap pairs = pairs_of(*Json::parse(
+  const SettingsMap pairs = flatten_settings(*Json::parse(
       R"({"tickMs":5.0,"allowed":{"cancel":true},"zones":["a b","c"],"grades":[{"name":"x","worth":2}],"no":[]})"));
   EXPECT_EQ(pairs.number("tickMs"), 5.0);
   EXPECT_TRUE(pairs.flag("allowed.cancel"));
--- a/tests/router_world.hpp
+++ b/tests/router_world.hpp
@@ -11,7 +11,8 @@
 #include <thread>
 
 #include "helpers.hpp"
-#include "program/environment.hpp"
+#include "program/router_limits.hpp"
+#include "program/startup_configuration.hpp"
 #include "routing/service.hpp"
 
 namespace ashbeam {
--- a/tests/signals_test.cpp
+++ b/tests/signals_test.cpp
@@ -67,16 +67,16 @@
 TEST_F(SignalsTest, ToReadAgainAndToStopAtOnceItStops) {
   together({SIGHUP, SIGTERM});
   EXPECT_TRUE(ends());
-  EXPECT_NE(text_.find("configuration not read again: told to stop"), std::string::npos) << text_;
+  EXPECT_NE(text_.find("configuration not read again: shutting down"), std::string::npos) << text_;
   EXPECT_EQ(text_.find("configuration read again"), std::string::npos);
 }
 
 TEST_F(SignalsTest, WhileStoppingNothingIsReadAgain) {
   together({SIGTERM});
-  ASSERT_TRUE(says("told to stop"));
+  ASSERT_TRUE(says("stop signal received"));
   together({SIGHUP, SIGTERM, SIGINT});
   EXPECT_TRUE(ends());
-  EXPECT_NE(text_.find("configuration not read again: told to stop"), std::string::npos) << text_;
+  EXPECT_NE(text_.find("configuration not read again: shutting down"), std::string::npos) << text_;
 }
 
 TEST_F(SignalsTest, ReadAgainManyTimesItGoesOnAndEnds) {
--- a/tests/tls_test.cpp
+++ b/tests/tls_test.cpp
@@ -13,7 +13,7 @@
 #include "fakes/endpoint.hpp"
 #include "fakes/pki.hpp"
 #include "fakes/release_platform.hpp"
-#include "program/operators.hpp"
+#include "program/operator_config.hpp"
 #include "router_world.hpp"
 
 namespace ashbeam {
