--- a/src/program/keys_command.cpp
+++ b/src/program/keys_command.cpp
@@ -75,10 +75,9 @@
 }
 
 Span span(const std::string& text) {
-  Span s;
-  if (!records::span_of(text, s))
-    throw std::runtime_error("wanted a span like 10m, found " + records::quoted(text));
-  return s;
+  const auto parsed = records::parse_span(text);
+  if (!parsed) throw std::runtime_error("wanted a span like 10m, found " + records::quoted(text));
+  return *parsed;
 }
 
 // As the router would see it, the file's own times alone.
--- a/src/program/operator_config.cpp
+++ b/src/program/operator_config.cpp
@@ -7,7 +7,8 @@
 
 #include "calling/directory.hpp"
 #include "program/operator_schema.hpp"
-#include "records/value.hpp"
+#include "records/limits.hpp"
+#include "records/schema.hpp"
 #include "store/files.hpp"
 #include "transport/connection.hpp"
 
@@ -54,7 +55,7 @@
   tenant.may = names_of(value["path_groups"]);
   tenant.all = limit_of(value["limit"]);
   tenant.each = limit_of(value["each"]);
-  tenant.only_listed = value["only_listed"].truth;
+  tenant.only_listed = value["only_listed"].boolean;
   for (const Value& subject : value["subjects"].items) tenant.subjects.push_back(subject_of(subject));
   return tenant;
 }
@@ -88,11 +89,11 @@
       : path_(path), deployment_(deployment) {}
 
   OperatorConfig read(std::string_view text) {
-    records::Checked checked = records::check(operator_schema(), kOperatorFileDefinition, text);
+    records::CheckedFile checked = records::check(operator_schema(), kOperatorFileDefinition, text);
     problems_ = std::move(checked.problems);
     OperatorConfig config;
     if (problems_.empty()) config = read_sections(checked.value);
-    if (!problems_.empty()) throw OperatorConfigError(records::told(path_, problems_));
+    if (!problems_.empty()) throw OperatorConfigError(records::problem_report(path_, problems_));
     return config;
   }
 
@@ -139,7 +140,7 @@
   void read_tokens(const Value& value, CallingConfig& config) {
     config.key_folder = resolve_path(value["keys"]);
     config.key_poll_interval = value["reread"].span();
-    config.forward_tokens = value["go_on"].truth;
+    config.forward_tokens = value["go_on"].boolean;
     calling::CallingSettings& settings = config.settings;
     settings.issuer = value["issuer"].text;
     settings.audience = value["audience"].text;
@@ -211,7 +212,7 @@
 
   void add_problem(const Value& value, const std::string& path, const std::string& wanted,
                    const std::string& found) {
-    problems_.push_back({value.at, path, "wanted " + wanted + ", found " + found});
+    problems_.push_back({value.position, path, "wanted " + wanted + ", found " + found});
   }
 
   const std::string& path_;
@@ -222,7 +223,7 @@
 }  // namespace
 
 OperatorConfig read_operator_config(const std::string& path, const Deployment* deployment) {
-  return parse_operator_config(read_file(path, records::kLongestFile), path, deployment);
+  return parse_operator_config(read_file(path, records::kMaxFileBytes), path, deployment);
 }
 
 OperatorConfig parse_operator_config(std::string_view text, const std::string& path,
--- a/src/program/operator_schema.hpp
+++ b/src/program/operator_schema.hpp
@@ -1,4 +1,4 @@
-// The schema of the operator's file, see records/value.hpp for its form.
+// The schema of the operator's file, see records/parser.hpp for its form.
 #pragma once
 #include <string_view>
 
--- /dev/null
+++ b/src/records/constraint.cpp
@@ -0,0 +1,76 @@
+#include "records/constraint.hpp"
+
+#include <cstdint>
+#include <stdexcept>
+
+namespace ashbeam::records {
+
+namespace {
+
+bool has_type(const Value& value, ScalarType type) {
+  switch (type) {
+    case ScalarType::kString:
+      return value.kind == Value::Kind::kString;
+    case ScalarType::kBool:
+      return value.kind == Value::Kind::kBool;
+    case ScalarType::kSpan:
+      return value.kind == Value::Kind::kString && parse_span(value.text);
+    case ScalarType::kNumber:
+      return value.kind == Value::Kind::kNumber;
+    case ScalarType::kInteger:
+      return value.kind == Value::Kind::kNumber && value.is_integer;
+  }
+  return false;
+}
+
+template <class Number>
+bool is_within(Number value, BoundOperator bound, Number limit) {
+  switch (bound) {
+    case BoundOperator::kNotEqual:
+      return value != limit;
+    case BoundOperator::kLess:
+      return value < limit;
+    case BoundOperator::kLessOrEqual:
+      return value <= limit;
+    case BoundOperator::kGreater:
+      return value > limit;
+    case BoundOperator::kGreaterOrEqual:
+      return value >= limit;
+  }
+  return false;
+}
+
+// A bound in quotes is one of spans, but for !=, which compares the text.
+bool satisfies_bound(const Node& constraint, const Value& value) {
+  const Node& limit = *constraint.operands[0];
+  if (limit.kind != Node::Kind::kString) {
+    return value.kind == Value::Kind::kNumber && is_within(value.number, constraint.bound, limit.number);
+  }
+  if (value.kind != Value::Kind::kString) return false;
+  if (constraint.bound == BoundOperator::kNotEqual) return value.text != limit.text;
+  const auto limit_span = parse_span(limit.text);
+  if (!limit_span) throw std::logic_error("schema: no span: " + limit.text);
+  const auto span = parse_span(value.text);
+  return span && is_within(span->us(), constraint.bound, limit_span->us());
+}
+
+}  // namespace
+
+bool satisfies(const Node& constraint, const Value& value) {
+  switch (constraint.kind) {
+    case Node::Kind::kString:
+      return value.kind == Value::Kind::kString && value.text == constraint.text;
+    case Node::Kind::kNumber:
+      return value.kind == Value::Kind::kNumber && value.number == constraint.number;
+    case Node::Kind::kBool:
+      return value.kind == Value::Kind::kBool && value.boolean == constraint.boolean;
+    case Node::Kind::kType:
+      return has_type(value, constraint.type);
+    case Node::Kind::kBound:
+      return satisfies_bound(constraint, value);
+    default:
+      return false;
+  }
+}
+
+}  // namespace ashbeam::records
--- /dev/null
+++ b/src/records/lexer.cpp
@@ -0,0 +1,154 @@
+#include "records/lexer.hpp"
+
+#include "records/limits.hpp"
+
+namespace ashbeam::records {
+
+namespace {
+
+bool is_digit(char c) { return c >= '0' && c <= '9'; }
+
+bool starts_word(char c) { return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || c == '_' || c == '#'; }
+
+// A byte of UTF-8 that is not the first of its character.
+bool is_continuation_byte(char c) { return (static_cast<unsigned char>(c) & 0xC0U) == 0x80U; }
+
+// How many continuation bytes follow a character's first byte; negative where it can't be a first one.
+int continuation_bytes(char first) {
+  const auto byte = static_cast<unsigned char>(first);
+  if (byte < 0x80) return 0;
+  if (byte >= 0xc2 && byte < 0xe0) return 1;
+  if (byte >= 0xe0 && byte < 0xf0) return 2;
+  if (byte >= 0xf0 && byte < 0xf5) return 3;
+  return -1;
+}
+
+// RFC 3629, but that surrogates and overlong forms of three and four bytes pass, which nobody here compares.
+bool is_utf8(std::string_view text) {
+  for (std::size_t i = 0; i < text.size();) {
+    const int following = continuation_bytes(text[i++]);
+    if (following < 0) return false;
+    for (int k = 0; k < following; ++k, ++i) {
+      if (i >= text.size() || !is_continuation_byte(text[i])) return false;
+    }
+  }
+  return true;
+}
+
+void invalidate(Token& token, const char* wanted) {
+  token.kind = Token::Kind::kInvalid;
+  token.text = wanted;
+}
+
+// The character that an escape stands for; 0 where there is no such escape.
+char unescaped(char escape) {
+  switch (escape) {
+    case 'n':
+      return '\n';
+    case 't':
+      return '\t';
+    case '"':
+    case '\\':
+      return escape;
+    default:
+      return '\0';
+  }
+}
+
+}  // namespace
+
+char Lexer::peek(std::size_t ahead) const {
+  return offset_ + ahead < text_.size() ? text_[offset_ + ahead] : '\0';
+}
+
+char Lexer::take() {
+  const char c = text_[offset_++];
+  if (c == '\n') {
+    ++position_.line;
+    position_.column = 1;
+  } else if (!is_continuation_byte(c)) {
+    ++position_.column;
+  }
+  return c;
+}
+
+void Lexer::skip_blanks_and_comments() {
+  for (;;) {
+    while (peek() == ' ' || peek() == '\t' || peek() == '\r') take();
+    if (peek() != '/' || peek(1) != '/') return;
+    while (!at_end() && peek() != '\n') take();
+  }
+}
+
+Token Lexer::next() {
+  skip_blanks_and_comments();
+  Token token;
+  token.position = position_;
+  if (at_end()) return token;
+  const char c = peek();
+  if (c == '\n') {
+    token.kind = Token::Kind::kLineEnd;
+    take();
+  } else if (c == '"') {
+    read_string(token);
+  } else if (starts_word(c)) {
+    read_word(token);
+  } else if (is_digit(c) || (c == '-' && is_digit(peek(1)))) {
+    read_number(token);
+  } else {
+    read_sign(token);
+  }
+  return token;
+}
+
+void Lexer::read_word(Token& token) {
+  token.kind = Token::Kind::kWord;
+  do token.text += take();
+  while (starts_word(peek()) || is_digit(peek()));
+}
+
+void Lexer::read_number(Token& token) {
+  token.kind = Token::Kind::kNumber;
+  do token.text += take();
+  while (continues_number(token.text));
+}
+
+// Takes more than numbers have, so that a malformed one is a single token; the parser refuses it.
+bool Lexer::continues_number(const std::string& read) const {
+  const char c = peek();
+  if (is_digit(c) || starts_word(c) || c == '.') return true;
+  const bool after_exponent = read.back() == 'e' || read.back() == 'E';
+  return (c == '-' || c == '+') && after_exponent;
+}
+
+void Lexer::read_sign(Token& token) {
+  token.kind = Token::Kind::kSign;
+  token.text = take();
+  const std::string pair = token.text + peek();
+  if (pair == ">=" || pair == "<=" || pair == "!=" || pair == "=~") token.text += take();
+  if (token.text == "." && peek() == '.' && peek(1) == '.') {
+    token.text += take();
+    token.text += take();
+  }
+}
+
+void Lexer::read_string(Token& token) {
+  token.kind = Token::Kind::kString;
+  take();  // the opening quote
+  while (peek() != '"') {
+    if (at_end() || peek() == '\n') return invalidate(token, "a string that ends on its line");
+    char c = take();
+    if (static_cast<unsigned char>(c) < ' ') return invalidate(token, "no control characters in a string");
+    if (c == '\\') {
+      c = unescaped(peek());
+      if (c == '\0') return invalidate(token, R"(one of \n \t \" \\)");
+      take();
+    }
+    token.text += c;
+    if (token.text.size() > kMaxStringBytes) return invalidate(token, "a string of at most 4096 bytes");
+  }
+  take();  // the closing quote
+  if (!is_utf8(token.text)) invalidate(token, "a string in UTF-8");
+}
+
+}  // namespace ashbeam::records
--- /dev/null
+++ b/src/records/parser.cpp
@@ -0,0 +1,329 @@
+#include "records/parser.hpp"
+
+#include <charconv>
+#include <cmath>
+#include <utility>
+
+#include "records/lexer.hpp"
+#include "records/limits.hpp"
+
+namespace ashbeam::records {
+
+namespace {
+
+constexpr std::size_t kMaxShownBytes = 40;  // of a token, in a problem
+
+std::string describe(const Token& token) {
+  switch (token.kind) {
+    case Token::Kind::kEnd:
+      return "the file's end";
+    case Token::Kind::kLineEnd:
+      return "the line's end";
+    case Token::Kind::kString:
+      return quoted(token.text);
+    default:
+      return token.text.substr(0, kMaxShownBytes);
+  }
+}
+
+std::optional<ScalarType> scalar_type(std::string_view word) {
+  if (word == "string") return ScalarType::kString;
+  if (word == "int") return ScalarType::kInteger;
+  if (word == "number") return ScalarType::kNumber;
+  if (word == "bool") return ScalarType::kBool;
+  if (word == "span") return ScalarType::kSpan;
+  return std::nullopt;
+}
+
+std::optional<BoundOperator> bound_operator(const Token& token) {
+  if (token.kind != Token::Kind::kSign) return std::nullopt;
+  if (token.text == "!=") return BoundOperator::kNotEqual;
+  if (token.text == "<") return BoundOperator::kLess;
+  if (token.text == "<=") return BoundOperator::kLessOrEqual;
+  if (token.text == ">") return BoundOperator::kGreater;
+  if (token.text == ">=") return BoundOperator::kGreaterOrEqual;
+  return std::nullopt;
+}
+
+// Recursive descent, with one token of look-ahead.
+class Parser {
+ public:
+  explicit Parser(std::string_view text) : lexer_(text) { advance(); }
+
+  ParsedText parse() {
+    ParsedText parsed;
+    parsed.root = make_node(Node::Kind::kRecord);
+    parse_fields(*parsed.root, true);
+    parsed.problems = std::move(problems_);
+    return parsed;
+  }
+
+ private:
+  struct FieldAbandoned {};  // thrown to leave the field at hand
+
+  // ---- Tokens ----
+
+  void advance() { token_ = lexer_.next(); }
+  bool at(Token::Kind kind) const { return token_.kind == kind; }
+  bool at_sign(std::string_view sign) const { return at(Token::Kind::kSign) && token_.text == sign; }
+  void skip_line_ends() {
+    while (at(Token::Kind::kLineEnd)) advance();
+  }
+  // To the line's end, and out of what was opened on the way.
+  void skip_rest_of_field() {
+    unsigned open = 0;
+    while (!at(Token::Kind::kEnd)) {
+      if (open == 0 && (at(Token::Kind::kLineEnd) || at_sign("}"))) return;
+      if (at_sign("{") || at_sign("[")) ++open;
+      if ((at_sign("}") || at_sign("]")) && open > 0) --open;
+      advance();
+    }
+  }
+
+  // ---- Problems ----
+
+  void add_problem(const std::string& wanted, const std::string& found) {
+    if (problems_.size() >= kMaxProblems || gave_up_) return give_up();
+    problems_.push_back({token_.position, path(), "wanted " + wanted + ", found " + found});
+  }
+  [[noreturn]] void fail(const std::string& wanted) {
+    if (at(Token::Kind::kInvalid)) add_problem(token_.text, "something else");
+    else add_problem(wanted, describe(token_));
+    throw FieldAbandoned{};
+  }
+  void give_up() {
+    gave_up_ = true;
+    lexer_.skip_to_end();
+    token_ = Token{};
+  }
+  std::string path() const {
+    std::string joined;
+    for (const std::string& name : path_) joined.append(joined.empty() ? "" : ".").append(name);
+    return joined.empty() ? "file" : joined;
+  }
+
+  // ---- Syntax ----
+
+  NodePtr make_node(Node::Kind kind) {
+    if (++node_count_ > kMaxNodes) {
+      add_problem("at most " + std::to_string(kMaxNodes) + " values", "more");
+      give_up();
+    }
+    auto node = std::make_unique<Node>();
+    node->kind = kind;
+    node->position = token_.position;
+    return node;
+  }
+
+  void parse_fields(Node& record, bool is_file) {
+    for (;;) {
+      while (at(Token::Kind::kLineEnd) || at_sign(",")) advance();
+      if (at(Token::Kind::kEnd)) {
+        if (!is_file) fail("}");
+        return;
+      }
+      if (!is_file && at_sign("}")) return;
+      const unsigned depth = depth_;
+      const std::size_t path_length = path_.size();
+      try {
+        parse_field(record);
+      } catch (FieldAbandoned) {
+        depth_ = depth;
+        path_.resize(path_length);
+        skip_rest_of_field();
+      }
+    }
+  }
+
+  void parse_field(Node& record) {
+    if (!at(Token::Kind::kWord) && !at(Token::Kind::kString)) fail("a field's name");
+    Field field;
+    field.name = token_.text;
+    field.position = token_.position;
+    path_.push_back(field.name);
+    refuse_duplicate(record, field.name);
+    advance();
+    if (at_sign("?")) {
+      field.optional = true;
+      advance();
+    }
+    if (!at_sign(":")) fail(":");
+    advance();
+    skip_line_ends();
+    field.value = parse_disjunction();
+    const bool ended = at(Token::Kind::kLineEnd) || at(Token::Kind::kEnd) || at_sign(",") || at_sign("}");
+    if (!ended) fail("the line's end or ,");
+    path_.pop_back();
+    record.fields.push_back(std::move(field));
+  }
+
+  void refuse_duplicate(const Node& record, const std::string& name) {
+    const Field* const first = find_field(record, name);
+    if (!first) return;
+    add_problem("each field once",
+                "a second " + name + " (first on line " + std::to_string(first->position.line) + ")");
+    throw FieldAbandoned{};
+  }
+
+  // a | *b | c, or a single operand.
+  NodePtr parse_disjunction() {
+    if (++depth_ > kMaxDepth) fail("at most " + std::to_string(kMaxDepth) + " levels");
+    NodePtr disjunction = make_node(Node::Kind::kDisjunction);
+    std::vector<NodePtr>& operands = disjunction->operands;
+    do {
+      if (!operands.empty()) skip_operator();
+      if (at_sign("*")) {
+        if (disjunction->default_index) fail("one default");
+        disjunction->default_index = operands.size();
+        advance();
+      }
+      operands.push_back(parse_conjunction());
+    } while (at_sign("|"));
+    --depth_;
+    if (operands.size() == 1 && !disjunction->default_index) return std::move(operands[0]);
+    return disjunction;
+  }
+
+  // a & b, or a single operand.
+  NodePtr parse_conjunction() {
+    NodePtr conjunction = make_node(Node::Kind::kConjunction);
+    std::vector<NodePtr>& operands = conjunction->operands;
+    do {
+      if (!operands.empty()) skip_operator();
+      operands.push_back(parse_operand());
+    } while (at_sign("&"));
+    if (operands.size() == 1) return std::move(operands[0]);
+    return conjunction;
+  }
+
+  void skip_operator() {
+    advance();
+    skip_line_ends();
+  }
+
+  NodePtr parse_operand() {
+    if (at_sign("(")) return parse_parenthesis();
+    if (at_sign("{")) return parse_record();
+    if (at_sign("[")) return parse_list();
+    if (const auto bound = bound_operator(token_)) return parse_bound(*bound);
+    if (at(Token::Kind::kString)) return parse_string();
+    if (at(Token::Kind::kNumber)) return parse_number();
+    if (at(Token::Kind::kWord)) return parse_word();
+    fail("a value");
+  }
+
+  NodePtr parse_parenthesis() {
+    advance();
+    NodePtr inside = parse_disjunction();
+    if (!at_sign(")")) fail(")");
+    advance();
+    return inside;
+  }
+
+  NodePtr parse_bound(BoundOperator bound) {
+    NodePtr node = make_node(Node::Kind::kBound);
+    node->bound = bound;
+    node->text = token_.text;
+    advance();
+    if (!at(Token::Kind::kNumber) && !at(Token::Kind::kString)) fail("a figure");
+    node->operands.push_back(parse_operand());
+    return node;
+  }
+
+  NodePtr parse_string() {
+    NodePtr node = make_node(Node::Kind::kString);
+    node->text = token_.text;
+    advance();
+    return node;
+  }
+
+  NodePtr parse_number() {
+    NodePtr node = make_node(Node::Kind::kNumber);
+    const std::string& text = token_.text;
+    const char* const last = text.data() + text.size();
+    const auto [end, error] = std::from_chars(text.data(), last, node->number);
+    if (error != std::errc() || end != last || std::abs(node->number) > kMaxNumber) {
+      fail("a number up to 9e15");
+    }
+    node->is_integer = text.find_first_of(".eE") == std::string::npos;
+    node->text = text;
+    advance();
+    return node;
+  }
+
+  // true, false, a type or a reference to a definition.
+  NodePtr parse_word() {
+    NodePtr node = make_node(Node::Kind::kReference);
+    node->text = token_.text;
+    if (node->text == "true" || node->text == "false") {
+      node->kind = Node::Kind::kBool;
+      node->boolean = node->text == "true";
+    } else if (const auto type = scalar_type(node->text)) {
+      node->kind = Node::Kind::kType;
+      node->type = *type;
+    } else if (node->text[0] != '#') {
+      fail("a value (strings stand in quotes)");
+    }
+    advance();
+    return node;
+  }
+
+  NodePtr parse_record() {
+    NodePtr node = make_node(Node::Kind::kRecord);
+    advance();
+    parse_fields(*node, false);
+    advance();
+    return node;
+  }
+
+  NodePtr parse_list() {
+    NodePtr node = make_node(Node::Kind::kList);
+    advance();
+    skip_line_ends();
+    while (!at_sign("]")) {
+      if (at_sign("...")) {
+        advance();
+        node->further_items = parse_disjunction();
+      } else {
+        path_.push_back(std::to_string(node->operands.size()));
+        node->operands.push_back(parse_disjunction());
+        path_.pop_back();
+      }
+      skip_line_ends();
+      if (at_sign(",") && !node->further_items) skip_operator();
+      else if (!at_sign("]")) fail("] or ,");
+    }
+    advance();
+    return node;
+  }
+
+  Lexer lexer_;
+  Token token_;
+  std::size_t node_count_ = 0;
+  unsigned depth_ = 0;  // of nested disjunctions, which bounds the stack
+  bool gave_up_ = false;
+  std::vector<std::string> path_;  // of the field at hand
+  std::vector<Problem> problems_;
+};
+
+}  // namespace
+
+ParsedText parse(std::string_view text) {
+  if (text.size() <= kMaxFileBytes) return Parser(text).parse();
+  ParsedText refused;
+  refused.root = std::make_unique<Node>();
+  refused.problems.push_back(
+      {{1, 1},
+       "file",
+       "wanted at most " + std::to_string(kMaxFileBytes) + " bytes, found " + std::to_string(text.size())});
+  return refused;
+}
+
+const Field* find_field(const Node& record, std::string_view name) {
+  for (const Field& field : record.fields) {
+    if (field.name == name) return &field;
+  }
+  return nullptr;
+}
+
+}  // namespace ashbeam::records
--- /dev/null
+++ b/src/records/schema.cpp
@@ -0,0 +1,222 @@
+#include "records/schema.hpp"
+
+#include <algorithm>
+#include <stdexcept>
+#include <string>
+#include <utility>
+
+#include "records/constraint.hpp"
+#include "records/limits.hpp"
+#include "records/parser.hpp"
+#include "records/resolver.hpp"
+
+namespace ashbeam::records {
+
+namespace {
+
+std::string field_path(const std::string& record_path, const std::string& name) {
+  return record_path.empty() ? name : record_path + "." + name;
+}
+
+std::string field_names(const Node& record) {
+  std::string names;
+  for (const Field& field : record.fields) names.append(names.empty() ? "" : ", ").append(field.name);
+  return names;
+}
+
+// Unifies values with the schema.
+class SchemaChecker {
+ public:
+  SchemaChecker(const Node& schema, std::vector<Problem>& problems) : schema_(schema), problems_(problems) {}
+
+  // The value with its defaults, as far as it meets `wanted`; a problem for what does not.
+  Value unify(const Node& wanted, Value value, const std::string& path) {
+    switch (wanted.kind) {
+      case Node::Kind::kReference:
+        return unify(definition(wanted), std::move(value), path);
+      case Node::Kind::kConjunction:
+        return unify_conjunction(wanted, std::move(value), path);
+      case Node::Kind::kDisjunction:
+        return unify_disjunction(wanted, std::move(value), path);
+      case Node::Kind::kRecord:
+        return unify_record(wanted, std::move(value), path);
+      case Node::Kind::kList:
+        return unify_list(wanted, std::move(value), path);
+      default:
+        if (!satisfies(wanted, value)) add_problem(value.position, path, describe(wanted), describe(value));
+        return value;
+    }
+  }
+
+ private:
+  void add_problem(Position position, const std::string& path, const std::string& wanted,
+                   const std::string& found) {
+    if (problems_.size() >= kMaxProblems) return;
+    problems_.push_back({position, path.empty() ? "file" : path, "wanted " + wanted + ", found " + found});
+  }
+
+  const Node& definition(const Node& reference) const {
+    const Field* const field = find_field(schema_, reference.text);
+    if (!field) throw std::logic_error("schema: no definition " + reference.text);
+    return *field->value;
+  }
+
+  Value unify_conjunction(const Node& wanted, Value value, const std::string& path) {
+    for (const NodePtr& operand : wanted.operands) {
+      const std::size_t before = problems_.size();
+      value = unify(*operand, std::move(value), path);
+      if (problems_.size() != before) break;  // one problem is enough
+    }
+    return value;
+  }
+
+  // The first alternative that leaves no problem. Where none does, the problems of the nearest are reported
+  // for a record or a list, and the alternatives for a scalar.
+  Value unify_disjunction(const Node& wanted, Value value, const std::string& path) {
+    if (!value.given() && wanted.default_index) return default_of(wanted, value.position, path);
+    std::vector<Problem> outer_problems;
+    outer_problems.swap(problems_);
+    std::vector<Problem> fewest_problems;
+    const bool is_compound = value.kind == Value::Kind::kRecord || value.kind == Value::Kind::kList;
+    for (const NodePtr& alternative : wanted.operands) {
+      problems_.clear();
+      Value unified = unify(*alternative, value, path);
+      if (problems_.empty()) {
+        problems_.swap(outer_problems);
+        return unified;
+      }
+      const bool is_nearer = fewest_problems.empty() || problems_.size() < fewest_problems.size();
+      if (is_compound && is_nearer) fewest_problems = problems_;
+    }
+    problems_.swap(outer_problems);
+    if (fewest_problems.empty()) add_problem(value.position, path, describe(wanted), describe(value));
+    for (Problem& problem : fewest_problems) {
+      if (problems_.size() < kMaxProblems) problems_.push_back(std::move(problem));
+    }
+    return value;
+  }
+
+  Value default_of(const Node& disjunction, Position position, const std::string& path) const {
+    std::vector<Problem> problems;
+    const Node& operand = *disjunction.operands[*disjunction.default_index];
+    Value value = Resolver(schema_, problems).resolve(operand, path);
+    if (!problems.empty()) throw std::logic_error("schema: a default that is no value at " + path);
+    value.position = position;
+    return value;
+  }
+
+  Value unify_record(const Node& wanted, Value value, const std::string& path) {
+    if (!value.given()) value.kind = Value::Kind::kRecord;  // made of its fields' defaults
+    if (value.kind != Value::Kind::kRecord) {
+      add_problem(value.position, path, "a record", describe(value));
+      return value;
+    }
+    refuse_unknown_fields(wanted, value, path);
+    std::vector<NamedValue> unified;
+    for (const Field& field : wanted.fields) {
+      Value given;
+      given.position = value.position;
+      for (NamedValue& named : value.fields) {
+        if (named.name == field.name) given = std::move(named.value);
+      }
+      if (given.given() || !field.optional) {
+        given = unify(*field.value, std::move(given), field_path(path, field.name));
+      }
+      unified.push_back({field.name, std::move(given)});
+    }
+    value.fields = std::move(unified);
+    return value;
+  }
+
+  void refuse_unknown_fields(const Node& wanted, const Value& record, const std::string& path) {
+    for (const NamedValue& field : record.fields) {
+      if (find_field(wanted, field.name)) continue;
+      add_problem(field.value.name_position, field_path(path, field.name), "one of " + field_names(wanted),
+                  "the field " + field.name);
+    }
+  }
+
+  Value unify_list(const Node& wanted, Value value, const std::string& path) {
+    if (!value.given() && wanted.operands.empty()) value.kind = Value::Kind::kList;
+    if (value.kind != Value::Kind::kList) {
+      add_problem(value.position, path, "a list", describe(value));
+      return value;
+    }
+    for (std::size_t i = 0; i < value.items.size(); ++i) {
+      Value& item = value.items[i];
+      const NodePtr& constraint = i < wanted.operands.size() ? wanted.operands[i] : wanted.further_items;
+      const std::string item_path = path + "." + std::to_string(i);
+      if (constraint) item = unify(*constraint, std::move(item), item_path);
+      else add_problem(item.position, item_path, "no further item", describe(item));
+    }
+    if (value.items.size() < wanted.operands.size()) {
+      add_problem(value.position, path, std::to_string(wanted.operands.size()) + " items",
+                  std::to_string(value.items.size()));
+    }
+    return value;
+  }
+
+  // The constraint as problems name it.
+  std::string describe(const Node& node) const {
+    switch (node.kind) {
+      case Node::Kind::kString:
+        return quoted(node.text);
+      case Node::Kind::kBound:
+        return node.text + describe(*node.operands[0]);
+      case Node::Kind::kRecord:
+        return "a record";
+      case Node::Kind::kList:
+        return "a list";
+      case Node::Kind::kReference:
+        return describe(definition(node));
+      case Node::Kind::kConjunction:
+        return describe_operands(node, " & ");
+      case Node::Kind::kDisjunction:
+        return describe_operands(node, " | ");
+      default:
+        return node.text;
+    }
+  }
+  std::string describe_operands(const Node& node, const char* separator) const {
+    std::string joined;
+    for (const NodePtr& operand : node.operands) {
+      joined.append(joined.empty() ? "" : separator).append(describe(*operand));
+    }
+    return joined;
+  }
+  static std::string describe(const Value& value) { return records::describe(value); }
+
+  const Node& schema_;
+  std::vector<Problem>& problems_;
+};
+
+bool is_before(const Problem& a, const Problem& b) {
+  if (a.position.line != b.position.line) return a.position.line < b.position.line;
+  return a.position.column < b.position.column;
+}
+
+}  // namespace
+
+CheckedFile check(std::string_view schema, std::string_view definition, std::string_view file) {
+  const ParsedText parsed_schema = parse(schema);
+  if (!parsed_schema.problems.empty()) {
+    throw std::logic_error("schema: " + problem_report("schema", parsed_schema.problems));
+  }
+  const Field* const whole_file = find_field(*parsed_schema.root, definition);
+  if (!whole_file) throw std::logic_error("schema: no definition " + std::string(definition));
+  CheckedFile checked;
+  ParsedText parsed = parse(file);
+  checked.problems = std::move(parsed.problems);
+  const bool well_formed = checked.problems.empty();
+  Value concrete = Resolver(*parsed.root, checked.problems).resolve(*parsed.root, "");
+  concrete.position = {1, 1};
+  // What could not be parsed is not reported again as missing.
+  if (well_formed) {
+    checked.value = SchemaChecker(*parsed_schema.root, checked.problems)
+                        .unify(*whole_file->value, std::move(concrete), "");
+  }
+  std::stable_sort(checked.problems.begin(), checked.problems.end(), is_before);
+  return checked;
+}
+
+}  // namespace ashbeam::records
--- a/src/records/value.hpp
+++ b/src/records/value.hpp
@@ -1,45 +1,46 @@
-// A file of typed records unified with a schema in the same form: plain values with every default filled in,
-// or all problems at once.
+// Concrete values of typed records: no references, bounds or alternatives any more.
 #pragma once
+#include <cstdint>
+#include <optional>
 #include <string>
 #include <string_view>
 #include <vector>
 
 #include "base/time.hpp"
-#include "records/text.hpp"
+#include "records/problem.hpp"
 
 namespace ashbeam::records {
 
-class Value {
- public:
-  enum class Kind { kNone, kString, kNumber, kBool, kRecord, kList };
+struct NamedValue;
+
+struct Value {
+  enum class Kind : std::uint8_t { kNone, kString, kNumber, kBool, kRecord, kList };
   Kind kind = Kind::kNone;
-  Place at, named;  // the value's, and its field's name's
+  Position position;
+  Position name_position;  // of its field's name
   std::string text;
   double number = 0;
-  bool whole = false, truth = false;
-  std::vector<std::pair<std::string, Value>> fields;
+  bool is_integer = false;
+  bool boolean = false;
+  std::vector<NamedValue> fields;
   std::vector<Value> items;
 
-  // Of a checked file: what its schema names is there; an optional field that was not given has kNone.
+  // A field of a record that the schema names; kNone for an optional one that is not given.
   const Value& operator[](std::string_view name) const;
   bool given() const { return kind != Kind::kNone; }
-  Span span() const;  // of a span's text
+  // Of a checked span's text; zero where it is none.
+  Span span() const;
 };
 
-// "250ms", "5s", "1.5m", "24h"; false where it is none. At most 1,000 days.
-bool span_of(std::string_view text, Span& span);
-
-struct Checked {
+struct NamedValue {
+  std::string name;
   Value value;
-  std::vector<Problem> problems;  // none: the value stands
 };
 
-// `schema` is one of the program's own: a fault in it ends the program (std::logic_error). `definition` names
-// the record that the file as a whole is to be, like "#File".
-Checked check(std::string_view schema, std::string_view definition, std::string_view file);
+// "250ms", "5s", "1.5m", "24h"; nothing where the text is no span, or longer than 1,000 days.
+std::optional<Span> parse_span(std::string_view text);
 
-// "name:line:column: path: wanted X, found Y", a line each.
-std::string told(std::string_view name, const std::vector<Problem>& problems);
+// The value as problems name it.
+std::string describe(const Value& value);
 
 }  // namespace ashbeam::records
--- a/tests/records_test.cpp
+++ b/tests/records_test.cpp
@@ -1,17 +1,18 @@
-// Typed records: what fits, where each fault is, and files that mean harm.
+// Typed records: defaults, the position of each problem, and hostile files.
 #include <gtest/gtest.h>
 
 #include <chrono>
 
 #include "program/operator_config.hpp"
-#include "records/value.hpp"
+#include "records/limits.hpp"
+#include "records/schema.hpp"
 #include "store/files.hpp"
 
 namespace ashbeam {
 namespace {
 
 using records::check;
-using records::Checked;
+using records::CheckedFile;
 
 constexpr std::string_view kSchema = R"(
 #File: {
@@ -28,28 +29,28 @@
 )";
 
 std::string faults(std::string_view file) {
-  return records::told("f", check(kSchema, "#File", file).problems);
+  return records::problem_report("f", check(kSchema, "#File", file).problems);
 }
 
 TEST(Records, WhatIsNotGivenStandsAsTheSchemaSays) {
-  const Checked c =
+  const CheckedFile c =
       check(kSchema, "#File", "name: \"a\"\nshops: [{name: \"b\"}, {name: \"c\", tall: true}]\nshare: 0.5");
-  ASSERT_TRUE(c.problems.empty()) << records::told("f", c.problems);
+  ASSERT_TRUE(c.problems.empty()) << records::problem_report("f", c.problems);
   EXPECT_EQ(c.value["mode"].text, "off");
   EXPECT_EQ(c.value["wait"].span(), Span::s(5));
   EXPECT_EQ(c.value["count"].number, 3);
   EXPECT_EQ(c.value["size"]["wide"].number, 7);
   EXPECT_EQ(c.value["share"].number, 0.5);
   ASSERT_EQ(c.value["shops"].items.size(), 2U);
-  EXPECT_TRUE(c.value["shops"].items[1]["tall"].truth);
+  EXPECT_TRUE(c.value["shops"].items[1]["tall"].boolean);
   EXPECT_FALSE(check(kSchema, "#File", "name: \"a\"").value["share"].given());
 }
 
 TEST(Records, DefinitionsOfTheFileAreMerged) {
-  const Checked c = check(kSchema, "#File",
-                          "#T: {tall: true}\nname: \"a\", shops: [#T & {name: \"b\"}, {name: \"c\"} & #T]");
-  ASSERT_TRUE(c.problems.empty()) << records::told("f", c.problems);
-  EXPECT_TRUE(c.value["shops"].items[0]["tall"].truth && c.value["shops"].items[1]["tall"].truth);
+  const CheckedFile c = check(
+      kSchema, "#File", "#T: {tall: true}\nname: \"a\", shops: [#T & {name: \"b\"}, {name: \"c\"} & #T]");
+  ASSERT_TRUE(c.problems.empty()) << records::problem_report("f", c.problems);
+  EXPECT_TRUE(c.value["shops"].items[0]["tall"].boolean && c.value["shops"].items[1]["tall"].boolean);
   EXPECT_EQ(faults("#T: {tall: true}\nname: \"a\", shops: [#T & {name: \"b\", tall: false}]"),
             "f:2:43: shops.0.tall: wanted true as before, found false");
 }
@@ -116,9 +117,9 @@
   };
   const auto begin = std::chrono::steady_clock::now();
   for (const std::string& file : files) {
-    const Checked c = check(kSchema, "#File", file);
+    const CheckedFile c = check(kSchema, "#File", file);
     EXPECT_FALSE(c.problems.empty()) << file.substr(0, 30);
-    EXPECT_LE(c.problems.size(), records::kMostProblems);
+    EXPECT_LE(c.problems.size(), records::kMaxProblems);
   }
   EXPECT_LT(std::chrono::steady_clock::now() - begin, std::chrono::seconds(10));
 }
