--- a/benches/load.cpp
+++ b/benches/load.cpp
@@ -14,6 +14,7 @@
 constexpr const char* kListen = "127.0.0.1:9187";
 constexpr int kEndpoints = 4;
 constexpr unsigned kMaxFailures = 200;
+constexpr unsigned kTimeLeftMs = 15'000;
 constexpr Span kStartTime = Span::ms(500);
 
 constexpr const char* kSettings = R"({
@@ -44,14 +45,11 @@
   void send_request() {
     if (sent_ - failed_ >= requests_ || failed_ > kMaxFailures) return loop_.stop();
     ++sent_;
-    client_.send(
-        "GET /look/1 HTTP/1.1\r\nHost: l\r\nX-Account: shop\r\nX-Time-Left-Ms: 15000\r\nX-Correlation-Id: l" +
-            std::to_string(sent_) + "\r\n\r\n",
-        [this](const fakes::Client::Answer& answer) {
-          const bool served = answer.status == 200;
-          ++(served ? served_ : failed_);
-          next_request_.in(served ? Span() : Span::ms(100));  // the router may not listen yet
-        });
+    client_.send(look_request(sent_, kTimeLeftMs), [this](const fakes::Client::Answer& answer) {
+      const bool served = answer.status == 200;
+      ++(served ? served_ : failed_);
+      next_request_.in(served ? Span() : Span::ms(100));  // the router may not listen yet
+    });
   }
 
   unsigned requests_;
--- a/benches/router_process.hpp
+++ b/benches/router_process.hpp
@@ -5,6 +5,7 @@
 #include <unistd.h>
 
 #include <csignal>
+#include <cstdint>
 #include <cstdlib>
 #include <fstream>
 #include <memory>
@@ -45,6 +46,12 @@
   std::vector<std::unique_ptr<fakes::Endpoint>> endpoints_;
 };
 
+// A request of the class "look" and the tenant "shop".
+inline std::string look_request(std::uint64_t id, unsigned time_left_ms) {
+  return "GET /look/1 HTTP/1.1\r\nHost: l\r\nX-Account: shop\r\nX-Time-Left-Ms: " +
+         std::to_string(time_left_ms) + "\r\nX-Correlation-Id: l" + std::to_string(id) + "\r\n\r\n";
+}
+
 class RouterProcess {
  public:
   // Starts `command` (with its arguments, ended by a null) as a router that listens at `listen`.
--- a/benches/throughput.cpp
+++ b/benches/throughput.cpp
@@ -20,6 +20,7 @@
 constexpr const char* kListen = "127.0.0.1:9188";
 constexpr int kEndpoints = 8;
 constexpr Span kStartTime = Span::s(1);  // the router starts, and connections are made
+constexpr unsigned kTimeLeftMs = 2000;
 constexpr Span kRetryDelay = Span::ms(20);
 
 constexpr const char* kSettings = R"({
@@ -63,15 +64,13 @@
 
   void send_request(std::size_t client) {
     const Instant sent = loop_.now();
-    clients_[client]->send(
-        "GET /look/1 HTTP/1.1\r\nHost: l\r\nX-Account: shop\r\nX-Time-Left-Ms: 2000\r\nX-Correlation-Id: t" +
-            std::to_string(++last_request_id_) + "\r\n\r\n",
-        [this, client, sent](const fakes::Client::Answer& answer) {
-          const bool served = answer.status == 200;
-          if (served) latencies_ms_.push_back((loop_.now() - sent).ms());
-          else ++not_served_;
-          next_request_[client]->in(served ? Span() : kRetryDelay);
-        });
+    clients_[client]->send(look_request(++last_request_id_, kTimeLeftMs),
+                           [this, client, sent](const fakes::Client::Answer& answer) {
+                             const bool served = answer.status == 200;
+                             if (served) latencies_ms_.push_back((loop_.now() - sent).ms());
+                             else ++not_served_;
+                             next_request_[client]->in(served ? Span() : kRetryDelay);
+                           });
   }
 
   void print(const rusage& used) {
--- a/src/records/problem.cpp
+++ b/src/records/problem.cpp
@@ -22,6 +22,10 @@
   return report;
 }
 
+std::string field_path(const std::string& record_path, const std::string& name) {
+  return record_path.empty() ? name : record_path + "." + name;
+}
+
 std::string quoted(std::string_view text) {
   std::string result = "\"";
   for (const char c : text.substr(0, kMaxQuotedBytes)) {
--- a/src/records/problem.hpp
+++ b/src/records/problem.hpp
@@ -21,6 +21,9 @@
 // "name:line:column: path: wanted X, found Y", a line each.
 std::string problem_report(std::string_view name, const std::vector<Problem>& problems);
 
+// The path of a record's field; the file itself has an empty one.
+std::string field_path(const std::string& record_path, const std::string& name);
+
 // The text in quotes, with escapes, cut off where it is long.
 std::string quoted(std::string_view text);
 
--- a/src/records/resolver.cpp
+++ b/src/records/resolver.cpp
@@ -13,10 +13,6 @@
   return a.kind == b.kind && a.text == b.text && a.number == b.number && a.boolean == b.boolean;
 }
 
-std::string field_path(const std::string& record_path, const std::string& name) {
-  return record_path.empty() ? name : record_path + "." + name;
-}
-
 Value scalar(const Node& node, Value::Kind kind) {
   Value value;
   value.kind = kind;
--- a/src/records/schema.cpp
+++ b/src/records/schema.cpp
@@ -14,10 +14,6 @@
 
 namespace {
 
-std::string field_path(const std::string& record_path, const std::string& name) {
-  return record_path.empty() ? name : record_path + "." + name;
-}
-
 std::string field_names(const Node& record) {
   std::string names;
   for (const Field& field : record.fields) names.append(names.empty() ? "" : ", ").append(field.name);
--- a/src/simhost/codes.hpp
+++ b/src/simhost/codes.hpp
@@ -26,22 +26,18 @@
 };
 constexpr EventCode kLastEventCode = EventCode::kSelectRouter;
 
-// Records that go out. The router uses those without a number of their own just to keep the others' in order.
+// Records that go out. The numbers between are of records that a router does not use.
 enum class ActionCode : std::uint8_t {
   kSendAttempt = 1,
-  kReject,
-  kFail,
-  kCancelAttempt,
-  kScheduleWakeup,
-  kPollLoad,   // not used
-  kCloseIdle,  // not used
-  kGossip,     // not used
-  kLog,
-  kFault,
-  kWatchEndpoints,
-  kReloadEndpoints,  // not used
-  kCastVote,
-  kSpeakingRouter
+  kReject = 2,
+  kFail = 3,
+  kCancelAttempt = 4,
+  kScheduleWakeup = 5,
+  kLog = 9,
+  kFault = 10,
+  kWatchEndpoints = 11,
+  kCastVote = 13,
+  kSpeakingRouter = 14
 };
 
 // What became of an attempt, or of a vote.
@@ -56,8 +52,9 @@
   kConnectFailed = 521,
 };
 
-// How an endpoint list is to be taken.
-enum class ListMode : std::uint8_t { kChanges, kComplete, kCompleteAfterReload, kWatchFailed };
+// What an endpoint list holds; every other mode up to the last is a complete list.
+enum class ListMode : std::uint8_t { kChanges = 0, kWatchFailed = 3 };
+constexpr ListMode kLastListMode = ListMode::kWatchFailed;
 
 // An endpoint's state in a row of a list; everything else is removed.
 enum class RowState : std::uint8_t { kReady = 1, kDraining = 2 };
--- a/src/simhost/events.cpp
+++ b/src/simhost/events.cpp
@@ -90,9 +90,9 @@
 
 Event read_endpoint_list(Reader& reader) {
   const std::uint8_t mode = reader.u8();
-  reader.u32();  // the list's revision
+  reader.u32();  // not used
   const std::uint8_t buffer = reader.u8();
-  if (mode > static_cast<std::uint8_t>(ListMode::kWatchFailed)) {
+  if (mode > static_cast<std::uint8_t>(kLastListMode)) {
     reader.fail("unknown list mode " + std::to_string(mode));
   }
   if (static_cast<ListMode>(mode) == ListMode::kWatchFailed) return EndpointWatchFailedEvent{};
@@ -103,9 +103,9 @@
 Event read_request(Reader& reader) {
   RequestEvent event;
   event.arrival.request = reader.u32();
-  reader.u8();  // the protocol's hint at its kind
+  reader.u8();  // flags: whether the work hint is given
   event.arrival.deadline = Instant::at_ms(reader.f64());
-  reader.f64();  // a hint at its work
+  reader.f64();  // work hint, in milliseconds
   event.arrival.tenant = reader.u16();
   event.arrival.sticky_key = reader.u64();
   event.arrival.request_class = reader.u8();
@@ -116,7 +116,7 @@
   reader.u32();  // request
   reader.u8();   // attempt
   reader.address();
-  reader.f64();  // duration
+  reader.f64();  // not used
   return UnusedEvent{};
 }
 
@@ -135,7 +135,7 @@
 Event read_load_report(Reader& reader) {
   reader.u16();  // verdict
   reader.address();
-  reader.f64();  // duration
+  reader.f64();  // not used
   skip_load_report(reader);
   return UnusedEvent{};
 }
@@ -163,11 +163,11 @@
 
 Event read_outcome_sample(Reader& reader) {
   OutcomeSampleEvent event;
-  reader.f64();  // the sample's interval
+  reader.f64();  // mean latency, in milliseconds
   event.sample.version = reader.u16();
   event.sample.count = reader.u32();
   event.sample.failed = reader.u32();
-  reader.f64();  // latency
+  reader.f64();  // the sample's age, in milliseconds
   event.sample.request_class = reader.u8();
   return event;
 }
@@ -175,7 +175,7 @@
 Event read_disputed_answer(Reader& reader) {
   DisputedAnswerEvent event;
   event.address = reader.address();
-  reader.u8();  // attempt
+  reader.u8();  // request class
   event.since_sent = Span::ms(reader.f64());
   return event;
 }
@@ -235,7 +235,7 @@
   row.update.machine_type = reader.u8();
   row.update.cell = reader.u16();
   row.update.state = endpoint_state(reader.u8());
-  reader.f32();  // a hint at its capacity
+  reader.f32();  // capacity hint
   const double started_at_ms = reader.f64();
   row.update.started_at = started_at_ms > 0 ? Instant::at_ms(started_at_ms) : Instant();
   return row;
