--- a/proofs/calling.cpp
+++ b/proofs/calling.cpp
@@ -24,7 +24,9 @@
 #include "fakes/release_platform.hpp"
 #include "figures.hpp"
 #include "program/access_config_loader.hpp"
-#include "program/environment.hpp"
+#include "program/router_limits.hpp"
+#include "program/startup_configuration.hpp"
+#include "terms/router_settings_reader.hpp"
 #include "tokens/base64url.hpp"
 #include "tokens/jws.hpp"
 #include "tokens/key_set.hpp"
@@ -87,7 +89,7 @@
   }
   void revoked(const std::string& lines) const { write_file(at("revoked"), lines, 0644); }
 
-  fakes::Authority authority{"authority"};
+  fakes::CertificateAuthority authority{"authority"};
 
  private:
   std::string folder_;
@@ -99,7 +101,7 @@
   Running(const Files& files, InstanceSettings site) {
     thread_ = std::thread([this, &files, site] {
       EventLoop loop;
-      const Start start = start_from(kSettings, site);
+      const StartupConfiguration start = parse_startup_configuration(kSettings, site);
       InstanceSettings full = start.site;
       full.release_platform_address = site.release_platform_address;
       full.discovery_address = site.discovery_address;
@@ -135,7 +137,7 @@
   // What the files say now is in force for every hit that comes after the time that `revoked` is then given.
   void reread(const std::shared_ptr<Revoked>& revoked) {
     loop_->post_from_thread([this, revoked] {
-      revoked->reading = guardian_->reread();
+      revoked->reading = guardian_->reload();
       waiting_.push_back(revoked);
     });
   }
@@ -148,7 +150,7 @@
   void look() {
     if (!guardian_) return;
     std::erase_if(waiting_, [this](const auto& r) {
-      if (r->reading > guardian_->taken()) return false;
+      if (r->reading > guardian_->completed_loads()) return false;
       r->in_force_us = loop_->now().us();
       return true;
     });
@@ -227,12 +229,12 @@
     const std::string token =
         begun_[chance_.below(static_cast<std::uint32_t>(begun_.size()))] + tokens::encode_base64url(noise);
     ++asked_;
-    o.client.ask("GET /look/1 HTTP/1.1\r\nX-Correlation-Id: f" + std::to_string(asked_) +
-                     "\r\nX-Time-Left-Ms: 1500\r\nAuthorization: Bearer " + token + "\r\n\r\n",
-                 [this, &o](const fakes::Client::Answer& a) {
-                   served_ += a.status == 200;
-                   o.client.hang_up();
-                 });
+    o.client.send("GET /look/1 HTTP/1.1\r\nX-Correlation-Id: f" + std::to_string(asked_) +
+                      "\r\nX-Time-Left-Ms: 1500\r\nAuthorization: Bearer " + token + "\r\n\r\n",
+                  [this, &o](const fakes::Client::Answer& a) {
+                    served_ += a.status == 200;
+                    o.client.disconnect();
+                  });
   }
   std::string address_;
   Pcg chance_;
@@ -257,12 +259,13 @@
     for (unsigned i = 0; i < 4; ++i) {
       hosts_.push_back(std::make_unique<fakes::Endpoint>(
           loop_, limits_, [this](const http::Head& head, const std::string&) { return serve(head); }));
-      discovery_.put({"h" + std::to_string(i), hosts_.back()->address(), "up", 1, Instant()});
+      discovery_.put(
+          {"h" + std::to_string(i), hosts_.back()->address(), fakes::ListedState::kUp, 1, Instant()});
     }
     rotate();
     rotate();  // one that signs, and one that is coming
     InstanceSettings site{"proof", "127.0.0.1:0",     discovery_.address(), desk_.address(),
-                          7,       discovery_.list(), desk_.news()};
+                          7,       discovery_.list(), desk_.state_json()};
     router_ = std::make_unique<Running>(files, site);
   }
 
@@ -291,7 +294,7 @@
     end_.in(Span::s(proof_.seconds));
     loop_.run();
     for (auto& c : all_) {
-      counts_.twice += c->client->stray();
+      counts_.twice += c->client->unexpected();
       // Whoever asked less than the longest time ago may still be waiting.
       if (c->client->busy() && loop_.now() - c->asked_at > Span::s(2)) ++counts_.missing;
     }
@@ -310,9 +313,9 @@
     Timer timer;
   };
 
-  fakes::Served serve(const http::Head& head) {
-    fakes::Served s;
-    s.takes = Span::ms(10 + chance_.below(10));
+  fakes::EndpointAnswer serve(const http::Head& head) {
+    fakes::EndpointAnswer s;
+    s.delay = Span::ms(10 + chance_.below(10));
     if (head.target().starts_with("/pay") &&
         !paid_.insert(std::string(*head.find("X-Correlation-Id"))).second)
       ++counts_.duplicates;
@@ -415,7 +418,7 @@
     std::string claims = R"({"aud":"ashbeam","tenant":"shop","sub":")" + c.subject + R"(","iat":)" +
                          std::to_string(now) + R"(,"exp":)" +
                          std::to_string(now + static_cast<std::int64_t>(life.s()));
-    if (c.kind == "bound") claims += R"(,"cnf":{"x5t#S256":")" + c.identity.print + "\"}";
+    if (c.kind == "bound") claims += R"(,"cnf":{"x5t#S256":")" + c.identity.thumbprint + "\"}";
     return tokens::sign_token(with.key, with.kid, claims + "}");
   }
 
@@ -442,7 +445,7 @@
     std::string fields = " HTTP/1.1\r\nHost: p\r\nX-Account: shop\r\nX-Correlation-Id: " + c.id +
                          "\r\nX-Time-Left-Ms: 1500\r\n";
     if (!c.token.empty()) fields += "Authorization: Bearer " + c.token + "\r\n";
-    c.client->ask(
+    c.client->send(
         mutating ? "POST /pay" + fields + "Content-Length: 2\r\n\r\nhi" : "GET /look/1" + fields + "\r\n",
         [this, &c](const fakes::Client::Answer& a) { answered(c, a); });
   }
@@ -457,14 +460,15 @@
     }
     if (c.kind.starts_with("doomed")) {
       if (c.asked_revoked) ++(a.status == 200 ? counts_.revoked_served : counts_.revoked_refused);
-      if (chance_.below(3) == 0) c.client->hang_up();  // so that new handshakes and resumed sessions try, too
+      if (chance_.below(3) == 0)
+        c.client->disconnect();  // so that new handshakes and resumed sessions try, too
       return;
     }
     if (a.status == 200) {
       ++counts_.served;
       counts_.resumed += c.client->resumed();
       (flooding() ? counts_.flood_ms : counts_.calm_ms).push_back((now - c.asked_at).ms());
-      if (chance_.below(20) == 0) c.client->hang_up();
+      if (chance_.below(20) == 0) c.client->disconnect();
       return;
     }
     if (a.status == 0) {  // closed as the request crossed it: once more, on a new connection
--- a/proofs/metadata.cpp
+++ b/proofs/metadata.cpp
@@ -17,8 +17,10 @@
 #include "fakes/release_platform.hpp"
 #include "figures.hpp"
 #include "metadata/metadata_verifier.hpp"
-#include "program/environment.hpp"
+#include "program/router_limits.hpp"
+#include "program/startup_configuration.hpp"
 #include "replicated_repository.hpp"
+#include "terms/router_settings_reader.hpp"
 
 namespace ashbeam {
 namespace {
@@ -64,7 +66,7 @@
   Running(InstanceSettings site, std::string root) {
     thread_ = std::thread([this, site, root] {
       EventLoop loop;
-      const Start start = start_from(kSettings, site);
+      const StartupConfiguration start = parse_startup_configuration(kSettings, site);
       InstanceSettings full = start.site;
       full.release_platform_address = site.release_platform_address,
       full.discovery_address = site.discovery_address,
@@ -155,11 +157,12 @@
     for (unsigned i = 0; i < kEndpoints; ++i) {
       endpoints_.push_back(std::make_unique<fakes::Endpoint>(
           loop_, limits_, [this, i](const http::Head& head, const std::string&) { return serve(i, head); }));
-      discovery_.put({"h" + std::to_string(i), endpoints_.back()->address(), "up", 1, Instant()});
+      discovery_.put(
+          {"h" + std::to_string(i), endpoints_.back()->address(), fakes::ListedState::kUp, 1, Instant()});
     }
     router_ = std::make_unique<Running>(
         InstanceSettings{"proof", "127.0.0.1:0", discovery_.address(), release_platform_.address(), 7,
-                         discovery_.list(), release_platform_.news()},
+                         discovery_.list(), release_platform_.state_json()},
         repository_.first_root());
   }
 
@@ -173,7 +176,7 @@
     end_.in(Span::s(proof_.seconds));
     loop_.run();
     for (const auto& client : clients_) {
-      counts_.repeated_answers += client->connection.stray();
+      counts_.repeated_answers += client->connection.unexpected();
       const bool overdue = client->connection.busy() && loop_.now() - client->requested_at > Span::s(3);
       if (overdue) ++counts_.missing_answers;
     }
@@ -220,9 +223,9 @@
     if (replications_.size() > 200) replications_.erase(replications_.begin(), replications_.begin() + 100);
   }
 
-  fakes::Served serve(unsigned endpoint, const http::Head& head) {
-    fakes::Served answer;
-    answer.takes = Span::ms(2 + random_.below(4));
+  fakes::EndpointAnswer serve(unsigned endpoint, const http::Head& head) {
+    fakes::EndpointAnswer answer;
+    answer.delay = Span::ms(2 + random_.below(4));
     const std::string path(head.target());
     const std::string name = path.substr(kPrefix.size());
     const std::string* const file = repository_.find(endpoint, name);
@@ -249,7 +252,7 @@
   }
 
   void send(UpdatingClient& client) {
-    client.connection.ask(
+    client.connection.send(
         "GET " + kPrefix + client.file + " HTTP/1.1\r\nHost: p\r\nX-Correlation-Id: m" +
             std::to_string(++last_request_) + "\r\nX-Time-Left-Ms: 1500\r\n\r\n",
         [this, &client](const fakes::Client::Answer& answer) { on_answer(client, answer); });
--- a/src/program/keys_command.cpp
+++ b/src/program/keys_command.cpp
@@ -108,10 +108,9 @@
 };
 
 Span parse_span(const std::string& text) {
-  Span span;
-  if (!records::span_of(text, span))
-    throw std::runtime_error("wanted a span like 10m, found " + records::quoted(text));
-  return span;
+  const auto span = records::parse_span(text);
+  if (!span) throw std::runtime_error("wanted a span like 10m, found " + records::quoted(text));
+  return *span;
 }
 
 enum class ListedState { kComing, kCurrent, kRetiringOrRetired, kRevoked };
--- a/src/routing/endpoint_list_message.cpp
+++ b/src/routing/endpoint_list_message.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 
 #include "protocol/json.hpp"
-#include "terms/terms.hpp"
+#include "terms/wire_settings.hpp"
 
 namespace ashbeam {
 
--- a/src/routing/endpoint_registry.hpp
+++ b/src/routing/endpoint_registry.hpp
@@ -16,7 +16,7 @@
 #include "routing/endpoint_pools.hpp"
 #include "routing/name_table.hpp"
 #include "routing/router_context.hpp"
-#include "terms/terms.hpp"
+#include "terms/wire_settings.hpp"
 
 namespace ashbeam {
 
--- a/src/routing/service.hpp
+++ b/src/routing/service.hpp
@@ -33,7 +33,7 @@
 #include "routing/request_parser.hpp"
 #include "routing/router_context.hpp"
 #include "routing/wakeup_timers.hpp"
-#include "terms/terms.hpp"
+#include "terms/wire_settings.hpp"
 #include "transport/event_loop.hpp"
 #include "transport/tls_acceptor.hpp"
 
--- a/tests/router_fixture.hpp
+++ b/tests/router_fixture.hpp
@@ -11,8 +11,10 @@
 #include <thread>
 
 #include "policy_fixture.hpp"
-#include "program/environment.hpp"
+#include "program/router_limits.hpp"
+#include "program/startup_configuration.hpp"
 #include "routing/service.hpp"
+#include "terms/router_settings_reader.hpp"
 
 namespace ashbeam {
 
