--- /dev/null
+++ b/proofs/quota_simulation.cpp
@@ -0,0 +1,198 @@
+#include "quota_simulation.hpp"
+
+#include <algorithm>
+#include <cmath>
+#include <cstdint>
+#include <map>
+#include <vector>
+
+#include "base/pcg.hpp"
+#include "calling/subject_table.hpp"
+
+namespace ashbeam {
+
+namespace {
+
+using namespace calling;
+
+constexpr double kLimitPerS = 0.5;  // of each subject
+constexpr double kBurst = 4;
+constexpr double kRoutersPerSubject = 2;
+constexpr double kPeakFactor = 4;
+constexpr Span kBank = Span::s(10);
+constexpr unsigned kCheatsRouters = 50;  // that a cheating subject is on at once
+constexpr double kDealS = 15;            // how long a subject stays on its routers
+constexpr double kStepS = 0.02;
+const Instant kBegin = Instant::at_us(1'700'000'000'000'000);
+
+bool cheats(unsigned subject) { return subject % 1000 == 7; }
+bool greedy(unsigned subject) { return subject % 2 == 0 || cheats(subject); }
+
+class QuotaSimulation {
+ public:
+  QuotaSimulation(std::uint64_t seed, const QuotaSimulationSettings& settings)
+      : settings_(settings), chance_(seed),
+        subject_rate_(Rate::per_router({kLimitPerS, kBurst, 0}, kRoutersPerSubject, kPeakFactor, kBank)),
+        tenant_limit_{kLimitPerS * settings.subjects, 1000.0 * settings.routers, 0},
+        tenant_rate_(Rate::per_router(tenant_limit_, settings.routers, kPeakFactor, kBank)),
+        tenant_buckets_(settings.routers), admitted_(settings.subjects, 0) {
+    for (Bucket& bucket : tenant_buckets_) {
+      tables_.emplace_back(std::max(64U, settings.subjects * 3 / settings.routers));
+      bucket.start(nanoseconds_of(kBegin), Bucket::kNever, Bucket::kNever);
+    }
+  }
+
+  // Steps of 20 ms; in each, subjects drawn at random send a request, the greedy three times as often as they
+  // may.
+  void run() {
+    const double requests_per_s = settings_.subjects * kLimitPerS * (0.5 * 3 + 0.5 * 0.5);
+    double due = 0;
+    for (double t = 0; t < settings_.seconds; t += kStepS) {
+      const Instant now = kBegin + Span::s(t);
+      send_waiting(now);
+      for (due += requests_per_s * kStepS; due >= 1; due -= 1) send_random(t, now);
+      send_cheating(now);
+    }
+  }
+
+  void report(Proof& proof) const {
+    const double fair = kLimitPerS * settings_.seconds + kBurst;
+    const Totals totals = totals_by_kind();
+    const double greedy_ratio = totals.greedy_admitted / (static_cast<double>(totals.greedy_subjects) * fair);
+    proof.figure("sim_routers", settings_.routers);
+    proof.figure("sim_subjects", settings_.subjects);
+    proof.figure("sim_hits", static_cast<double>(sent_));
+    proof.figure("sim_bytes_per_subject",
+                 static_cast<double>(tables_[0].bytes()) * settings_.routers / settings_.subjects);
+    // Each router that a subject meets admits r (T + bank) + burst at most; here two at a time, dealt anew
+    // 1 + T / 15 times, each time with what a fresh bucket gives.
+    const double deals = 1 + std::ceil(settings_.seconds / kDealS);
+    proof.at_most("over_limit_ratio", greedy_ratio, (kLimitPerS * settings_.seconds + deals * kBurst) / fair);
+    proof.at_most("over_limit_worst_ratio", totals.greedy_most / fair,
+                  (kLimitPerS * (settings_.seconds + kBank.s()) + deals * kBurst) / fair);
+    proof.at_most("room_unused_ratio", std::max(0.0, 1 - greedy_ratio), 0.25);
+    proof.at_most("cheats_ratio",
+                  totals.cheats_admitted / (static_cast<double>(totals.cheating_subjects) * fair),
+                  kCheatsRouters / kRoutersPerSubject);
+    const double tenant_fair =
+        tenant_limit_.requests_per_s * settings_.seconds + tenant_limit_.burst_requests;
+    proof.at_most(
+        "tenant_over_limit_ratio", static_cast<double>(tenant_admitted_) / tenant_fair,
+        (tenant_limit_.requests_per_s * (settings_.seconds + kBank.s()) + tenant_limit_.burst_requests) /
+            tenant_fair);
+    if (retried_ > 0) {
+      proof.at_least("waited_taken_ratio",
+                     static_cast<double>(retried_admitted_) / static_cast<double>(retried_), 0.6);
+    }
+  }
+
+ private:
+  struct Retry {
+    std::uint32_t subject = 0;
+    std::uint32_t router = 0;
+  };
+  struct Totals {
+    double greedy_admitted = 0;
+    double greedy_most = 0;  // of one subject
+    double cheats_admitted = 0;
+    std::uint64_t greedy_subjects = 0;
+    std::uint64_t cheating_subjects = 0;
+  };
+
+  // The wait that it is told; 0: it is admitted.
+  std::int64_t send(unsigned subject, unsigned router, Instant now) {
+    const std::int64_t now_ns = nanoseconds_of(now);
+    const std::uint64_t hash = (subject + 1) * 0x9e3779b97f4a7c15ULL;
+    SubjectTable& table = tables_[router];
+    Bucket& own = table.bucket(table.find_or_insert(hash, now));
+    Bucket& tenant = tenant_buckets_[router];
+    const std::int64_t own_wait_ns = own.wait_ns(subject_rate_, now_ns);
+    const std::int64_t tenant_wait_ns = tenant.wait_ns(tenant_rate_, now_ns);
+    if (own_wait_ns == 0 && tenant_wait_ns == 0) {
+      own.take(subject_rate_, now_ns);
+      tenant.take(tenant_rate_, now_ns);
+      ++admitted_[subject];
+      ++tenant_admitted_;
+      return 0;
+    }
+    return std::max(own_wait_ns > 0 ? own.promise_ns(subject_rate_, now_ns) : 0,
+                    tenant_wait_ns > 0 ? tenant.promise_ns(tenant_rate_, now_ns) : 0);
+  }
+
+  unsigned router_of(unsigned subject, unsigned connection, double t) const {
+    const auto deal = static_cast<std::uint64_t>((t + subject % 15) / kDealS);
+    std::uint64_t hash =
+        ((deal << 40U) + static_cast<std::uint64_t>(subject) * 64 + connection + 1) * 0xbf58476d1ce4e5b9ULL;
+    hash ^= hash >> 29U;
+    return static_cast<unsigned>((hash * 0x94d049bb133111ebULL >> 32U) % settings_.routers);
+  }
+
+  void send_waiting(Instant now) {
+    while (!retries_.empty() && retries_.begin()->first <= (now - kBegin).us() / 1000) {
+      for (const Retry& retry : retries_.begin()->second) {
+        ++retried_;
+        if (send(retry.subject, retry.router, now) == 0) ++retried_admitted_;
+      }
+      retries_.erase(retries_.begin());
+    }
+  }
+
+  void send_random(double t, Instant now) {
+    unsigned subject = chance_.below(settings_.subjects / 2) * 2;
+    if (chance_.below(7) == 0) subject += 1;  // 3 : 0.5
+    if (cheats(subject)) return;
+    const unsigned router = router_of(subject, chance_.below(2), t);
+    ++sent_;
+    const std::int64_t wait_ns = send(subject, router, now);
+    // One in twenty comes back when it was told to, the others give up.
+    if (wait_ns > 0 && chance_.below(20) == 0)
+      retries_[((now - kBegin).us() + wait_ns / 1000) / 1000 + 1].push_back({subject, router});
+  }
+
+  // Ten times their limit each.
+  void send_cheating(Instant now) {
+    for (unsigned subject = 7; subject < settings_.subjects; subject += 1000) {
+      if (chance_.unit() < kLimitPerS * 10 * kStepS)
+        send(subject, router_of(subject, chance_.below(kCheatsRouters), 0), now);
+    }
+  }
+
+  Totals totals_by_kind() const {
+    Totals totals;
+    for (unsigned subject = 0; subject < settings_.subjects; ++subject) {
+      if (cheats(subject)) {
+        ++totals.cheating_subjects;
+        totals.cheats_admitted += admitted_[subject];
+      } else if (greedy(subject)) {
+        ++totals.greedy_subjects;
+        totals.greedy_admitted += admitted_[subject];
+        totals.greedy_most = std::max(totals.greedy_most, static_cast<double>(admitted_[subject]));
+      }
+    }
+    return totals;
+  }
+
+  QuotaSimulationSettings settings_;
+  Pcg chance_;
+  Rate subject_rate_;
+  Limit tenant_limit_;
+  Rate tenant_rate_;
+  std::vector<Bucket> tenant_buckets_;   // by router
+  std::vector<SubjectTable> tables_;     // by router
+  std::vector<std::uint16_t> admitted_;  // by subject
+  std::uint64_t tenant_admitted_ = 0;
+  std::uint64_t sent_ = 0;
+  std::uint64_t retried_ = 0;
+  std::uint64_t retried_admitted_ = 0;
+  std::map<std::int64_t, std::vector<Retry>> retries_;  // by millisecond: when they come back
+};
+
+}  // namespace
+
+void simulate_quotas(Proof& proof, const QuotaSimulationSettings& settings) {
+  QuotaSimulation simulation(proof.seed, settings);
+  simulation.run();
+  simulation.report(proof);
+}
+
+}  // namespace ashbeam
