--- a/src/calling/authorizer.cpp
+++ b/src/calling/authorizer.cpp
@@ -224,7 +224,8 @@
   const std::int64_t subject_wait_ns = subject_bucket.wait_ns(rule.rate, now_ns);
   const std::int64_t tenant_wait_ns = usage.bucket.wait_ns(tenant.rate, now_ns);
   if (subject_wait_ns > 0 || tenant_wait_ns > 0) {
-    // A subject that is over its own limit takes no slot of the tenant's, which others are told to wait for.
+    // A subject that is over its own limit takes no slot of the tenant's: that would let its others wait
+    // longer.
     const std::int64_t promised_ns = subject_wait_ns > 0 ? subject_bucket.promise_ns(rule.rate, now_ns)
                                                          : usage.bucket.promise_ns(tenant.rate, now_ns);
     retry_after = Span::us(std::max(promised_ns, tenant_wait_ns) / 1000 + 1);
--- a/src/calling/authorizer.hpp
+++ b/src/calling/authorizer.hpp
@@ -34,7 +34,7 @@
 
 namespace ashbeam::calling {
 
-// Stands for the request's place in its quotas, from admit() to release().
+// What a request holds of its quotas, from admit() to release().
 struct AdmissionToken {
   static constexpr std::uint32_t kNone = UINT32_MAX;
   std::uint32_t tenant_slot = kNone;  // kNone: nothing is to be released
--- a/src/calling/principal.hpp
+++ b/src/calling/principal.hpp
@@ -40,7 +40,7 @@
   std::uint32_t rule = 0;           // index in the tenant's rules
   std::uint64_t subject_hash = 0;   // of tenant and subject
   std::uint32_t policy_tenant = 0;  // index in CallingSettings::policy_tenants
-  std::string principal;            // "tenant/subject", as endpoints are told; empty: nobody
+  std::string principal;            // "tenant/subject", as endpoints see it; empty: nobody
 };
 
 // "tenant/subject", with every byte percent-encoded that could end a header line or be read as another name.
--- a/src/calling/quota.hpp
+++ b/src/calling/quota.hpp
@@ -13,10 +13,9 @@
 // m > routers_per_subject routers at once gets m / routers_per_subject times its limit, but all subjects
 // together no more than their tenant. A tenant that is sent to a part s of the routers for good gets s R.
 //
-// Retry-After. A rejected request is told when there is capacity for it behind those that were told before
-// it. Such promises reach `bank` past the first free slot at most; from there on they are given out anew,
-// and two requests share a slot. Nothing is reserved: a request that was not told to wait may use the slot
-// first.
+// Retry-After. A rejected request is promised the next slot behind those promised before it. Promises reach
+// `bank` past the first free slot at most; from there on they are given out anew, and two requests share a
+// slot. Nothing is reserved: a request without a promise may use the slot first.
 #pragma once
 #include <cstdint>
 
@@ -45,14 +44,14 @@
   static constexpr std::int64_t kNever = INT64_MIN;
   std::int64_t sustained_due_ns = kNever;
   std::int64_t peak_due_ns = kNever;
-  std::int64_t promised_ns = kNever;  // the last slot that a rejected request was told
+  std::int64_t promised_ns = kNever;  // the last slot promised to a rejected request
 
   // Starts full, but never due earlier than the two floors.
   void start(std::int64_t now_ns, std::int64_t sustained_floor_ns, std::int64_t peak_floor_ns);
   // How long until one request may be taken; 0: now.
   std::int64_t wait_ns(const Rate& rate, std::int64_t now_ns) const;
   void take(const Rate& rate, std::int64_t now_ns);
-  // The wait that a rejected request is told; its slot counts as promised.
+  // How long a rejected request is to wait; its slot counts as promised.
   std::int64_t promise_ns(const Rate& rate, std::int64_t now_ns);
 };
 
--- a/src/calling/tenant_directory.hpp
+++ b/src/calling/tenant_directory.hpp
@@ -1,5 +1,5 @@
 // Tenants, and what they and their subjects may do, as small indices. Built whole from the operator's
-// settings and never changed; a new directory takes its place.
+// settings and never changed; a new directory replaces it.
 #pragma once
 #include <cstdint>
 #include <map>
--- a/src/calling/tenant_usage.hpp
+++ b/src/calling/tenant_usage.hpp
@@ -20,7 +20,7 @@
     std::uint32_t in_flight = 0;  // requests
   };
 
-  // To be called with each new directory, before its tenants are asked for.
+  // To be called with each new directory, before slot_of() is called for it.
   void assign_slots(const TenantDirectory& directory, Instant now);
   // The slot of the tenant with that index in the directory.
   std::uint32_t slot_of(std::uint32_t tenant_index) const { return slot_by_index_[tenant_index]; }
--- a/src/calling/token_cache.hpp
+++ b/src/calling/token_cache.hpp
@@ -24,7 +24,7 @@
   std::string issuer;
   std::string tenant;
   std::string subject;
-  std::string principal;                             // as endpoints are told
+  std::string principal;                             // as endpoints see it
   std::uint64_t subject_hash = 0;                    // of the principal
   std::optional<tokens::Digest> certificate_sha256;  // where it counts beside this certificate alone
 
--- a/tests/key_ring_test.cpp
+++ b/tests/key_ring_test.cpp
@@ -58,7 +58,8 @@
     signers.emplace_back("k" + std::to_string(i % 3), tokens::Algorithm::kEdDsa);  // names shared
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     Pcg chance(seed);
-    const Span overlap = Span::s(1 + chance.below(10)), leeway = Span::ms(chance.below(1500));
+    const Span overlap = Span::s(1 + chance.below(10));
+    const Span leeway = Span::ms(chance.below(1500));
     KeyRing ring({overlap, leeway});
     std::vector<PlainKey> plain(signers.size());
     Instant now = kBegin;
@@ -66,14 +67,16 @@
       now = now + Span::ms(chance.below(3000));
       std::vector<tokens::KeyEntry> set;
       for (std::size_t i = 0; i < signers.size(); ++i) {
-        const bool listed = chance.below(3) > 0, revoked = listed && chance.below(60) == 0;
+        const bool listed = chance.below(3) > 0;
+        const bool revoked = listed && chance.below(60) == 0;
         if (listed) set.push_back(revoked ? revoked_entry(signers[i]) : signers[i].entry());
         plain[i].history.push_back({now, listed, revoked});
       }
       ring.update(set, now);
       for (int query = 0; query < 10; ++query) {
         const std::size_t i = chance.below(static_cast<std::uint32_t>(signers.size()));
-        const Instant at = now + Span::ms(chance.below(12000)), issued = at - Span::ms(chance.below(12000));
+        const Instant at = now + Span::ms(chance.below(12000));
+        const Instant issued = at - Span::ms(chance.below(12000));
         Refusal refusal = Refusal::kKeyRetired;
         ring.try_candidates(signers[i].kid, tokens::Algorithm::kEdDsa, [&](KeyRef key) {
           if (ring.key(key).thumbprint() != signers[i].key.thumbprint()) return false;
--- a/tests/quota_test.cpp
+++ b/tests/quota_test.cpp
@@ -3,9 +3,10 @@
 
 #include <gtest/gtest.h>
 
+#include <algorithm>
 #include <cmath>
 #include <deque>
-#include <map>
+#include <set>
 
 #include "base/pcg.hpp"
 
@@ -16,17 +17,20 @@
 
 const Instant kBegin = Instant::at_us(1'700'000'000'000'000);
 
-// Two buckets of tokens, in seconds and whole arithmetic on doubles; and no more.
+// Two token buckets, in seconds.
 struct PlainRate {
-  double per_s, burst, bank_s, lend;
-  double sustained = 0, peak = 0, at = 0;
-  PlainRate(double r, double b, double bank, double l) : per_s(r), burst(b), bank_s(bank), lend(l) {
-    sustained = peak = burst;
-  }
-  bool take(double now) {
-    sustained = std::min(burst + per_s * bank_s, sustained + (now - at) * per_s);
-    peak = std::min(burst, peak + (now - at) * per_s * lend);
-    at = now;
+  double per_s;
+  double burst;
+  double bank_s;
+  double peak_factor;
+  double sustained = burst;
+  double peak = burst;
+  double last_s = 0;
+
+  bool take(double now_s) {
+    sustained = std::min(burst + per_s * bank_s, sustained + (now_s - last_s) * per_s);
+    peak = std::min(burst, peak + (now_s - last_s) * per_s * peak_factor);
+    last_s = now_s;
     if (sustained < 1 - 1e-6 || peak < 1 - 1e-6) return false;
     sustained -= 1;
     peak -= 1;
@@ -37,91 +41,99 @@
 TEST(Rates, AgreeWithTwoPlainBucketsOfTokens) {
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     Pcg chance(seed);
-    const double per_s = 0.5 + chance.below(50), burst = 1 + chance.below(9), bank = chance.below(20),
-                 lend = 1 + chance.below(5);
-    const Rate rate = Rate::per_router({per_s, burst, 0}, 1, lend, Span::s(bank));
-    PlainRate plain(per_s, burst, bank, lend);
+    const double per_s = 0.5 + chance.below(50);
+    const double burst = 1 + chance.below(9);
+    const double bank_s = chance.below(20);
+    const double peak_factor = 1 + chance.below(5);
+    const Rate rate = Rate::per_router({per_s, burst, 0}, 1, peak_factor, Span::s(bank_s));
+    PlainRate plain{per_s, burst, bank_s, peak_factor};
     Bucket bucket;
-    std::int64_t now = nanoseconds_of(kBegin);
-    const std::int64_t begin = now;
-    bucket.start(now, Bucket::kNever, Bucket::kNever);
-    std::uint64_t taken = 0, close = 0;
+    const std::int64_t begin_ns = nanoseconds_of(kBegin);
+    std::int64_t now_ns = begin_ns;
+    bucket.start(now_ns, Bucket::kNever, Bucket::kNever);
+    std::uint64_t taken = 0;
+    std::uint64_t at_the_edge = 0;
     for (int i = 0; i < 3000; ++i) {
-      const double gap = chance.below(20) == 0 ? bank : 1.5 / per_s / lend;
-      now += static_cast<std::int64_t>(chance.unit() * gap * 2e9);
-      const double s = static_cast<double>(now - begin) / 1e9;
-      const bool fits = bucket.wait_ns(rate, now) == 0;
+      const double gap_s = chance.below(20) == 0 ? bank_s : 1.5 / per_s / peak_factor;
+      now_ns += static_cast<std::int64_t>(chance.unit() * gap_s * 2e9);
+      const double elapsed_s = static_cast<double>(now_ns - begin_ns) / 1e9;
+      const bool fits = bucket.wait_ns(rate, now_ns) == 0;
       PlainRate tried = plain;
-      if (tried.take(s) != fits) {  // only ever at the very edge: then both go the plain model's way
+      if (tried.take(elapsed_s) != fits) {  // only ever at the very edge
         PlainRate edge = plain;
-        ASSERT_TRUE(edge.take(s + 1e-5) != plain.take(s - 1e-5) ||
-                    std::abs(bucket.wait_ns(rate, now)) < 20000)
+        ASSERT_TRUE(edge.take(elapsed_s + 1e-5) != plain.take(elapsed_s - 1e-5) ||
+                    std::abs(bucket.wait_ns(rate, now_ns)) < 20000)
             << seed;
-        ++close;
+        ++at_the_edge;
         break;
       }
       if (!fits) continue;
-      bucket.take(rate, now);
+      bucket.take(rate, now_ns);
       plain = tried;
       ++taken;
     }
     EXPECT_GT(taken, 20U);
-    EXPECT_LE(close, 1U);
+    EXPECT_LE(at_the_edge, 1U);
   }
 }
 
 TEST(Rates, NeverMoreThanTheStatedBoundInAnySpan) {
   Pcg chance(5);
-  const double per_s = 20, burst = 5, bank = 3;
-  const Rate rate = Rate::per_router({per_s, burst, 0}, 1, 4, Span::s(bank));
+  const double per_s = 20;
+  const double burst = 5;
+  const double bank_s = 3;
+  const Rate rate = Rate::per_router({per_s, burst, 0}, 1, 4, Span::s(bank_s));
   Bucket bucket;
-  std::int64_t now = nanoseconds_of(kBegin);
-  bucket.start(now, Bucket::kNever, Bucket::kNever);
-  std::deque<double> taken;
+  std::int64_t now_ns = nanoseconds_of(kBegin);
+  bucket.start(now_ns, Bucket::kNever, Bucket::kNever);
+  std::deque<double> taken;  // at which seconds
   for (int i = 0; i < 40000; ++i) {
-    now += static_cast<std::int64_t>(chance.below(500) == 0 ? chance.unit() * 5e9 : chance.unit() * 2e7);
-    if (bucket.wait_ns(rate, now) > 0) continue;
-    bucket.take(rate, now);
-    taken.push_back(static_cast<double>(now) / 1e9);
+    now_ns += static_cast<std::int64_t>(chance.below(500) == 0 ? chance.unit() * 5e9 : chance.unit() * 2e7);
+    if (bucket.wait_ns(rate, now_ns) > 0) continue;
+    bucket.take(rate, now_ns);
+    taken.push_back(static_cast<double>(now_ns) / 1e9);
   }
   for (std::size_t i = 0; i < taken.size(); i += 7) {
     for (std::size_t j = i + 1; j < std::min(taken.size(), i + 200); j += 13) {
-      const double span = taken[j] - taken[i], count = static_cast<double>(j - i + 1);
-      ASSERT_LE(count, per_s * (span + bank) + burst + 1e-3);
-      ASSERT_LE(count, 4 * per_s * span + burst + 1e-3);
+      const double span_s = taken[j] - taken[i];
+      const double count = static_cast<double>(j - i + 1);
+      ASSERT_LE(count, per_s * (span_s + bank_s) + burst + 1e-3);
+      ASSERT_LE(count, 4 * per_s * span_s + burst + 1e-3);
     }
   }
 }
 
 TEST(Rates, WhoWaitsForRetryAfterIsTakenWhereNobodyElseCame) {
-  Pcg chance(9);
   const Rate rate = Rate::per_router({10, 3, 0}, 1, 4, Span::s(5));
   Bucket bucket;
-  std::int64_t now = nanoseconds_of(kBegin);
-  bucket.start(now, Bucket::kNever, Bucket::kNever);
-  std::multimap<std::int64_t, int> back;
-  unsigned rejected = 0, taken = 0;
-  for (int i = 0; i < 200; ++i) {  // a wave of 200
-    if (bucket.wait_ns(rate, now) == 0) bucket.take(rate, now);
-    else back.emplace(now + bucket.promise_ns(rate, now), i), ++rejected;
-  }
-  for (const auto& [when, who] : back) {
-    if (bucket.wait_ns(rate, when) > 0) continue;
-    bucket.take(rate, when);
+  std::int64_t now_ns = nanoseconds_of(kBegin);
+  bucket.start(now_ns, Bucket::kNever, Bucket::kNever);
+  std::multiset<std::int64_t> retries;  // at which nanoseconds, as promised
+  unsigned rejected = 0;
+  unsigned taken = 0;
+  const auto send = [&] {
+    if (bucket.wait_ns(rate, now_ns) == 0) {
+      bucket.take(rate, now_ns);
+    } else {
+      retries.insert(now_ns + bucket.promise_ns(rate, now_ns));
+      ++rejected;
+    }
+  };
+  for (int i = 0; i < 200; ++i) send();
+  for (const std::int64_t when_ns : retries) {
+    if (bucket.wait_ns(rate, when_ns) > 0) continue;
+    bucket.take(rate, when_ns);
     ++taken;
   }
   // 50 promises reach the bank's end; the others share what was given out already.
   EXPECT_EQ(rejected, 197U);
   EXPECT_GE(taken, 50U);
-  back.clear();
-  now += 60'000'000'000;
-  for (int i = 0; i < 40; ++i) {
-    if (bucket.wait_ns(rate, now) == 0) bucket.take(rate, now);
-    else back.emplace(now + bucket.promise_ns(rate, now), i);
-  }
-  for (const auto& [when, who] : back) {
-    ASSERT_EQ(bucket.wait_ns(rate, when), 0);  // fewer than the bank holds: each one
-    bucket.take(rate, when);
+  retries.clear();
+  now_ns += 60'000'000'000;
+  for (int i = 0; i < 40; ++i) send();
+  for (const std::int64_t when_ns : retries) {
+    ASSERT_EQ(bucket.wait_ns(rate, when_ns), 0);  // fewer than the bank holds: each one
+    bucket.take(rate, when_ns);
   }
 }
 
--- a/tests/tokens_test.cpp
+++ b/tests/tokens_test.cpp
@@ -21,7 +21,8 @@
 
 TEST(Keys, VerifyTheirOwnSignaturesAndNoOthers) {
   for (const auto algorithm : {tokens::Algorithm::kEdDsa, tokens::Algorithm::kEs256}) {
-    const tokens::Key key = tokens::Key::generate(algorithm), other = tokens::Key::generate(algorithm);
+    const tokens::Key key = tokens::Key::generate(algorithm);
+    const tokens::Key other = tokens::Key::generate(algorithm);
     const std::string signature = key.sign("hello");
     EXPECT_TRUE(key.verify("hello", signature));
     EXPECT_FALSE(key.verify("hullo", signature) || other.verify("hello", signature));
