--- a/tests/tls_test.cpp
+++ b/tests/tls_test.cpp
@@ -1,10 +1,12 @@
-// The TLS listener: whom it believes, what it forgets when told to, and rubbish. Stand-ins on a loop of their
-// own.
+// The TLS listener: which clients it trusts, revocation, replaced credentials, and invalid bytes. The router
+// runs on one event loop, the fakes on another, each with its thread.
 #include <Poco/Exception.h>
 #include <openssl/ssl.h>
 #include <openssl/x509.h>
 
+#include <chrono>
 #include <csignal>
+#include <functional>
 #include <future>
 
 #include "calling_helpers.hpp"
@@ -25,388 +27,461 @@
 class TlsTest : public testing::Test {
  protected:
   fakes::Authority authority_{"authority"};
-  fakes::Identity server_ = authority_.issue("", "router", Span::s(3600), true);
-  fakes::Identity van_ = authority_.issue("shop", "van", Span::s(3600));
-  TlsSettings tls_;
-  TlsFiles files_;
-  calling::CallingSettings calling_ = shop_terms();
+  fakes::Identity server_identity_ = authority_.issue("", "router", Span::s(3600), true);
+  fakes::Identity client_identity_ = authority_.issue("shop", "van", Span::s(3600));
+  TlsSettings tls_settings_;
+  TlsFiles tls_files_;
+  calling::CallingSettings calling_settings_ = shop_terms();
   Limits limits_;
-  // Stand-ins, on a thread of their own.
-  EventLoop theirs_;
-  std::string seen_;
-  std::unique_ptr<fakes::Endpoint> host_;
+  // The fakes, on a thread of their own.
+  EventLoop fakes_loop_;
+  std::string seen_principal_;
+  std::unique_ptr<fakes::Endpoint> endpoint_;
   std::unique_ptr<fakes::Discovery> discovery_;
-  std::unique_ptr<fakes::ReleasePlatform> desk_;
-  std::string body_ = "ok";
-  std::thread their_thread_;
+  std::unique_ptr<fakes::ReleasePlatform> release_platform_;
+  std::string answer_body_ = "ok";
+  std::thread fakes_thread_;
   // The router, on another.
-  EventLoop loop_;
+  EventLoop router_loop_;
   std::unique_ptr<Service> service_;
-  std::thread thread_;
-  std::vector<std::string> notes_;  // read once both have ended
+  std::thread router_thread_;
+  std::vector<std::string> log_lines_;  // read once both have ended
 
   void SetUp() override {
     std::signal(SIGPIPE, SIG_IGN);
-    tls_.listen = "127.0.0.1:0";
-    tls_.client_certificates = TlsSettings::ClientCertificates::kOptional;
-    files_ = {server_.certificate_pem, server_.key_pem, authority_.pem(), "", ""};
+    tls_settings_.listen = "127.0.0.1:0";
+    tls_settings_.client_certificates = TlsSettings::ClientCertificates::kOptional;
+    tls_files_ = {server_identity_.certificate_pem, server_identity_.key_pem, authority_.pem(), "", ""};
   }
-  void begin() {
-    host_ = std::make_unique<fakes::Endpoint>(theirs_, limits_,
-                                              [this](const http::Head& head, const std::string&) {
-                                                seen_ = std::string(head.find("X-Caller").value_or("-"));
-                                                fakes::Served s;
-                                                s.body = body_;
-                                                return s;
-                                              });
-    discovery_ = std::make_unique<fakes::Discovery>(theirs_, limits_);
-    desk_ = std::make_unique<fakes::ReleasePlatform>(theirs_, limits_, std::vector<double>{1},
-                                                     [](const fakes::ReleasePlatform::State&) {});
-    discovery_->put({"h", host_->address(), "up", 1, Instant()});
-    const WireSettings door{{"look", "book", "pay"}, {"shop"},   {"one"}, {"usual"}, {},
-                            Span::ms(250),           Span::s(20)};
-    RouterSettings terms = default_settings();
-    terms.router_count = 1, terms.zone_count = 1;
-    service_ = std::make_unique<Service>(loop_, limits_, terms, door,
-                                         Site{"n", "127.0.0.1:0", discovery_->address(), desk_->address(), 7,
-                                              discovery_->list(), desk_->news()},
-                                         [this](std::string_view line) { notes_.emplace_back(line); });
-    service_->also_listen(tls_, std::make_shared<TlsCredentials>(tls_, files_));
-    service_->guard(std::make_unique<calling::Authorizer>(calling_, 7, loop_.now()), false);
+  void make_fakes() {
+    const auto serve = [this](const http::Head& head, const std::string&) {
+      seen_principal_ = std::string(head.find("X-Caller").value_or("-"));
+      fakes::Served answer;
+      answer.body = answer_body_;
+      return answer;
+    };
+    endpoint_ = std::make_unique<fakes::Endpoint>(fakes_loop_, limits_, serve);
+    discovery_ = std::make_unique<fakes::Discovery>(fakes_loop_, limits_);
+    release_platform_ = std::make_unique<fakes::ReleasePlatform>(fakes_loop_, limits_, std::vector<double>{1},
+                                                                 [](const fakes::ReleasePlatform::State&) {});
+    discovery_->put({"h", endpoint_->address(), "up", 1, Instant()});
+  }
+  void make_router() {
+    const WireSettings wire_settings{{"look", "book", "pay"}, {"shop"},   {"one"}, {"usual"}, {},
+                                     Span::ms(250),           Span::s(20)};
+    RouterSettings settings = default_settings();
+    settings.router_count = 1;
+    settings.zone_count = 1;
+    const Site site{"n", "127.0.0.1:0",      discovery_->address(),    release_platform_->address(),
+                    7,   discovery_->list(), release_platform_->news()};
+    service_ = std::make_unique<Service>(router_loop_, limits_, settings, wire_settings, site,
+                                         [this](std::string_view line) { log_lines_.emplace_back(line); });
+    service_->also_listen(tls_settings_, std::make_shared<TlsCredentials>(tls_settings_, tls_files_));
+    service_->guard(std::make_unique<calling::Authorizer>(calling_settings_, 7, router_loop_.now()), false);
     service_->start();
-    theirs_.enable_posts_from_threads();
-    loop_.enable_posts_from_threads();
-    their_thread_ = std::thread([this] { theirs_.run(); });
-    thread_ = std::thread([this] { loop_.run(); });
   }
-  void end() {
-    if (thread_.joinable()) {
-      on(loop_, [this] { loop_.stop(); });
-      thread_.join();
-      on(theirs_, [this] { theirs_.stop(); });
-      their_thread_.join();
+  // Returns once the router is ready: it rejects requests (503) until discovery has confirmed its list.
+  void start_router() {
+    make_fakes();
+    make_router();
+    fakes_loop_.enable_posts_from_threads();
+    router_loop_.enable_posts_from_threads();
+    fakes_thread_ = std::thread([this] { fakes_loop_.run(); });
+    router_thread_ = std::thread([this] { router_loop_.run(); });
+    ASSERT_TRUE(becomes_true([this] { return is_ready(); }));
+  }
+  bool is_ready() const {
+    Stream connection = connect_to(service_->port());
+    connection.say("GET /health/ready HTTP/1.1\r\n\r\n");
+    return status_of(connection.message()) == 200;
+  }
+  // Waits for a condition of another thread.
+  static bool becomes_true(const std::function<bool()>& condition) {
+    constexpr auto kPatience = std::chrono::seconds(5);
+    const auto give_up_at = std::chrono::steady_clock::now() + kPatience;
+    while (!condition()) {
+      if (std::chrono::steady_clock::now() >= give_up_at) return false;
+      usleep(1000);
     }
+    return true;
+  }
+  void stop_router() {
+    if (!router_thread_.joinable()) return;
+    run_on(router_loop_, [this] { router_loop_.stop(); });
+    router_thread_.join();
+    run_on(fakes_loop_, [this] { fakes_loop_.stop(); });
+    fakes_thread_.join();
   }
-  void TearDown() override { end(); }
-  bool noted(const std::string& part) const {
-    return std::any_of(notes_.begin(), notes_.end(),
-                       [&](const std::string& l) { return l.find(part) != std::string::npos; });
+  void TearDown() override { stop_router(); }
+  bool logged(const std::string& part) const {
+    return std::any_of(log_lines_.begin(), log_lines_.end(),
+                       [&](const std::string& line) { return line.find(part) != std::string::npos; });
   }
-  static void on(EventLoop& loop, const std::function<void()>& what) {
-    // Shared: the loop may still hold it when we have gone on.
+  // Runs `function` on the loop's thread, and returns once it has run.
+  static void run_on(EventLoop& loop, const std::function<void()>& function) {
+    // Shared: the loop may still hold it once this has returned.
     const auto done = std::make_shared<std::promise<void>>();
-    auto over = done->get_future();
-    loop.post_from_thread([&what, done] {
+    auto future = done->get_future();
+    loop.post_from_thread([&function, done] {
       try {
-        what();
-      } catch (const std::exception& e) {
-        ADD_FAILURE() << e.what();
+        function();
+      } catch (const std::exception& exception) {
+        ADD_FAILURE() << exception.what();
       }
       done->set_value();
     });
-    over.wait();
+    future.wait();
   }
-  void take() {
-    on(loop_, [this] {
-      service_->tls()->replace_credentials(tls_, std::make_shared<TlsCredentials>(tls_, files_));
+  void replace_credentials() {
+    run_on(router_loop_, [this] {
+      service_->tls()->replace_credentials(tls_settings_,
+                                           std::make_shared<TlsCredentials>(tls_settings_, tls_files_));
     });
   }
+  std::size_t handshakes_in_progress() {
+    std::size_t count = 0;
+    run_on(router_loop_, [&] { count = service_->tls()->handshakes_in_progress(); });
+    return count;
+  }
   std::string address() const { return "127.0.0.1:" + std::to_string(service_->tls_port()); }
-  std::shared_ptr<ClientTls> tls(const fakes::Identity* id, bool resume = false, int newest = 0x0304,
-                                 const fakes::Identity* between = nullptr) {
-    return std::make_shared<ClientTls>(id, between, resume, newest);
+  std::shared_ptr<ClientTls> tls(const fakes::Identity* id, bool resume = false,
+                                 int newest_version = TLS1_3_VERSION,
+                                 const fakes::Identity* intermediate = nullptr) {
+    return std::make_shared<ClientTls>(id, intermediate, resume, newest_version);
   }
-  struct Got {
+  struct Response {
     unsigned status = 0;
     std::string body;
-    bool resumed = false, closed = false;
+    bool resumed = false;
+    bool closed = false;
   };
-  // The stand-ins' loop owns its clients: they are made and destroyed there.
-  using Owned = std::shared_ptr<Client>;
-  Owned client(std::shared_ptr<ClientTls> tls) {
-    Owned made;
-    on(theirs_, [&] { made = std::make_shared<Client>(theirs_, limits_, address(), tls); });
-    return made;
+  // Clients belong to the fakes' loop: they are made and destroyed there.
+  using ClientPtr = std::shared_ptr<Client>;
+  ClientPtr make_client(std::shared_ptr<ClientTls> tls) {
+    ClientPtr client;
+    run_on(fakes_loop_, [&] { client = std::make_shared<Client>(fakes_loop_, limits_, address(), tls); });
+    return client;
   }
-  Got ask(Owned& c, const std::string& request = get()) {
-    const auto got = std::make_shared<std::promise<Got>>();
-    auto future = got->get_future();
-    theirs_.post_from_thread([&c, &request, got] {
-      c->ask(request, [c, got](const Client::Answer& a) {
-        got->set_value({a.status, a.message ? a.message->raw_body() : "", c->resumed(), !c->connected()});
+  // Sends a request and waits for its response; status 0 where the connection ended instead.
+  Response send(ClientPtr& client, const std::string& request = get()) {
+    const auto response = std::make_shared<std::promise<Response>>();
+    auto future = response->get_future();
+    fakes_loop_.post_from_thread([&client, &request, response] {
+      client->ask(request, [client, response](const Client::Answer& answer) {
+        const std::string body = answer.message ? answer.message->raw_body() : "";
+        response->set_value({answer.status, body, client->resumed(), !client->connected()});
       });
     });
     return future.get();
   }
-  void hang_up(Owned& c) {
+  void disconnect(ClientPtr& client) {
     usleep(20000);  // a ticket comes after the handshake
-    on(theirs_, [&] { c->hang_up(); });
+    run_on(fakes_loop_, [&] { client->hang_up(); });
   }
-  void drop(Owned& c) {
-    on(theirs_, [&] { c.reset(); });
+  void destroy(ClientPtr& client) {
+    run_on(fakes_loop_, [&] { client.reset(); });
   }
-  Stream raw() const {
+  static Stream connect_to(std::uint16_t port) {
     const int fd = ::socket(AF_INET, SOCK_STREAM, 0);
-    sockaddr_in at{};
-    at.sin_family = AF_INET;
-    at.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-    at.sin_port = htons(service_->tls_port());
-    ::connect(fd, reinterpret_cast<sockaddr*>(&at), sizeof at);
+    sockaddr_in address{};
+    address.sin_family = AF_INET;
+    address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+    address.sin_port = htons(port);
+    ::connect(fd, reinterpret_cast<sockaddr*>(&address), sizeof address);
     return Stream(fd);
   }
+  Stream open_connection() const { return connect_to(service_->tls_port()); }
 };
 
-TEST_F(TlsTest, ACertificateSaysWhoItIsAndItsSessionIsResumed) {
-  body_ = std::string(60'000, 'b');
-  begin();
-  for (const int newest : {0x0303, 0x0304}) {
-    Owned c = client(tls(&van_, true, newest));
-    const Got first = ask(c);
+TEST_F(TlsTest, ACertificateProvesThePrincipalAndItsSessionIsResumed) {
+  answer_body_ = std::string(60'000, 'b');
+  start_router();
+  for (const int newest : {TLS1_2_VERSION, TLS1_3_VERSION}) {
+    ClientPtr client = make_client(tls(&client_identity_, true, newest));
+    const Response first = send(client);
     EXPECT_EQ(first.status, 200U);
-    EXPECT_EQ(first.body, body_);
-    EXPECT_EQ(seen_, "shop/van");
+    EXPECT_EQ(first.body, answer_body_);
+    EXPECT_EQ(seen_principal_, "shop/van");
     EXPECT_FALSE(first.resumed);
-    EXPECT_EQ(ask(c).status, 200U);  // on the kept connection
-    hang_up(c);
-    const Got again = ask(c);
-    EXPECT_EQ(again.status, 200U);
-    EXPECT_TRUE(again.resumed) << newest;
-    drop(c);
+    EXPECT_EQ(send(client).status, 200U);  // on the same connection
+    disconnect(client);
+    const Response second = send(client);
+    EXPECT_EQ(second.status, 200U);
+    EXPECT_TRUE(second.resumed) << newest;
+    destroy(client);
   }
 }
 
-TEST_F(TlsTest, WhoIsNotBelieved) {
+TEST_F(TlsTest, UntrustedClientsAreRefused) {
   const fakes::Authority stranger("authority");  // of the same name
   const fakes::Identity forged = stranger.issue("shop", "van", Span::s(3600));
   const fakes::Identity expired = authority_.issue("shop", "van", Span::s(-30));
   const fakes::Identity elsewhere = authority_.issue("elsewhere", "van", Span::s(3600));
-  begin();
-  const auto status = [&](const fakes::Identity* id) {
-    Owned c = client(tls(id));
-    const unsigned s = ask(c).status;
-    drop(c);
-    return s;
+  start_router();
+  const auto status_for = [&](const fakes::Identity* id) {
+    ClientPtr client = make_client(tls(id));
+    const unsigned status = send(client).status;
+    destroy(client);
+    return status;
   };
-  EXPECT_EQ(status(&van_), 200U);
-  EXPECT_EQ(status(nullptr), 401U);
-  EXPECT_EQ(status(&elsewhere), 403U);
-  EXPECT_EQ(status(&forged), 0U);
-  EXPECT_EQ(status(&expired), 0U);
-  EXPECT_EQ(status(&server_), 0U);  // not meant for clients
-  tls_.client_certificates = TlsSettings::ClientCertificates::kRequired;
-  take();
-  EXPECT_EQ(status(nullptr), 0U);
-  EXPECT_EQ(status(&van_), 200U);
+  EXPECT_EQ(status_for(&client_identity_), 200U);
+  EXPECT_EQ(status_for(nullptr), 401U);
+  EXPECT_EQ(status_for(&elsewhere), 403U);
+  EXPECT_EQ(status_for(&forged), 0U);
+  EXPECT_EQ(status_for(&expired), 0U);
+  EXPECT_EQ(status_for(&server_identity_), 0U);  // its purpose is not client authentication
+  tls_settings_.client_certificates = TlsSettings::ClientCertificates::kRequired;
+  replace_credentials();
+  EXPECT_EQ(status_for(nullptr), 0U);
+  EXPECT_EQ(status_for(&client_identity_), 200U);
 }
 
-TEST_F(TlsTest, ARevokedCertificateIsServedNoMoreByAnyWay) {
+enum class Revocation { kBySerial, kByKey, kByCrl };
+
+// HEX in upper case, which the list of revoked certificates allows as well.
+std::string public_key_digest_of(const fakes::Identity& identity) {
+  unsigned char* der = nullptr;
+  const int size = i2d_PUBKEY(identity.key.get(), &der);
+  const auto digest = tokens::digest_of({reinterpret_cast<char*>(der), static_cast<std::size_t>(size)});
+  OPENSSL_free(der);
+  std::string hex;
+  for (const auto byte : digest) {
+    char digits[3];
+    std::snprintf(digits, sizeof digits, "%02X", byte);
+    hex += digits;
+  }
+  return hex;
+}
+
+TEST_F(TlsTest, ARevokedCertificateIsRefusedHoweverItConnects) {
   const fakes::Identity other = authority_.issue("shop", "other", Span::s(3600));
-  begin();
-  for (const auto& how : std::vector<std::string>{"serial", "key", "list"}) {
-    const fakes::Identity gone = authority_.issue("shop", "gone", Span::s(3600));
-    Owned kept = client(tls(&gone)), resuming = client(tls(&gone, true)), late = client(tls(&gone)),
-          innocent = client(tls(&other, true));
-    EXPECT_EQ(ask(kept).status, 200U);
-    EXPECT_EQ(ask(resuming).status, 200U);
-    EXPECT_EQ(ask(innocent).status, 200U);
-    EXPECT_EQ(ask(late).status, 200U);
-    hang_up(resuming);
-    // A request whose body is still to come when it is revoked.
-    const std::string whole = post("pay");
-    std::promise<unsigned> mid;
-    on(theirs_, [&] {
-      late->ask(whole.substr(0, whole.size() - 1), [&](const Client::Answer& a) { mid.set_value(a.status); });
+  start_router();
+  for (const Revocation how : {Revocation::kBySerial, Revocation::kByKey, Revocation::kByCrl}) {
+    const auto trace = testing::Message() << "revocation " << static_cast<int>(how);
+    const fakes::Identity revoked = authority_.issue("shop", "gone", Span::s(3600));
+    ClientPtr connected = make_client(tls(&revoked));
+    ClientPtr resuming = make_client(tls(&revoked, true));
+    ClientPtr mid_request = make_client(tls(&revoked));
+    ClientPtr not_revoked = make_client(tls(&other, true));
+    EXPECT_EQ(send(connected).status, 200U);
+    EXPECT_EQ(send(resuming).status, 200U);
+    EXPECT_EQ(send(not_revoked).status, 200U);
+    EXPECT_EQ(send(mid_request).status, 200U);
+    disconnect(resuming);
+    // A request whose body is still to come when its client is revoked.
+    const std::string request = post("pay");
+    std::promise<unsigned> mid_request_status;
+    run_on(fakes_loop_, [&] {
+      mid_request->ask(request.substr(0, request.size() - 1),
+                       [&](const Client::Answer& answer) { mid_request_status.set_value(answer.status); });
     });
     usleep(30000);
-    if (how == "serial") {
-      files_.revoked += "# stolen\nserial: 00" + gone.serial + "\n";
-    } else if (how == "key") {
-      unsigned char* der = nullptr;
-      const int size = i2d_PUBKEY(gone.key.get(), &der);
-      const auto d = tokens::digest_of({reinterpret_cast<char*>(der), static_cast<std::size_t>(size)});
-      OPENSSL_free(der);
-      std::string hex;
-      for (const auto b : d) {
-        char two[3];
-        std::snprintf(two, sizeof two, "%02X", b);
-        hex += two;
-      }
-      files_.revoked += "key:" + hex + "\n";
-    } else {
-      files_.crl = authority_.revocation_list(gone.serial);
-      tls_.crl = "crl";
+    switch (how) {
+      case Revocation::kBySerial:
+        tls_files_.revoked += "# stolen\nserial: 00" + revoked.serial + "\n";
+        break;
+      case Revocation::kByKey:
+        tls_files_.revoked += "key:" + public_key_digest_of(revoked) + "\n";
+        break;
+      case Revocation::kByCrl:
+        tls_files_.crl = authority_.revocation_list(revoked.serial);
+        tls_settings_.crl = "crl";
+        break;
     }
-    tls_.revoked = "revoked";
-    take();
-    on(theirs_, [&] { late->finish_raw(whole.substr(whole.size() - 1)); });
-    EXPECT_EQ(mid.get_future().get(), 401U) << how;
-    const Got refused = ask(kept);
-    EXPECT_EQ(refused.status, 401U) << how;
+    tls_settings_.revoked = "revoked";
+    replace_credentials();
+    run_on(fakes_loop_, [&] { mid_request->finish_raw(request.substr(request.size() - 1)); });
+    EXPECT_EQ(mid_request_status.get_future().get(), 401U) << trace;
+    const Response refused = send(connected);
+    EXPECT_EQ(refused.status, 401U) << trace;
     EXPECT_TRUE(refused.closed);
-    EXPECT_EQ(ask(kept).status, 0U) << how;  // a new handshake
-    const Got by_ticket = ask(resuming);
-    EXPECT_EQ(by_ticket.status, 0U) << how;
-    EXPECT_EQ(ask(innocent).status, 200U) << how;  // on the connection that it has
-    for (Owned* c : {&kept, &resuming, &late, &innocent}) drop(*c);
+    EXPECT_EQ(send(connected).status, 0U) << trace;  // by a new handshake
+    const Response by_ticket = send(resuming);
+    EXPECT_EQ(by_ticket.status, 0U) << trace;
+    EXPECT_EQ(send(not_revoked).status, 200U) << trace;  // on the connection that it has
+    for (ClientPtr* client : {&connected, &resuming, &mid_request, &not_revoked}) destroy(*client);
   }
 }
 
 TEST_F(TlsTest, AHandshakeAcrossARevocationLeavesNoTicketThatOpens) {
-  begin();
-  Owned c = client(tls(&van_, true));
-  tls_.revoked = "revoked", files_.revoked = "serial:" + van_.serial + "\n";
-  std::promise<unsigned> across;
+  start_router();
+  ClientPtr client = make_client(tls(&client_identity_, true));
+  tls_settings_.revoked = "revoked";
+  tls_files_.revoked = "serial:" + client_identity_.serial + "\n";
+  std::promise<unsigned> status;
   const std::string request = get();
-  on(theirs_, [&] {
-    c->ask(request, [&](const Client::Answer& a) { across.set_value(a.status); });
-    usleep(30000);  // accepted, and nothing of the handshake sent
-    take();
+  run_on(fakes_loop_, [&] {
+    client->ask(request, [&](const Client::Answer& answer) { status.set_value(answer.status); });
+    // The router has accepted the connection under the former credentials; nothing of the handshake has been
+    // sent, since the client's loop waits here.
+    EXPECT_TRUE(becomes_true([this] { return handshakes_in_progress() == 1; }));
+    replace_credentials();
   });
-  EXPECT_EQ(across.get_future().get(), 401U);
-  hang_up(c);
-  EXPECT_NE(ask(c).status, 200U);
-  drop(c);
+  EXPECT_EQ(status.get_future().get(), 401U);
+  disconnect(client);
+  EXPECT_NE(send(client).status, 200U);
+  destroy(client);
 }
 
-TEST_F(TlsTest, CertificatesAreRenewedWithoutDroppingAnybody) {
-  const fakes::Authority between = authority_.intermediate("between");
-  const fakes::Identity led = authority_.issue("shop", "led", Span::s(3600), false, &between);
-  const fakes::Identity step = between.self();
-  begin();
-  Owned plain = client(tls(&van_, true)), through = client(tls(&led, true, 0x0304, &step)),
-        resumed = client(tls(&led, true, 0x0304, &step));
-  for (Owned* c : {&plain, &through, &resumed}) EXPECT_EQ(ask(*c).status, 200U);
-  hang_up(resumed);
-  EXPECT_TRUE(ask(resumed).resumed);  // it has its leaf alone
-  server_ = authority_.issue("", "router", Span::s(3600), true);
-  files_.certificate = server_.certificate_pem, files_.key = server_.key_pem;
-  take();
-  for (Owned* c : {&plain, &through, &resumed}) EXPECT_EQ(ask(*c).status, 200U);
-  hang_up(plain);
-  EXPECT_TRUE(ask(plain).resumed);  // the trust is the same
-  tls_.revoked = "revoked", files_.revoked = "serial:12\n";
-  take();
-  for (Owned* c : {&plain, &through, &resumed}) {
-    const Got got = ask(*c);
-    EXPECT_EQ(got.status, 200U);
-    EXPECT_FALSE(got.closed);
+TEST_F(TlsTest, CredentialsAreReplacedWithoutDroppingAConnection) {
+  const fakes::Authority intermediate = authority_.intermediate("between");
+  const fakes::Identity leaf = authority_.issue("shop", "led", Span::s(3600), false, &intermediate);
+  const fakes::Identity intermediate_identity = intermediate.self();
+  start_router();
+  ClientPtr direct = make_client(tls(&client_identity_, true));
+  ClientPtr with_chain = make_client(tls(&leaf, true, TLS1_3_VERSION, &intermediate_identity));
+  ClientPtr resumed = make_client(tls(&leaf, true, TLS1_3_VERSION, &intermediate_identity));
+  for (ClientPtr* client : {&direct, &with_chain, &resumed}) EXPECT_EQ(send(*client).status, 200U);
+  disconnect(resumed);
+  EXPECT_TRUE(send(resumed).resumed);  // a resumed session has its leaf alone
+  server_identity_ = authority_.issue("", "router", Span::s(3600), true);
+  tls_files_.certificate = server_identity_.certificate_pem;
+  tls_files_.key = server_identity_.key_pem;
+  replace_credentials();
+  for (ClientPtr* client : {&direct, &with_chain, &resumed}) EXPECT_EQ(send(*client).status, 200U);
+  disconnect(direct);
+  EXPECT_TRUE(send(direct).resumed);  // the trust did not change
+  tls_settings_.revoked = "revoked";
+  tls_files_.revoked = "serial:12\n";
+  replace_credentials();
+  for (ClientPtr* client : {&direct, &with_chain, &resumed}) {
+    const Response response = send(*client);
+    EXPECT_EQ(response.status, 200U);
+    EXPECT_FALSE(response.closed);
   }
-  hang_up(plain);
-  EXPECT_FALSE(ask(plain).resumed);                            // proven anew
-  files_.revoked = "serial:12\nserial:" + step.serial + "\n";  // what leads up to it is revoked
-  take();
-  EXPECT_EQ(ask(through).status, 401U);
-  EXPECT_EQ(ask(resumed).status, 401U);
-  EXPECT_EQ(ask(plain).status, 200U);
-  for (Owned* c : {&plain, &through, &resumed}) drop(*c);
-  end();
-  EXPECT_TRUE(noted("trust as it was, epoch 1"));
-  EXPECT_TRUE(noted("trust changed, epoch 3"));
+  disconnect(direct);
+  EXPECT_FALSE(send(direct).resumed);  // verified by a full handshake
+  tls_files_.revoked =
+      "serial:12\nserial:" + intermediate_identity.serial + "\n";  // the intermediate is revoked
+  replace_credentials();
+  EXPECT_EQ(send(with_chain).status, 401U);
+  EXPECT_EQ(send(resumed).status, 401U);
+  EXPECT_EQ(send(direct).status, 200U);
+  for (ClientPtr* client : {&direct, &with_chain, &resumed}) destroy(*client);
+  stop_router();
+  EXPECT_TRUE(logged("trust as it was, epoch 1"));
+  EXPECT_TRUE(logged("trust changed, epoch 3"));
 }
 
-TEST_F(TlsTest, RubbishIsClosedAndToldOnceASecond) {
-  tls_.handshake_timeout = Span::ms(300);
-  begin();
+TEST_F(TlsTest, InvalidBytesEndTheConnectionAndAreLoggedOnceASecond) {
+  tls_settings_.handshake_timeout = Span::ms(300);
+  start_router();
   for (int i = 0; i < 20; ++i) {
-    Stream http = raw();
-    http.say(get());
-    EXPECT_TRUE(http.ended());
+    Stream plain_http = open_connection();
+    plain_http.say(get());
+    EXPECT_TRUE(plain_http.ended());
   }
-  Stream noise = raw(), huge = raw(), silent = raw(), half = raw();
+  Stream noise = open_connection();
+  Stream long_record = open_connection();
+  Stream silent = open_connection();
+  Stream partial_record = open_connection();
   noise.say(std::string(300, '\x7f'));
-  huge.say(std::string("\x16\x03\x01\xff\xff", 5) + std::string(1000, 'a'));  // a record over 2^14 bytes
-  half.say(std::string("\x16\x03\x01\x00\x80", 5));
-  for (Stream* s : {&noise, &huge}) {
-    while (s->fill(500)) {  // the alert
+  long_record.say(std::string("\x16\x03\x01\xff\xff", 5) +
+                  std::string(1000, 'a'));  // a record over 2^14 bytes
+  partial_record.say(std::string("\x16\x03\x01\x00\x80", 5));
+  for (Stream* stream : {&noise, &long_record}) {
+    while (stream->fill(500)) {  // the alert
     }
-    EXPECT_TRUE(s->ended());
+    EXPECT_TRUE(stream->ended());
   }
   EXPECT_TRUE(silent.ended(600));
-  EXPECT_TRUE(half.ended(600));
-  Owned c = client(tls(&van_));
-  EXPECT_EQ(ask(c).status, 200U);
-  drop(c);
-  end();
-  EXPECT_LE(std::count_if(notes_.begin(), notes_.end(),
-                          [](const auto& l) { return l.find("plain HTTP") != std::string::npos; }),
-            2);
-  EXPECT_TRUE(noted("tls: plain HTTP on the TLS port"));
+  EXPECT_TRUE(partial_record.ended(600));
+  ClientPtr client = make_client(tls(&client_identity_));
+  EXPECT_EQ(send(client).status, 200U);
+  destroy(client);
+  stop_router();
+  const auto plain_http_lines = std::count_if(log_lines_.begin(), log_lines_.end(), [](const auto& line) {
+    return line.find("plain HTTP") != std::string::npos;
+  });
+  EXPECT_LE(plain_http_lines, 2);
+  EXPECT_TRUE(logged("tls: plain HTTP on the TLS port"));
 }
 
 TEST_F(TlsTest, ARenegotiationEndsTheConnection) {
-  begin();
-  Stream c = raw();
-  const std::unique_ptr<SSL_CTX, decltype(&SSL_CTX_free)> ctx(SSL_CTX_new(TLS_client_method()), SSL_CTX_free);
-  SSL_CTX_set_max_proto_version(ctx.get(), TLS1_2_VERSION);
-  const std::unique_ptr<SSL, decltype(&SSL_free)> ssl(SSL_new(ctx.get()), SSL_free);
-  SSL_set_fd(ssl.get(), c.fd);
+  start_router();
+  Stream connection = open_connection();
+  const std::unique_ptr<SSL_CTX, decltype(&SSL_CTX_free)> context(SSL_CTX_new(TLS_client_method()),
+                                                                  SSL_CTX_free);
+  SSL_CTX_set_max_proto_version(context.get(), TLS1_2_VERSION);
+  const std::unique_ptr<SSL, decltype(&SSL_free)> ssl(SSL_new(context.get()), SSL_free);
+  SSL_set_fd(ssl.get(), connection.fd);
   ASSERT_EQ(SSL_connect(ssl.get()), 1);
   SSL_renegotiate(ssl.get());
   EXPECT_NE(SSL_do_handshake(ssl.get()), 1);
-  EXPECT_TRUE(c.ended() || SSL_get_error(ssl.get(), -1) == SSL_ERROR_SSL);
+  EXPECT_TRUE(connection.ended() || SSL_get_error(ssl.get(), -1) == SSL_ERROR_SSL);
   usleep(30000);
-  end();
-  EXPECT_TRUE(noted("tls: renegotiation"));
+  stop_router();
+  EXPECT_TRUE(logged("tls: renegotiation"));
 }
 
-TEST_F(TlsTest, SilentHandshakesGiveWayToThoseThatGoOn) {
-  tls_.max_handshakes = 8;
-  tls_.handshake_timeout = Span::s(5);
-  begin();
+TEST_F(TlsTest, SilentHandshakesAreEvictedForOthers) {
+  tls_settings_.max_handshakes = 8;
+  tls_settings_.handshake_timeout = Span::s(5);
+  start_router();
   std::vector<Stream> silent;
-  for (int i = 0; i < 40; ++i) silent.push_back(raw());
+  for (int i = 0; i < 40; ++i) silent.push_back(open_connection());
   usleep(150000);
   for (int i = 0; i < 5; ++i) {
-    Owned c = client(tls(&van_));
-    EXPECT_EQ(ask(c).status, 200U) << i;
-    drop(c);
+    ClientPtr client = make_client(tls(&client_identity_));
+    EXPECT_EQ(send(client).status, 200U) << i;
+    destroy(client);
   }
 }
 
 TEST_F(TlsTest, AFloodOfHandshakesKeepsToItsBudget) {
-  tls_.handshake_cpu_per_second = 0.02;
-  tls_.handshake_timeout = Span::ms(400);
-  begin();
-  Owned kept = client(tls(&van_));
-  EXPECT_EQ(ask(kept).status, 200U);
-  std::vector<Owned> flood;
+  tls_settings_.handshake_cpu_per_second = 0.02;
+  tls_settings_.handshake_timeout = Span::ms(400);
+  start_router();
+  ClientPtr established = make_client(tls(&client_identity_));
+  EXPECT_EQ(send(established).status, 200U);
+  std::vector<ClientPtr> flood;
   std::atomic<int> answered = 0;
   for (int i = 0; i < 60; ++i) {
-    flood.push_back(client(tls(&van_)));
-    on(theirs_,
-       [&] { flood.back()->ask(get(), [&](const Client::Answer& a) { answered += a.status == 200; }); });
+    flood.push_back(make_client(tls(&client_identity_)));
+    run_on(fakes_loop_, [&] {
+      flood.back()->ask(get(), [&](const Client::Answer& answer) { answered += answer.status == 200; });
+    });
   }
-  for (int i = 0; i < 20; ++i) EXPECT_EQ(ask(kept).status, 200U);  // who has shaken hands is not concerned
+  // A connection whose handshake is done is not concerned.
+  for (int i = 0; i < 20; ++i) EXPECT_EQ(send(established).status, 200U);
   usleep(700000);
   EXPECT_LT(answered, 60);
   EXPECT_GT(answered, 0);
-  on(theirs_, [&] { flood.clear(), kept.reset(); });
+  run_on(fakes_loop_, [&] {
+    flood.clear();
+    established.reset();
+  });
 }
 
-TEST_F(TlsTest, WhatCannotBeUsedIsNamed) {
-  const auto complaint = [&](const TlsSettings& terms, const TlsFiles& files) -> std::string {
+TEST_F(TlsTest, UnusableFilesAreNamed) {
+  const auto error_of = [&](const TlsSettings& settings, const TlsFiles& files) -> std::string {
     try {
-      TlsCredentials all(terms, files);
-    } catch (const std::exception& e) {
-      return e.what();
+      TlsCredentials credentials(settings, files);
+    } catch (const std::exception& error) {
+      return error.what();
     }
     return "";
   };
-  tls_.certificate = "c.pem", tls_.key = "k.pem", tls_.trust = "t.pem", tls_.crl = "l.pem",
-  tls_.revoked = "r";
-  files_.crl = authority_.revocation_list("12");
-  EXPECT_EQ(complaint(tls_, files_), "");
-  const auto with = [&](std::string TlsFiles::*part, const std::string& text) {
-    TlsFiles f = files_;
-    f.*part = text;
-    return complaint(tls_, f);
+  tls_settings_.certificate = "c.pem";
+  tls_settings_.key = "k.pem";
+  tls_settings_.trust = "t.pem";
+  tls_settings_.crl = "l.pem";
+  tls_settings_.revoked = "r";
+  tls_files_.crl = authority_.revocation_list("12");
+  EXPECT_EQ(error_of(tls_settings_, tls_files_), "");
+  const auto error_with = [&](std::string TlsFiles::*part, const std::string& text) {
+    TlsFiles files = tls_files_;
+    files.*part = text;
+    return error_of(tls_settings_, files);
   };
-  EXPECT_TRUE(with(&TlsFiles::certificate, "x").starts_with("c.pem: no PEM certificate"));
-  EXPECT_TRUE(with(&TlsFiles::key, files_.key.substr(0, 80)).starts_with("k.pem: no PEM private key"));
-  EXPECT_TRUE(with(&TlsFiles::key, van_.key_pem).starts_with("k.pem: does not belong to the certificate"));
-  EXPECT_TRUE(with(&TlsFiles::trust, "").starts_with("t.pem: no PEM certificates"));
-  EXPECT_TRUE(with(&TlsFiles::crl, "no").starts_with("l.pem: no PEM revocation lists"));
-  EXPECT_EQ(with(&TlsFiles::revoked, "serial:12\nserial 13\n"),
+  EXPECT_TRUE(error_with(&TlsFiles::certificate, "x").starts_with("c.pem: no PEM certificate"));
+  EXPECT_TRUE(
+      error_with(&TlsFiles::key, tls_files_.key.substr(0, 80)).starts_with("k.pem: no PEM private key"));
+  EXPECT_TRUE(error_with(&TlsFiles::key, client_identity_.key_pem)
+                  .starts_with("k.pem: does not belong to the certificate"));
+  EXPECT_TRUE(error_with(&TlsFiles::trust, "").starts_with("t.pem: no PEM certificates"));
+  EXPECT_TRUE(error_with(&TlsFiles::crl, "no").starts_with("l.pem: no PEM revocation lists"));
+  EXPECT_EQ(error_with(&TlsFiles::revoked, "serial:12\nserial 13\n"),
             "r: line 2: wanted serial:HEX or key:SHA-256 in HEX");
 }
 
