--- a/src/protocol/http_body.cpp
+++ b/src/protocol/http_body.cpp
@@ -57,26 +57,38 @@
 
 // ---- Chunks ----
 
-ParseResult Body::feed_chunks(std::string_view bytes, std::size_t& used, std::string* decoded) {
-  used = 0;
-  while (used < bytes.size()) {
-    if (chunk_state_ == ChunkState::kData) {
-      used += take_chunk_data(bytes.substr(used), decoded);
-      continue;
-    }
-    const ParseResult result = feed_chunk_framing(bytes[used]);
-    ++used;
-    if (result != ParseResult::kIncomplete) return result;
+ParseResult Body::feed_chunk_size(char c) {
+  if (const auto digit = parse_hex_digit(c)) {
+    if (++size_digits_ > kMaxSizeDigits) return ParseResult::kTooLong;
+    remaining_ = remaining_ * 16 + *digit;
+    return ParseResult::kIncomplete;
   }
+  if (size_digits_ == 0) return ParseResult::kInvalid;
+  if (c == '\r') chunk_state_ = ChunkState::kSizeLineFeed;
+  else if (c == ';' || c == ' ' || c == '\t') chunk_state_ = ChunkState::kExtension;
+  else return ParseResult::kInvalid;
   return ParseResult::kIncomplete;
 }
 
-std::size_t Body::take_chunk_data(std::string_view bytes, std::string* decoded) {
-  const auto count = static_cast<std::size_t>(std::min<std::uint64_t>(remaining_, bytes.size()));
-  if (decoded) decoded->append(bytes.substr(0, count));
-  remaining_ -= count;
-  if (remaining_ == 0) chunk_state_ = ChunkState::kDataCarriageReturn;
-  return count;
+ParseResult Body::end_chunk_size_line(char c) {
+  if (c != '\n') return ParseResult::kInvalid;
+  decoded_bytes_ += remaining_;
+  if (decoded_bytes_ > max_bytes_) return ParseResult::kTooLong;
+  chunk_state_ = remaining_ > 0 ? ChunkState::kData : ChunkState::kTrailerStart;
+  size_digits_ = 0;
+  return ParseResult::kIncomplete;
+}
+
+ParseResult Body::expect(char c, char expected, ChunkState next) {
+  if (c != expected) return ParseResult::kInvalid;
+  chunk_state_ = next;
+  return ParseResult::kIncomplete;
+}
+
+ParseResult Body::skip_to_line_end(char c, ChunkState next) {
+  if (c == '\n') return ParseResult::kInvalid;
+  if (c == '\r') chunk_state_ = next;
+  return ParseResult::kIncomplete;
 }
 
 ParseResult Body::feed_chunk_framing(char c) {
@@ -108,38 +120,26 @@
   return ParseResult::kIncomplete;
 }
 
-ParseResult Body::feed_chunk_size(char c) {
-  if (const auto digit = parse_hex_digit(c)) {
-    if (++size_digits_ > kMaxSizeDigits) return ParseResult::kTooLong;
-    remaining_ = remaining_ * 16 + *digit;
-    return ParseResult::kIncomplete;
+ParseResult Body::feed_chunks(std::string_view bytes, std::size_t& used, std::string* decoded) {
+  used = 0;
+  while (used < bytes.size()) {
+    if (chunk_state_ == ChunkState::kData) {
+      used += take_chunk_data(bytes.substr(used), decoded);
+      continue;
+    }
+    const ParseResult result = feed_chunk_framing(bytes[used]);
+    ++used;
+    if (result != ParseResult::kIncomplete) return result;
   }
-  if (size_digits_ == 0) return ParseResult::kInvalid;
-  if (c == '\r') chunk_state_ = ChunkState::kSizeLineFeed;
-  else if (c == ';' || c == ' ' || c == '\t') chunk_state_ = ChunkState::kExtension;
-  else return ParseResult::kInvalid;
-  return ParseResult::kIncomplete;
-}
-
-ParseResult Body::end_chunk_size_line(char c) {
-  if (c != '\n') return ParseResult::kInvalid;
-  decoded_bytes_ += remaining_;
-  if (decoded_bytes_ > max_bytes_) return ParseResult::kTooLong;
-  chunk_state_ = remaining_ > 0 ? ChunkState::kData : ChunkState::kTrailerStart;
-  size_digits_ = 0;
-  return ParseResult::kIncomplete;
-}
-
-ParseResult Body::expect(char c, char expected, ChunkState next) {
-  if (c != expected) return ParseResult::kInvalid;
-  chunk_state_ = next;
   return ParseResult::kIncomplete;
 }
 
-ParseResult Body::skip_to_line_end(char c, ChunkState next) {
-  if (c == '\n') return ParseResult::kInvalid;
-  if (c == '\r') chunk_state_ = next;
-  return ParseResult::kIncomplete;
+std::size_t Body::take_chunk_data(std::string_view bytes, std::string* decoded) {
+  const auto count = static_cast<std::size_t>(std::min<std::uint64_t>(remaining_, bytes.size()));
+  if (decoded) decoded->append(bytes.substr(0, count));
+  remaining_ -= count;
+  if (remaining_ == 0) chunk_state_ = ChunkState::kDataCarriageReturn;
+  return count;
 }
 
 }  // namespace ashbeam::http
--- a/src/protocol/http_body.hpp
+++ b/src/protocol/http_body.hpp
@@ -50,11 +50,12 @@
   ParseResult feed_until_stream_ends(std::size_t used);
   ParseResult feed_chunks(std::string_view bytes, std::size_t& used, std::string* decoded);
   std::size_t take_chunk_data(std::string_view bytes, std::string* decoded);
-  ParseResult feed_chunk_framing(char c);
-  ParseResult feed_chunk_size(char c);
-  ParseResult end_chunk_size_line(char c);
-  ParseResult expect(char c, char expected, ChunkState next);
-  ParseResult skip_to_line_end(char c, ChunkState next);
+  // Inline: once for each byte of the framing.
+  inline ParseResult feed_chunk_framing(char c);
+  inline ParseResult feed_chunk_size(char c);
+  inline ParseResult end_chunk_size_line(char c);
+  inline ParseResult expect(char c, char expected, ChunkState next);
+  inline ParseResult skip_to_line_end(char c, ChunkState next);
 
   std::size_t max_bytes_;
   Framing framing_ = Framing::kLength;
--- a/src/protocol/http_head.cpp
+++ b/src/protocol/http_head.cpp
@@ -12,20 +12,6 @@
 
 }  // namespace
 
-ParseResult Head::feed(std::string_view& bytes) {
-  std::size_t used = 0;
-  while (used < bytes.size()) {
-    used += append_plain_bytes(bytes.substr(used));
-    if (used == bytes.size()) break;
-    const ParseResult result = append(bytes[used]);
-    ++used;
-    if (result == ParseResult::kComplete) bytes.remove_prefix(used);
-    if (result != ParseResult::kIncomplete) return result;
-  }
-  bytes = {};
-  return ParseResult::kIncomplete;
-}
-
 // Within a field line, bytes are copied at once up to the next that needs a look. Returns their number.
 std::size_t Head::append_plain_bytes(std::string_view bytes) {
   if (line_begin_ == 0 || raw_.back() == '\r') return 0;
@@ -37,6 +23,17 @@
   return count;
 }
 
+// May `next` follow what has come of the start line? A request begins with its method, an answer with the
+// protocol's version; an empty line may come before a request.
+bool Head::fits_start_line(char next) const {
+  if (side_ == Side::kAnswers)
+    return raw_.size() >= kVersionPrefix.size() || next == kVersionPrefix[raw_.size()];
+  if (raw_.find(' ') != std::string::npos) return true;
+  if (raw_.size() >= kMaxMethodBytes) return false;
+  if (is_token_char(next)) return true;
+  return raw_.empty() ? next == '\r' : next == ' ' || raw_ == "\r";
+}
+
 ParseResult Head::append(char c) {
   if (raw_.size() >= max_bytes_) return ParseResult::kTooLong;
   const bool after_carriage_return = !raw_.empty() && raw_.back() == '\r';
@@ -62,6 +59,20 @@
   return ParseResult::kIncomplete;
 }
 
+ParseResult Head::feed(std::string_view& bytes) {
+  std::size_t used = 0;
+  while (used < bytes.size()) {
+    used += append_plain_bytes(bytes.substr(used));
+    if (used == bytes.size()) break;
+    const ParseResult result = append(bytes[used]);
+    ++used;
+    if (result == ParseResult::kComplete) bytes.remove_prefix(used);
+    if (result != ParseResult::kIncomplete) return result;
+  }
+  bytes = {};
+  return ParseResult::kIncomplete;
+}
+
 void Head::clear() {
   raw_.clear();
   fields_.clear();
@@ -69,17 +80,6 @@
   line_begin_ = 0;
 }
 
-// May `next` follow what has come of the start line? A request begins with its method, an answer with the
-// protocol's version; an empty line may come before a request.
-bool Head::fits_start_line(char next) const {
-  if (side_ == Side::kAnswers)
-    return raw_.size() >= kVersionPrefix.size() || next == kVersionPrefix[raw_.size()];
-  if (raw_.find(' ') != std::string::npos) return true;
-  if (raw_.size() >= kMaxMethodBytes) return false;
-  if (is_token_char(next)) return true;
-  return raw_.empty() ? next == '\r' : next == ' ' || raw_ == "\r";
-}
-
 void Head::split() {
   split_start_line();
   std::string_view rest = std::string_view(raw_).substr(start_line_.size());
--- a/src/protocol/http_head.hpp
+++ b/src/protocol/http_head.hpp
@@ -56,10 +56,11 @@
  private:
   static constexpr std::size_t kStartLineWords = 3;
 
-  std::size_t append_plain_bytes(std::string_view bytes);
-  ParseResult append(char c);
+  // Inline: once or more for each byte.
+  inline std::size_t append_plain_bytes(std::string_view bytes);
+  inline ParseResult append(char c);
+  inline bool fits_start_line(char next) const;
   ParseResult end_line();
-  bool fits_start_line(char next) const;
   void split();
   void split_start_line();
 
--- a/src/protocol/http_syntax.cpp
+++ b/src/protocol/http_syntax.cpp
@@ -10,19 +10,12 @@
 constexpr std::string_view kLineEnd = "\r\n";
 constexpr char kDelete = 0x7f;
 
-char to_lower(char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c - 'A' + 'a') : c; }
-
 bool is_space(char c) { return c == ' ' || c == '\t'; }
 
 bool is_control_char(char c) { return (static_cast<unsigned char>(c) < ' ' && c != '\t') || c == kDelete; }
 
 }  // namespace
 
-bool field_names_equal(std::string_view a, std::string_view b) {
-  return std::equal(a.begin(), a.end(), b.begin(), b.end(),
-                    [](char x, char y) { return to_lower(x) == to_lower(y); });
-}
-
 std::string_view trimmed(std::string_view text) {
   while (!text.empty() && is_space(text.front())) text.remove_prefix(1);
   while (!text.empty() && is_space(text.back())) text.remove_suffix(1);
@@ -37,11 +30,6 @@
   return number;
 }
 
-bool is_token_char(char c) {
-  return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9') ||
-         std::string_view("!#$%&'*+-.^_`|~").find(c) != std::string_view::npos;
-}
-
 bool is_token(std::string_view text) {
   return !text.empty() && std::all_of(text.begin(), text.end(), is_token_char);
 }
@@ -55,11 +43,4 @@
   return std::none_of(value.begin(), value.end(), is_control_char);
 }
 
-std::optional<unsigned> parse_hex_digit(char c) {
-  if (c >= '0' && c <= '9') return static_cast<unsigned>(c - '0');
-  c = to_lower(c);
-  if (c >= 'a' && c <= 'f') return static_cast<unsigned>(c - 'a' + 10);
-  return std::nullopt;
-}
-
 }  // namespace ashbeam::http
--- a/src/protocol/http_syntax.hpp
+++ b/src/protocol/http_syntax.hpp
@@ -1,14 +1,20 @@
 // The small parts of HTTP's syntax (RFC 9110, section 5): field names and values, lists, decimal numbers.
 // Views point into the text that they are made of.
 #pragma once
+#include <algorithm>
+#include <cstddef>
 #include <cstdint>
 #include <optional>
 #include <string_view>
 
 namespace ashbeam::http {
 
+inline char to_lower(char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c - 'A' + 'a') : c; }
 // RFC 9110, section 5.1: without regard to case.
-bool field_names_equal(std::string_view a, std::string_view b);
+inline bool field_names_equal(std::string_view a, std::string_view b) {
+  return std::equal(a.begin(), a.end(), b.begin(), b.end(),
+                    [](char x, char y) { return to_lower(x) == to_lower(y); });
+}
 // Without spaces and tabs at its ends.
 std::string_view trimmed(std::string_view text);
 // Decimal digits and nothing else; nothing where the text is not that, or the number is too large.
@@ -25,12 +31,20 @@
 }
 
 // RFC 9110, section 5.6.2.
-bool is_token_char(char c);
+inline bool is_token_char(char c) {
+  return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9') ||
+         std::string_view("!#$%&'*+-.^_`|~").find(c) != std::string_view::npos;
+}
 bool is_token(std::string_view text);
 // Is it `name: value` with CR LF at its end, with no space in the name and no control character but tabs in
 // the value?
 bool is_field_line(std::string_view line);
 // The value of a digit, or nothing.
-std::optional<unsigned> parse_hex_digit(char c);
+inline std::optional<unsigned> parse_hex_digit(char c) {
+  if (c >= '0' && c <= '9') return static_cast<unsigned>(c - '0');
+  if (c >= 'a' && c <= 'f') return static_cast<unsigned>(c - 'a' + 10);
+  if (c >= 'A' && c <= 'F') return static_cast<unsigned>(c - 'A' + 10);
+  return std::nullopt;
+}
 
 }  // namespace ashbeam::http
