--- a/src/base/limits.hpp
+++ b/src/base/limits.hpp
@@ -6,23 +6,26 @@
 
 namespace ashbeam {
 
+inline constexpr std::size_t kKiB = 1024;
+inline constexpr std::size_t kMiB = 1024 * kKiB;
+
 struct Limits {
   // ---- Sizes, in bytes ----
 
   // Of the head of a request or an answer.
-  std::size_t max_head_bytes = 16 * 1024;
+  std::size_t max_head_bytes = 16 * kKiB;
   // Of a decoded body; chunk framing may take as much again.
-  std::size_t max_body_bytes = 64 * 1024;
+  std::size_t max_body_bytes = 64 * kKiB;
   // Of a line from the release platform.
-  std::size_t max_platform_line_bytes = 8 * 1024;
+  std::size_t max_platform_line_bytes = 8 * kKiB;
   // Of a line from discovery: a complete endpoint list is one line.
-  std::size_t max_list_line_bytes = 4 * 1024 * 1024;
+  std::size_t max_list_line_bytes = 4 * kMiB;
   std::size_t max_request_id_bytes = 128;
-  std::size_t read_chunk_bytes = 16 * 1024;
+  std::size_t read_chunk_bytes = 16 * kKiB;
   // Read at once from a connection whose bytes are dropped.
-  std::size_t discard_chunk_bytes = 1024 * 1024;
+  std::size_t discard_chunk_bytes = kMiB;
   // Read from a connection and not yet consumed by its owner; reading pauses there.
-  std::size_t max_unread_bytes = 16 * 1024;
+  std::size_t max_unread_bytes = 16 * kKiB;
 
   // ---- Counts ----
 
@@ -31,7 +34,7 @@
   std::size_t max_endpoint_connections = 448;
   int accept_backlog = 1024;
   // Request ids remembered, so that none is accepted twice.
-  std::size_t max_remembered_ids = 16 * 1024;
+  std::size_t max_remembered_ids = 16'384;
 
   // ---- Connections to endpoints ----
 
--- a/src/metadata/uptane.cpp
+++ b/src/metadata/uptane.cpp
@@ -44,7 +44,7 @@
 }
 
 // How the hashes of one file differ; empty where all common ones are equal. One must be common: files that
-// share none can't be told apart.
+// share none can't be distinguished.
 std::string hash_disagreement(const Hashes& director, const Hashes& image) {
   bool any_common = false;
   for (const auto& [algorithm, hash] : director) {
--- a/src/routing/endpoint_pools.cpp
+++ b/src/routing/endpoint_pools.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "routing/header_names.hpp"
+#include "protocol/header_names.hpp"
 #include "transport/connection.hpp"
 
 namespace ashbeam {
--- a/src/routing/header_forwarding.cpp
+++ b/src/routing/header_forwarding.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "routing/header_names.hpp"
+#include "protocol/header_names.hpp"
 
 namespace ashbeam {
 
--- a/src/routing/request_authorization.cpp
+++ b/src/routing/request_authorization.cpp
@@ -3,7 +3,7 @@
 #include <string>
 #include <utility>
 
-#include "routing/header_names.hpp"
+#include "protocol/header_names.hpp"
 #include "routing/retry_after.hpp"
 
 namespace ashbeam {
--- a/src/routing/request_lifecycle.cpp
+++ b/src/routing/request_lifecycle.cpp
@@ -3,9 +3,9 @@
 #include <algorithm>
 #include <utility>
 
+#include "protocol/header_names.hpp"
 #include "routing/attempt_result.hpp"
 #include "routing/header_forwarding.hpp"
-#include "routing/header_names.hpp"
 #include "routing/retry_after.hpp"
 
 namespace ashbeam {
--- a/src/routing/request_parser.cpp
+++ b/src/routing/request_parser.cpp
@@ -5,7 +5,7 @@
 #include <algorithm>
 #include <charconv>
 
-#include "routing/header_names.hpp"
+#include "protocol/header_names.hpp"
 
 namespace ashbeam {
 
--- a/src/routing/service.cpp
+++ b/src/routing/service.cpp
@@ -3,8 +3,8 @@
 #include <algorithm>
 #include <utility>
 
+#include "protocol/header_names.hpp"
 #include "routing/header_forwarding.hpp"
-#include "routing/header_names.hpp"
 
 namespace ashbeam {
 
--- a/tests/authorized_requests_test.cpp
+++ b/tests/authorized_requests_test.cpp
@@ -1,5 +1,5 @@
 // The authorizer as seen by clients and endpoints of a router: tokens on plain connections, what clients are
-// answered, and what endpoints are told.
+// answered, and what endpoints receive.
 #include "calling_helpers.hpp"
 #include "router_fixture.hpp"
 
--- a/tests/environment_test.cpp
+++ b/tests/environment_test.cpp
@@ -24,7 +24,7 @@
   EXPECT_NE(complaint(start + "{}}").find("'grades.count'"), std::string::npos);
   EXPECT_NE(complaint(start + R"({"grades":[{"effect":"odd"}]}})").find("effect"), std::string::npos);
   const std::string rest = R"("seed":"8c1f","settings":{},"release_api":{"address":)";
-  EXPECT_NE(complaint("{" + rest + R"("desk:1"}})").find("'release_api.address' is no numeric"),
+  EXPECT_NE(complaint("{" + rest + R"("platform:1"}})").find("'release_api.address' is no numeric"),
             std::string::npos);
   EXPECT_NE(
       complaint(R"({"discovery":"10.1",)" + rest + R"("1.2.3.4:5"}})").find("'discovery' is no numeric"),
--- a/tests/local_failures_test.cpp
+++ b/tests/local_failures_test.cpp
@@ -1,4 +1,4 @@
-// What fails on this machine is told apart from what failed elsewhere, up to the decisions.
+// What fails on this machine is distinguished from what failed elsewhere, up to the decisions.
 #include <gtest/gtest.h>
 
 #include <cerrno>
--- a/tests/policy/request_router_test.cpp
+++ b/tests/policy/request_router_test.cpp
@@ -82,9 +82,9 @@
   router.run(Span::s(6), 100);
   router.serve = [](ReleaseVersion, EndpointIndex) { return Outcome{}; };
   router.run(Span::s(6), 40);
-  const std::size_t bounced = router.actions.rejected.size();
+  const std::size_t before = router.actions.rejected.size();
   router.run(Span::s(2), 40);
-  EXPECT_LT(router.actions.rejected.size() - bounced, 8u);
+  EXPECT_LT(router.actions.rejected.size() - before, 8u);
 }
 
 }  // namespace
--- a/tests/policy/rule_model_test.cpp
+++ b/tests/policy/rule_model_test.cpp
@@ -130,7 +130,7 @@
         request_class.idempotency == Idempotency::kIdempotent ||
         (request_class.idempotency == Idempotency::kKeyed && request_class.scope == IdempotencyScope::kAll);
     if (!harmless) {
-      EXPECT_FALSE(may_have_run(id)) << "rule 2: bounced though it may have run";
+      EXPECT_FALSE(may_have_run(id)) << "rule 2: rejected though it may have run";
     }
     request.ended = true;
     ++rejections;
--- a/tests/signals_test.cpp
+++ b/tests/signals_test.cpp
@@ -1,4 +1,4 @@
-// The program itself, told things by signals: which come between two of its looks at them is forced by
+// The program itself, and its signals: which come between two of its looks at them is forced by
 // stopping it.
 #include <sys/wait.h>
 
