--- a/src/policy/router_policy.hpp
+++ b/src/policy/router_policy.hpp
@@ -22,7 +22,7 @@
   ReleaseVersion version = 0;
   unsigned zone = 0;
   unsigned cell = 0;          // see IdempotencyScope::kCell
-  unsigned machine_type = 0;  // place in the settings' list
+  unsigned machine_type = 0;  // index in the settings' list
   Instant started_at;         // of its process; far past: long ago
 };
 
@@ -35,8 +35,8 @@
 // A request whose last byte has come.
 struct RequestArrival {
   RequestId request = 0;
-  unsigned request_class = 0;    // place in RouterSettings::request_classes
-  unsigned tenant = 0;           // place in RouterSettings::tenant_quota_per_s; past its end: no quota counts
+  unsigned request_class = 0;    // index in RouterSettings::request_classes
+  unsigned tenant = 0;           // index in RouterSettings::tenant_quota_per_s; past its end: no quota counts
   std::uint64_t sticky_key = 0;  // 0: none
   Instant deadline;              // when the client stops waiting
 };
