--- a/src/calling/token_cache.cpp
+++ b/src/calling/token_cache.cpp
@@ -5,66 +5,46 @@
 
 namespace ashbeam::calling {
 
-std::uint64_t TokenCache::key_of(const tokens::Digest& digest) {
-  std::uint64_t key = 0;
-  std::memcpy(&key, digest.data(), sizeof key);
-  return key;
-}
-
-void TokenCache::unlink(std::uint32_t slot) {
-  const Node& node = nodes_[slot];
-  (node.older == kNone ? oldest_ : nodes_[node.older].newer) = node.newer;
-  (node.newer == kNone ? newest_ : nodes_[node.newer].older) = node.older;
+VerifiedToken* TokenCache::find(const tokens::Digest& digest) {
+  const Tokens::Index entry = find_entry(digest);
+  if (entry == Tokens::kNone) return nullptr;
+  tokens_.touch(entry);
+  return &tokens_[entry];
 }
 
-void TokenCache::link_newest(std::uint32_t slot) {
-  Node& node = nodes_[slot];
-  node.older = newest_;
-  node.newer = kNone;
-  (newest_ == kNone ? oldest_ : nodes_[newest_].newer) = slot;
-  newest_ = slot;
+VerifiedToken& TokenCache::insert(VerifiedToken token, Instant now) {
+  const std::uint64_t key = key_of(token.digest);
+  if (const Tokens::Index known = tokens_.find(key); known != Tokens::kNone) tokens_.erase(known);
+  if (tokens_.size() >= max_tokens_) tokens_.erase(entry_to_evict(now));
+  VerifiedToken& inserted = tokens_[tokens_.insert(key)];
+  inserted = std::move(token);
+  return inserted;
 }
 
-void TokenCache::remove(std::uint32_t slot) {
-  unlink(slot);
-  index_.erase(key_of(nodes_[slot].token.digest));
-  nodes_[slot] = Node{};
-  nodes_.give_back(slot);
+void TokenCache::erase(const tokens::Digest& digest) {
+  const Tokens::Index entry = find_entry(digest);
+  if (entry != Tokens::kNone) tokens_.erase(entry);
 }
 
-VerifiedToken* TokenCache::find(const tokens::Digest& digest) {
-  const std::uint32_t slot = index_.find(key_of(digest));
-  if (slot == kNone || nodes_[slot].token.digest != digest) return nullptr;
-  if (slot != newest_) {
-    unlink(slot);
-    link_newest(slot);
-  }
-  return &nodes_[slot].token;
+std::uint64_t TokenCache::key_of(const tokens::Digest& digest) {
+  std::uint64_t key = 0;
+  std::memcpy(&key, digest.data(), sizeof key);
+  return key;
 }
 
-void TokenCache::erase(const tokens::Digest& digest) {
-  const std::uint32_t slot = index_.find(key_of(digest));
-  if (slot != kNone && nodes_[slot].token.digest == digest) remove(slot);
+// The key is only the beginning of the digest: two tokens may share it.
+TokenCache::Tokens::Index TokenCache::find_entry(const tokens::Digest& digest) {
+  const Tokens::Index entry = tokens_.find(key_of(digest));
+  return entry != Tokens::kNone && tokens_[entry].digest == digest ? entry : Tokens::kNone;
 }
 
-std::uint32_t TokenCache::slot_to_evict(Instant now) {
-  std::uint32_t candidate = oldest_;
-  for (int i = 0; i < kEvictionCandidates && candidate != kNone; ++i) {
-    if (nodes_[candidate].token.expires <= now) return candidate;
-    candidate = nodes_[candidate].newer;
+TokenCache::Tokens::Index TokenCache::entry_to_evict(Instant now) {
+  Tokens::Index candidate = tokens_.least_recent();
+  for (int i = 0; i < kEvictionCandidates && candidate != Tokens::kNone; ++i) {
+    if (tokens_[candidate].expires <= now) return candidate;
+    candidate = tokens_.next_more_recent(candidate);
   }
-  return oldest_;
-}
-
-VerifiedToken& TokenCache::insert(VerifiedToken token, Instant now) {
-  const std::uint64_t key = key_of(token.digest);
-  if (const std::uint32_t known = index_.find(key); known != kNone) remove(known);
-  if (index_.size() >= max_tokens_) remove(slot_to_evict(now));
-  const std::uint32_t slot = nodes_.take();
-  index_.put(key, slot);
-  nodes_[slot].token = std::move(token);
-  link_newest(slot);
-  return nodes_[slot].token;
+  return tokens_.least_recent();
 }
 
 }  // namespace ashbeam::calling
--- a/src/calling/token_cache.hpp
+++ b/src/calling/token_cache.hpp
@@ -6,8 +6,7 @@
 #include <optional>
 #include <string>
 
-#include "base/index_map.hpp"
-#include "base/slab.hpp"
+#include "base/lru_map.hpp"
 #include "base/time.hpp"
 #include "calling/key_ring.hpp"
 #include "tokens/keys.hpp"
@@ -43,27 +42,18 @@
   // recently used.
   VerifiedToken& insert(VerifiedToken token, Instant now);
   void erase(const tokens::Digest& digest);
-  std::size_t size() const { return index_.size(); }
+  std::size_t size() const { return tokens_.size(); }
 
  private:
-  static constexpr std::uint32_t kNone = IndexMap::kNone;
+  using Tokens = LruMap<VerifiedToken>;
   static constexpr int kEvictionCandidates = 8;
-  struct Node {
-    VerifiedToken token;
-    std::uint32_t older = kNone;
-    std::uint32_t newer = kNone;
-  };
+
   static std::uint64_t key_of(const tokens::Digest& digest);
-  std::uint32_t slot_to_evict(Instant now);
-  void unlink(std::uint32_t slot);
-  void link_newest(std::uint32_t slot);
-  void remove(std::uint32_t slot);
+  Tokens::Index find_entry(const tokens::Digest& digest);
+  Tokens::Index entry_to_evict(Instant now);
 
   std::size_t max_tokens_;
-  IndexMap index_;
-  Slab<Node> nodes_;
-  std::uint32_t oldest_ = kNone;
-  std::uint32_t newest_ = kNone;
+  Tokens tokens_;
 };
 
 }  // namespace ashbeam::calling
