--- a/benches/policy.cpp
+++ b/benches/policy.cpp
@@ -8,7 +8,7 @@
 
 #include <memory>
 
-#include "../proofs/fleet_settings.hpp"
+#include "../proofs/fleet/fleet_settings.hpp"
 #include "policy/router_policy.hpp"
 
 namespace ashbeam {
--- /dev/null
+++ b/proofs/fleet/fleet.hpp
@@ -0,0 +1,105 @@
+// Many routers before endpoints that they share, in simulated time. Without a release: a zone is lost with
+// its routers and comes back cold, some of its endpoints start again before they were ever warm, some drain,
+// and a twelfth of the endpoints runs the canary all along. With a release: each stage starts cold endpoints
+// beside the stable ones, of uneven sizes and zones. Notices come late and unevenly, traffic is uneven, and
+// clients retry.
+#pragma once
+#include <vector>
+
+#include "base/pcg.hpp"
+#include "event_queue.hpp"
+#include "fleet_counts.hpp"
+#include "simulated_endpoint.hpp"
+#include "simulated_platform.hpp"
+#include "simulated_router.hpp"
+
+namespace ashbeam {
+
+enum class FleetRelease { kNone, kGood, kBad };
+
+struct FleetSettings {
+  unsigned routers = 0;
+  unsigned endpoints = 0;
+  std::uint64_t seed = 0;
+  FleetRelease release = FleetRelease::kNone;
+};
+
+class Fleet : private SimulatedNetwork, private PlatformActions {
+ public:
+  // Adds to `counts`, which has to outlive it.
+  Fleet(const FleetSettings& fleet, FleetCounts& counts);
+  // Runs it for a simulated time. To be called once.
+  void run(Span duration);
+
+ private:
+  using Fault = void (Fleet::*)();
+  struct SimulatedAnswer {
+    Instant at;
+    AttemptResult result = AttemptResult::kOk;
+  };
+
+  // Setting up.
+  double create_endpoints();  // returns the cores of those that are deployed
+  void share_out_traffic();
+  void start_router(SimulatedRouter& router);
+
+  // Faults, without a release.
+  void run_faults(Span elapsed);
+  void lose_zone();
+  void restore_zone();
+  void restart_cold_endpoints();
+  void drain_endpoints();
+  void start_endpoint(EndpointIndex endpoint);
+  void drain_endpoint(EndpointIndex endpoint);
+  void notify_endpoint(EndpointIndex endpoint);
+
+  // Clients.
+  void send_due_requests();
+  void send_request(SimulatedRouter& router, unsigned client_retries);
+  void count_missing_answers();
+
+  // Attempts.
+  void count_attempt(SimulatedRouter& router, const SimulatedRequest& request, EndpointIndex endpoint);
+  void count_canary_attempt(SimulatedRouter& router, unsigned request_class);
+  void count_cold_load(SimulatedEndpoint& endpoint);
+  AttemptResult attempt_result(const SimulatedEndpoint& endpoint, Instant end, Instant deadline);
+  SimulatedAnswer serve(SimulatedEndpoint& endpoint, const SimulatedRequest& request);
+
+  // Events.
+  void run_due_events();
+  SimulatedRouter* running_router(const RouterProcess& process);
+  void handle(const AttemptEnded& event);
+  void handle(const Wakeup& event);
+  void handle(const ClientRetry& event);
+  void handle(const VoteAnswered& event);
+  void handle(const ReleaseStateNotice& event);
+  void handle(const OutcomeSampleNotice& event);
+  void handle(const EndpointNotice& event);
+  void handle(const EndpointStarted& event);
+
+  void send_attempt(SimulatedRouter& router, RequestId id, EndpointIndex index) override;
+  void cancel_attempt(SimulatedRouter& router, RequestId request, unsigned attempt) override;
+  void end_request(SimulatedRouter& router, RequestId id, Span retry_after) override;
+  void schedule_wakeup(SimulatedRouter& router, Span delay, std::uint64_t token) override;
+  void cast_vote(SimulatedRouter& router, unsigned stage, Vote vote) override;
+
+  void notify_release_state() override;
+  void notify_outcome_samples() override;
+  Span start_canary_endpoints(double fraction) override;
+  void drain_canary_endpoints() override;
+
+  const FleetRelease release_;
+  FleetCounts& counts_;
+  Pcg random_;
+  Instant now_ = Instant::at_us(1'000'000'000);
+  RouterSettings settings_;
+  double capacity_per_s_ = 0;  // requests, of all deployed endpoints
+  std::vector<SimulatedEndpoint> endpoints_;
+  std::vector<SimulatedRouter> routers_;
+  SimulatedPlatform platform_;
+  EventQueue events_;
+  std::size_t next_fault_ = 0;
+  bool zone_lost_ = false;
+};
+
+}  // namespace ashbeam
--- /dev/null
+++ b/proofs/fleet/simulated_router.hpp
@@ -0,0 +1,89 @@
+// One router of a simulated fleet: the decision module with its requests, and the checks' memory of what it
+// was notified of. Its actions go on to the network of the fleet.
+#pragma once
+#include <array>
+#include <deque>
+#include <memory>
+#include <string_view>
+#include <vector>
+
+#include "event_queue.hpp"
+#include "policy/router_policy.hpp"
+#include "simulated_platform.hpp"
+
+namespace ashbeam {
+
+class SimulatedRouter;
+
+// What the routers act on.
+class SimulatedNetwork {
+ public:
+  virtual ~SimulatedNetwork() = default;
+  virtual void send_attempt(SimulatedRouter& router, RequestId request, EndpointIndex endpoint) = 0;
+  virtual void cancel_attempt(SimulatedRouter& router, RequestId request, unsigned attempt) = 0;
+  // The router answers the request itself. `retry_after` may be zero.
+  virtual void end_request(SimulatedRouter& router, RequestId request, Span retry_after) = 0;
+  virtual void schedule_wakeup(SimulatedRouter& router, Span delay, std::uint64_t token) = 0;
+  virtual void cast_vote(SimulatedRouter& router, unsigned stage, Vote vote) = 0;
+};
+
+struct SimulatedAttempt {
+  EndpointIndex endpoint = 0;
+  Instant sent_at;
+  bool in_flight = true;
+  bool may_have_run = true;
+};
+
+struct SimulatedRequest {
+  unsigned request_class = 0;
+  unsigned client_retries = 0;  // that its client has left
+  Instant deadline;
+  bool done = false;
+  std::vector<SimulatedAttempt> attempts;
+};
+
+class SimulatedRouter : public RouterActions {
+ public:
+  SimulatedNetwork* network = nullptr;
+  unsigned index = 0;
+  unsigned incarnation = 0;  // counts its starts and its losses
+  double requests_per_s = 0;
+  double requests_due = 0;
+  std::unique_ptr<RouterPolicy> policy;  // null: the router is lost
+  std::vector<SimulatedRequest> requests;
+  std::vector<Instant> drain_notified_at;  // by endpoint
+  std::array<std::deque<Instant>, kRequestClasses> requests_at;
+  std::array<std::deque<Instant>, kRequestClasses> canary_attempts_at;
+
+  RouterProcess process() const { return {index, incarnation}; }
+
+  // Forgets what the process before it had.
+  void reset(std::size_t endpoints) {
+    ++incarnation;
+    requests.clear();
+    drain_notified_at.assign(endpoints, Instant::never());
+    for (auto& times : requests_at) times.clear();
+    for (auto& times : canary_attempts_at) times.clear();
+  }
+
+  void send_attempt(RequestId request, EndpointIndex endpoint) override {
+    network->send_attempt(*this, request, endpoint);
+  }
+  void reject(RequestId request, Span retry_after) override {
+    network->end_request(*this, request, retry_after);
+  }
+  void fail(RequestId request) override { network->end_request(*this, request, Span()); }
+  void cancel_attempt(RequestId request, unsigned attempt) override {
+    network->cancel_attempt(*this, request, attempt);
+  }
+  void schedule_wakeup(Span delay, std::uint64_t token) override {
+    network->schedule_wakeup(*this, delay, token);
+  }
+  void watch_endpoints() override {}
+  void cast_vote(ReleaseVersion, unsigned stage, Vote vote) override {
+    network->cast_vote(*this, stage, vote);
+  }
+  void log(std::string_view) override {}
+};
+
+}  // namespace ashbeam
