--- a/proofs/metadata.cpp
+++ b/proofs/metadata.cpp
@@ -1,43 +1,27 @@
 // Fault test of update metadata: a repository that publishes all the time, endpoints that take in each
 // version at their own pace and then serve bad files, and one router to clients that follow TUF's workflow
 // themselves. Before that, corrupted files in great number, given to the client's workflow alone.
-#include <unistd.h>
-
-#include <atomic>
 #include <csignal>
 #include <memory>
 #include <string>
-#include <thread>
 #include <vector>
 
 #include "corrupted_metadata.hpp"
 #include "fakes/client.hpp"
-#include "fakes/discovery.hpp"
-#include "fakes/endpoint.hpp"
-#include "fakes/release_platform.hpp"
 #include "figures.hpp"
 #include "metadata/metadata_verifier.hpp"
-#include "program/router_limits.hpp"
-#include "program/startup_configuration.hpp"
 #include "replicated_repository.hpp"
-#include "terms/router_settings_reader.hpp"
+#include "router_thread.hpp"
 
 namespace ashbeam {
 namespace {
 
 using namespace metadata;
 
-constexpr const char* kSettings = R"({"seed":"7","release_api":{"address":"127.0.0.1:1"},"settings":{
-  "allowed":{"cancel":true,"connectTimeoutMs":250,"connIdleMs":20000,"maxAttempts":4,"retryAfter":true,
-             "maxRetryAfterMs":2000},
-  "discovery":"subscribe",
-  "familyInfo":{"mostShares":[0.2,1.0],"rings":[0.2,1.0],"spanMs":1000,"ballotTtlMs":8000,
-                "decidedBy":"majority","spareTries":2,"callsPerS":10},
-  "grades":[{"name":"look","effect":"idempotent","goalTimeMs":500,"deadlineMs":2000,"worth":1}],
-  "kinds":["usual"],"myNumber":0,"parties":[{"name":"shop","allowancePerS":1000000}],"replicasOfMe":1,
-  "rules":{"drainGraceMs":500,"fallMs":400,"fallMultiple":2,"startCapacity":0.5,"warmAfterMs":800},
-  "stats":{"how":"off"},"tickMs":5,"zone":0,"zones":["one"]}})";
+constexpr const char* kRequestClasses =
+    R"([{"name":"look","effect":"idempotent","goalTimeMs":500,"deadlineMs":2000,"worth":1}])";
 
+constexpr unsigned kMaxAttempts = 4;
 constexpr unsigned kEndpoints = 6;
 constexpr unsigned kBadEndpoints = 2;
 constexpr unsigned kClients = 24;
@@ -61,48 +45,14 @@
   std::uint64_t new_roots = 0;
 };
 
-class Running {
- public:
-  Running(InstanceSettings site, std::string root) {
-    thread_ = std::thread([this, site, root] {
-      EventLoop loop;
-      const StartupConfiguration start = parse_startup_configuration(kSettings, site);
-      InstanceSettings full = start.site;
-      full.release_platform_address = site.release_platform_address,
-      full.discovery_address = site.discovery_address,
-      full.configured_endpoint_list = site.configured_endpoint_list,
-      full.configured_release_state = site.configured_release_state;
-      const RouterSettings terms = read_router_settings(start.settings);
-      const WireSettings door = read_wire_settings(start.settings);
-      const Limits limits = limits_for(1024, door, terms);
-      Service service(loop, limits, terms, door, full, [](std::string_view line) {
-        if (std::getenv("PROOF_LOG"))
-          std::fprintf(stderr, "%.*s\n", static_cast<int>(line.size()), line.data());
-      });
-      service.set_metadata_verifier(
-          std::make_unique<MetadataVerifier>(std::vector<RepositorySettings>{{kPrefix, root, kLag}}, 4096));
-      service.start();
-      loop.enable_posts_from_threads();
-      loop_ = &loop;
-      port_ = service.port();
-      loop.run();
-    });
-    while (port_ == 0) ::usleep(1000);
-  }
-  ~Running() {
-    EventLoop* const loop = loop_;
-    loop->post_from_thread([loop] { loop->stop(); });
-    thread_.join();
-  }
-  Running(const Running&) = delete;
-  Running& operator=(const Running&) = delete;
-  std::string address() const { return "127.0.0.1:" + std::to_string(port_); }
-
- private:
-  std::atomic<EventLoop*> loop_ = nullptr;
-  std::atomic<std::uint16_t> port_ = 0;
-  std::thread thread_;
-};
+// The set-up of a router that verifies the repository's metadata.
+RouterThread::SetUp verify_metadata(const std::string& root) {
+  return [root](const RouterThread::Parts& parts) {
+    parts.service.set_metadata_verifier(
+        std::make_unique<MetadataVerifier>(std::vector<RepositorySettings>{{kPrefix, root, kLag}}, 4096));
+    return nullptr;
+  };
+}
 
 enum class UpdateStep { kRoot, kTimestamp, kSnapshot, kTargets };
 
@@ -151,19 +101,14 @@
  public:
   explicit FaultTest(Proof& proof)
       : proof_(proof), random_(proof.seed), repository_(loop_.now() + Span::s(86400), kEndpoints),
-        discovery_(loop_, limits_),
-        release_platform_(loop_, limits_, {0.2, 1.0}, [](const fakes::ReleasePlatform::State&) {}),
-        publish_(loop_, [this] { publish(); }), end_(loop_, [this] { loop_.stop(); }) {
+        surroundings_(loop_, limits_), publish_(loop_, [this] { publish(); }),
+        end_(loop_, [this] { loop_.stop(); }) {
     for (unsigned i = 0; i < kEndpoints; ++i) {
-      endpoints_.push_back(std::make_unique<fakes::Endpoint>(
-          loop_, limits_, [this, i](const http::Head& head, const std::string&) { return serve(i, head); }));
-      discovery_.put(
-          {"h" + std::to_string(i), endpoints_.back()->address(), fakes::ListedState::kUp, 1, Instant()});
+      surroundings_.add_endpoint(
+          [this, i](const http::Head& head, const std::string&) { return serve(i, head); });
     }
-    router_ = std::make_unique<Running>(
-        InstanceSettings{"proof", "127.0.0.1:0", discovery_.address(), release_platform_.address(), 7,
-                         discovery_.list(), release_platform_.state_json()},
-        repository_.first_root());
+    router_ = std::make_unique<RouterThread>(router_configuration(kMaxAttempts, kRequestClasses),
+                                             surroundings_.site(), verify_metadata(repository_.first_root()));
   }
 
   const Counts& run() {
@@ -320,11 +265,9 @@
   Limits limits_;
   Counts counts_;
   ReplicatedRepository repository_;
-  std::vector<std::unique_ptr<fakes::Endpoint>> endpoints_;
-  fakes::Discovery discovery_;
-  fakes::ReleasePlatform release_platform_;
+  FakeSurroundings surroundings_;
   std::vector<std::shared_ptr<Timer>> replications_;
-  std::unique_ptr<Running> router_;
+  std::unique_ptr<RouterThread> router_;
   std::vector<std::unique_ptr<UpdatingClient>> clients_;
   Instant begin_;
   std::uint64_t last_request_ = 0;
