--- a/proofs/discovery_queue.cpp
+++ b/proofs/discovery_queue.cpp
@@ -1,7 +1,7 @@
 // What calls to a crowded discovery cost, in simulated time, with the router's own pacing of calls: one
-// service works off the calls of all routers in turn; a call that has waited too long is turned away, and is
-// worked off all the same. Seven in ten routers start anew at one moment while the others come back from an
-// outage; then all from an outage. For 1, 30, 300 and 900 routers, with the service slow enough that all of
+// service serves the calls of all routers in turn; a call that has waited too long times out, and is served
+// all the same. First seven in ten routers restart at one moment while the others come back from an outage;
+// then all come back from an outage. For 1, 30, 300 and 900 routers, with the service slow enough that all of
 // them take it 5.5 or 8 s. Figures are simulated.
 #include <algorithm>
 #include <queue>
@@ -17,90 +17,142 @@
 namespace ashbeam {
 namespace {
 
-constexpr Span kPatience = Span::s(2), kOutage = Span::s(8), kEnd = Span::s(60), kUsualWait = Span::s(3);
+constexpr Instant kBegin = Instant::at_us(0);
+constexpr Span kCallTimeout = Span::s(2);
+constexpr Span kOutage = Span::s(8);
+constexpr Span kEnd = Span::s(60);
+constexpr Span kUsualWait = Span::s(3);
 constexpr Span kLease = Span::ms(6550);  // with a grace of 1 s
+constexpr Span kRetryDelayAfterOutage = Span::ms(450);
 
-struct Event {
+enum class CallEventKind { kCall, kFailure };
+
+struct CallEvent {
   Instant at;
   unsigned router = 0;
-  bool failed = false;  // else a call
-  bool operator<(const Event& other) const { return at > other.at; }
+  CallEventKind kind = CallEventKind::kCall;
+  // For std::priority_queue: the earliest first.
+  bool operator<(const CallEvent& other) const { return at > other.at; }
 };
 
 struct Outcome {
-  std::vector<double> wait_s;  // until the list, or the end
-  double calls = 0, worked_off_in_vain = 0;
+  std::vector<double> wait_s;  // until a router had the list, or the end; sorted
+  double calls = 0;
+  double served_in_vain = 0;  // calls that had timed out
+};
+
+struct QueueSettings {
+  std::vector<Instant> starts;  // when each router may first call
+  Instant discovery_back;       // discovery is away until then
+  Span service_time;            // of a call
+  Span max_first_delay;         // a router's first call comes within that
 };
 
-// `starts`: when each router may first call; before `back` discovery is away.
-Outcome play(const std::vector<Instant>& starts, Instant back, Span service, Span first_ask, Pcg& chance) {
-  Outcome outcome;
-  std::vector<policy::CallPacing> pacing(starts.size(), policy::CallPacing(kUsualWait));
-  std::vector<bool> served(starts.size());
-  std::priority_queue<Event> events;
-  for (unsigned r = 0; r < starts.size(); ++r) events.push({starts[r] + first_ask * chance.unit(), r, false});
-  Instant free_at = back;
-  while (!events.empty() && events.top().at < Instant::at_us(0) + kEnd) {
-    const Event event = events.top();
-    events.pop();
-    if (event.failed) {
-      events.push({event.at + pacing[event.router].wait_after_failure(chance.unit()), event.router, false});
-      continue;
+class DiscoveryQueue {
+ public:
+  DiscoveryQueue(const QueueSettings& settings, Pcg& random)
+      : settings_(settings), random_(random), free_at_(settings.discovery_back),
+        pacing_(settings.starts.size(), policy::CallPacing(kUsualWait)), has_list_(settings.starts.size()) {}
+
+  Outcome run() {
+    for (unsigned router = 0; router < settings_.starts.size(); ++router)
+      schedule_call(settings_.starts[router] + settings_.max_first_delay * random_.unit(), router);
+    while (!events_.empty() && events_.top().at < kBegin + kEnd) {
+      const CallEvent event = events_.top();
+      events_.pop();
+      if (event.kind == CallEventKind::kCall) {
+        on_call(event);
+      } else {
+        on_failure(event);
+      }
     }
-    ++outcome.calls;
-    const Instant done = std::max(event.at, free_at) + service;
-    const bool in_time = event.at >= back && done - event.at <= kPatience;
-    if (event.at >= back) free_at = done;
-    if (!in_time) {
-      outcome.worked_off_in_vain += event.at >= back;
-      events.push({event.at + kPatience, event.router, true});
-      continue;
+    for (const bool has_list : has_list_) {
+      if (!has_list) outcome_.wait_s.push_back(kEnd.s());
     }
-    served[event.router] = true;
-    outcome.wait_s.push_back((done - std::max(starts[event.router], back)).s());
+    std::sort(outcome_.wait_s.begin(), outcome_.wait_s.end());
+    return outcome_;
   }
-  for (const bool one : served) {
-    if (!one) outcome.wait_s.push_back(kEnd.s());
+
+ private:
+  void schedule_call(Instant at, unsigned router) { events_.push({at, router, CallEventKind::kCall}); }
+
+  void on_failure(const CallEvent& event) {
+    const Span wait = pacing_[event.router].wait_after_failure(random_.unit());
+    schedule_call(event.at + wait, event.router);
   }
-  std::sort(outcome.wait_s.begin(), outcome.wait_s.end());
-  return outcome;
-}
 
-Span first_ask(unsigned routers) {
-  RouterSettings terms;
-  terms.router_count = routers;
-  terms.endpoint_poll_interval = Span::s(10);
-  return limits_for(1024, WireSettings{}, terms).max_initial_poll_delay;
+  void on_call(const CallEvent& event) {
+    ++outcome_.calls;
+    const bool reached = event.at >= settings_.discovery_back;
+    const Instant done = std::max(event.at, free_at_) + settings_.service_time;
+    if (reached) free_at_ = done;
+    if (!reached || done - event.at > kCallTimeout) {
+      if (reached) ++outcome_.served_in_vain;
+      events_.push({event.at + kCallTimeout, event.router, CallEventKind::kFailure});
+      return;
+    }
+    has_list_[event.router] = true;
+    const Instant wanted_since = std::max(settings_.starts[event.router], settings_.discovery_back);
+    outcome_.wait_s.push_back((done - wanted_since).s());
+  }
+
+  const QueueSettings& settings_;
+  Pcg& random_;
+  Instant free_at_;  // when the service will have served all calls that have come
+  std::vector<policy::CallPacing> pacing_;
+  std::vector<bool> has_list_;
+  std::priority_queue<CallEvent> events_;
+  Outcome outcome_;
+};
+
+Span max_initial_poll_delay(unsigned routers) {
+  RouterSettings settings;
+  settings.router_count = routers;
+  settings.endpoint_poll_interval = Span::s(10);
+  return limits_for(1024, WireSettings{}, settings).max_initial_poll_delay;
 }
 
-void show(Proof& proof, const std::string& name, const Outcome& outcome, double most_late) {
+void report(Proof& proof, const std::string& name, const Outcome& outcome, double max_late_share) {
   const std::vector<double>& wait = outcome.wait_s;
   const auto routers = static_cast<double>(wait.size());
   const auto late = static_cast<double>(wait.end() - std::upper_bound(wait.begin(), wait.end(), kLease.s()));
+  const auto never = static_cast<double>(std::count(wait.begin(), wait.end(), kEnd.s()));
   proof.figure(name + "_median_s", wait[wait.size() / 2]);
   proof.figure(name + "_p90_s", wait[wait.size() * 9 / 10]);
   proof.figure(name + "_calls_per_router", outcome.calls / routers);
-  proof.figure(name + "_worked_off_in_vain_share", outcome.worked_off_in_vain / outcome.calls);
-  proof.at_most(name + "_without_list_past_the_lease", late / routers, most_late);
-  proof.at_most(name + "_never", static_cast<double>(std::count(wait.begin(), wait.end(), kEnd.s())), 0);
+  proof.figure(name + "_worked_off_in_vain_share", outcome.served_in_vain / outcome.calls);
+  proof.at_most(name + "_without_list_past_the_lease", late / routers, max_late_share);
+  proof.at_most(name + "_never", never, 0);
+}
+
+// `all_take_s`: how long the service takes for a call of each router.
+void play(Proof& proof, unsigned routers, double all_take_s) {
+  constexpr double kSingleCallS = 0.02;
+  const Instant restart = kBegin + Span::s(10);
+  const Instant discovery_back = restart - Span::ms(2500);
+  const Instant outage_begin = discovery_back - kOutage;
+  // Where all take longer than the lease runs, not all can have a list in time.
+  const double max_late_share = all_take_s < kLease.s() ? 0.3 : 0.8;
+  const std::string suffix = std::to_string(routers) + (all_take_s < 6 ? "_at_5.5s" : "_at_8s");
+  Pcg random(proof.seed * 1000 + routers);
+
+  QueueSettings settings;
+  settings.discovery_back = discovery_back;
+  settings.service_time = Span::s(routers == 1 ? kSingleCallS : all_take_s / routers);
+  settings.max_first_delay = max_initial_poll_delay(routers);
+  settings.starts.assign(routers, restart);
+  std::fill(settings.starts.begin() + routers * 7 / 10, settings.starts.end(), outage_begin);
+  report(proof, "restarted_" + suffix, DiscoveryQueue(settings, random).run(), max_late_share);
+
+  settings.max_first_delay = kRetryDelayAfterOutage;
+  settings.starts.assign(routers, outage_begin);
+  report(proof, "returned_" + suffix, DiscoveryQueue(settings, random).run(), max_late_share);
 }
 
 int prove(int argc, char** argv) {
   Proof proof("discovery_queue", argc, argv);
-  const Instant restart = Instant::at_us(0) + Span::s(10), back = restart - Span::ms(2500);
   for (const double all_take_s : {5.5, 8.0}) {
-    // Where all take longer than the lease runs, not all can have a list in time.
-    const double most_late = all_take_s < kLease.s() ? 0.3 : 0.8;
-    for (const unsigned routers : {1U, 30U, 300U, 900U}) {
-      Pcg chance(proof.seed * 1000 + routers);
-      const Span service = Span::s(routers == 1 ? 0.02 : all_take_s / routers);
-      const std::string suffix = std::to_string(routers) + (all_take_s < 6 ? "_at_5.5s" : "_at_8s");
-      std::vector<Instant> starts(routers, restart);
-      for (unsigned r = routers * 7 / 10; r < routers; ++r) starts[r] = back - kOutage;
-      show(proof, "restarted_" + suffix, play(starts, back, service, first_ask(routers), chance), most_late);
-      starts.assign(routers, back - kOutage);
-      show(proof, "returned_" + suffix, play(starts, back, service, Span::ms(450), chance), most_late);
-    }
+    for (const unsigned routers : {1U, 30U, 300U, 900U}) play(proof, routers, all_take_s);
   }
   return proof.verdict();
 }
