--- a/benches/policy.cpp
+++ b/benches/policy.cpp
@@ -1,6 +1,6 @@
-// What the decision module spends on a hit and on a beat, by the number of hosts listed: one of 300 routers,
-// a tenth of the hosts on trial, a twentieth cold. Times by Google Benchmark; instruction counts, which
-// repeat, by
+// What the decision module spends on a request ("hit") and on a wakeup ("beat"), by the number of endpoints
+// listed: one of 300 routers, a tenth of the endpoints on the canary, a twentieth cold. Times by Google
+// Benchmark; instruction counts, which repeat, by
 //   valgrind --tool=callgrind --toggle-collect='ashbeam::one_hit*' build/ashbeam_policy_bench
 //   --benchmark_filter=hit/1024
 // divided by the iterations that it names (and one_beat alike).
@@ -13,27 +13,37 @@
 
 namespace ashbeam {
 
-struct Bench : RouterActions {
-  std::unique_ptr<RouterPolicy> router;
+constexpr unsigned kRouters = 300;
+constexpr Span kRequestDuration = Span::ms(100);
+constexpr Span kWakeupInterval = Span::ms(20);
+constexpr Span kClientTimeout = Span::ms(2400);
+constexpr std::uint64_t kPolicySeed = 7;
+constexpr std::uint64_t kWakeupToken = 1;
+
+// A router that notes where its latest attempt went.
+struct BenchedRouter : RouterActions {
+  std::unique_ptr<RouterPolicy> policy;
   Instant now = Instant::at_us(100'000'000);
-  RequestId hit = 0;
-  EndpointIndex host = 0;
+  RequestId request = 0;
+  EndpointIndex endpoint = 0;
   bool sent = false;
 
-  explicit Bench(unsigned hosts) {
-    RouterSettings terms = fleet_settings(300, 0);
-    terms.tenant_quota_per_s.clear();  // no beat ends this router's youth: none of its bounds
-    router = make_router_policy(terms, 7, *this);
-    router->set_time(now);
-    router->start();
-    router->begin_endpoint_update(true);
-    for (EndpointIndex h = 0; h < hosts; ++h)
-      router->update_endpoint({h, EndpointState::kReady, h % 10 == 0 ? 2U : 1U, h % 2, h / 8, h / 2 % 2,
-                               h % 20 == 0 ? now + Span::s(3600) : Instant()});
-    router->end_endpoint_update();
-    router->on_release_state({2, 1, ReleasePhase::kCanary, 0.3, Span()});
+  explicit BenchedRouter(unsigned endpoints) {
+    RouterSettings settings = fleet_settings(kRouters, 0);
+    settings.tenant_quota_per_s.clear();  // without quotas the time since the start changes no bound
+    policy = make_router_policy(settings, kPolicySeed, *this);
+    policy->set_time(now);
+    policy->start();
+    policy->begin_endpoint_update(true);
+    for (EndpointIndex i = 0; i < endpoints; ++i) policy->update_endpoint(listed_endpoint(i));
+    policy->end_endpoint_update();
+    policy->on_release_state({2, 1, ReleasePhase::kCanary, 0.3, Span()});
+  }
+
+  void send_attempt(RequestId, EndpointIndex chosen) override {
+    sent = true;
+    endpoint = chosen;
   }
-  void send_attempt(RequestId, EndpointIndex h) override { sent = true, host = h; }
   void reject(RequestId, Span) override {}
   void fail(RequestId) override {}
   void cancel_attempt(RequestId, unsigned) override {}
@@ -41,36 +51,49 @@
   void watch_endpoints() override {}
   void cast_vote(ReleaseVersion, unsigned, Vote) override {}
   void log(std::string_view) override {}
+
+ private:
+  // A start in the future keeps an endpoint cold.
+  EndpointUpdate listed_endpoint(EndpointIndex index) const {
+    const ReleaseVersion version = index % 10 == 0 ? 2 : 1;
+    const Instant started_at = index % 20 == 0 ? now + Span::s(3600) : Instant();
+    return {index, EndpointState::kReady, version, index % 2, index / 8, index / 2 % 2, started_at};
+  }
 };
 
-// A hit and its answer 100 ms later, one every 100 ms: taken, placed, ended.
-[[gnu::noinline]] void one_hit(Bench& b) {
-  b.sent = false;
-  b.router->set_time(b.now);
-  ++b.hit;
-  b.router->on_request({b.hit, b.hit % 3, 0, 0, b.now + Span::ms(2400)});
-  b.now = b.now + Span::ms(100);
-  b.router->set_time(b.now);
-  if (b.sent) b.router->on_attempt_end({b.hit, 0, b.host, AttemptResult::kOk, Span::ms(100), true});
+// A request and its answer 100 ms later, one every 100 ms: accepted, sent, ended.
+[[gnu::noinline]] void one_hit(BenchedRouter& router) {
+  router.sent = false;
+  router.policy->set_time(router.now);
+  ++router.request;
+  router.policy->on_request({router.request, router.request % 3, 0, 0, router.now + kClientTimeout});
+  router.now = router.now + kRequestDuration;
+  router.policy->set_time(router.now);
+  if (!router.sent) return;
+  router.policy->on_attempt_end(
+      {router.request, 0, router.endpoint, AttemptResult::kOk, kRequestDuration, true});
 }
 
-[[gnu::noinline]] void one_beat(Bench& b) {
-  b.now = b.now + Span::ms(20);
-  b.router->set_time(b.now);
-  b.router->on_wakeup(1);
+[[gnu::noinline]] void one_beat(BenchedRouter& router) {
+  router.now = router.now + kWakeupInterval;
+  router.policy->set_time(router.now);
+  router.policy->on_wakeup(kWakeupToken);
 }
 
 namespace {
 
 void hit(benchmark::State& state) {
-  Bench b(static_cast<unsigned>(state.range(0)));
-  for (auto _ : state) one_hit(b);
+  BenchedRouter router(static_cast<unsigned>(state.range(0)));
+  for (auto _ : state) one_hit(router);
 }
+
 void beat(benchmark::State& state) {
-  Bench b(static_cast<unsigned>(state.range(0)));
-  for (int i = 0; i < 50; ++i) one_hit(b);
-  for (auto _ : state) one_beat(b);
+  constexpr int kRequestsBefore = 50;
+  BenchedRouter router(static_cast<unsigned>(state.range(0)));
+  for (int i = 0; i < kRequestsBefore; ++i) one_hit(router);
+  for (auto _ : state) one_beat(router);
 }
+
 BENCHMARK(hit)->Arg(20)->Arg(60)->Arg(300)->Arg(1024)->Iterations(2000);
 BENCHMARK(beat)->Arg(20)->Arg(60)->Arg(300)->Arg(1024)->Iterations(2000);
 
