--- a/proofs/fleet/fleet.cpp
+++ b/proofs/fleet/fleet.cpp
@@ -122,8 +122,9 @@
                                                {kColdRestart, &Fleet::restart_cold_endpoints},
                                                {kDrain, &Fleet::drain_endpoints}};
   while (next_fault_ < std::size(kFaults) && elapsed >= kFaults[next_fault_].at) {
-    (this->*kFaults[next_fault_].fault)();
+    const Fault fault = kFaults[next_fault_].fault;
     ++next_fault_;
+    (this->*fault)();
   }
 }
 
--- a/proofs/fleet/fleet.hpp
+++ b/proofs/fleet/fleet.hpp
@@ -28,6 +28,8 @@
  public:
   // Adds to `counts`, which has to outlive it.
   Fleet(const FleetSettings& fleet, FleetCounts& counts);
+  Fleet(const Fleet&) = delete;
+  Fleet& operator=(const Fleet&) = delete;
   // Runs it for a simulated time. To be called once.
   void run(Span duration);
 
