--- a/src/calling/authorizer.cpp
+++ b/src/calling/authorizer.cpp
@@ -202,8 +202,8 @@
 
 // ---- Admission ----
 
-Refusal Authorizer::admit(const Identity& identity, unsigned request_class, Instant now,
-                          AdmissionToken& token, Span& retry_after) {
+Refusal Authorizer::admit(const Identity& identity, unsigned request_class, Instant now, QuotaHold& hold,
+                          Span& retry_after) {
   if (identity.tenant == Identity::kNoTenant) return Refusal::kNone;
   const TenantDirectory::Tenant& tenant = (*directory_)[identity.tenant];
   const TenantDirectory::Rule& rule = tenant.rules[identity.rule];
@@ -215,6 +215,7 @@
   const std::uint32_t subject_slot = subjects_.find_or_insert(identity.subject_hash, now);
   if (subject_slot == SubjectTable::kNone || is_full(subjects_.in_flight(subject_slot), rule.rate) ||
       is_full(usage.in_flight, tenant.rate)) {
+    // No slot in the table: all subjects that share its place have requests in flight.
     retry_after = settings_.max_request_duration;  // whatever is in flight now has ended by then
     return count(Refusal::kInFlightLimit);
   }
@@ -235,14 +236,14 @@
   usage.bucket.take(tenant.rate, now_ns);
   ++subjects_.in_flight(subject_slot);
   ++usage.in_flight;
-  token = {tenant_slot, subject_slot};
+  hold = {tenant_slot, subject_slot};
   return Refusal::kNone;
 }
 
-void Authorizer::release(const AdmissionToken& token) {
-  if (token.tenant_slot == AdmissionToken::kNone) return;
-  --tenant_usage_[token.tenant_slot].in_flight;
-  --subjects_.in_flight(token.subject_slot);
+void Authorizer::release(const QuotaHold& hold) {
+  if (hold.tenant_slot == QuotaHold::kNone) return;
+  --tenant_usage_[hold.tenant_slot].in_flight;
+  --subjects_.in_flight(hold.subject_slot);
 }
 
 }  // namespace ashbeam::calling
--- a/src/calling/authorizer.hpp
+++ b/src/calling/authorizer.hpp
@@ -2,7 +2,7 @@
 // argument and never goes back.
 //
 // Order of calls, for a request: authenticate(), then admit() with its request class; if that admits it,
-// release() exactly once with the admission token, when the request has left the router. update_keys() and
+// release() exactly once with the quota hold, when the request has left the router. update_keys() and
 // update_settings() at any time between: both count from the next call on, also for tokens that were verified
 // before. Errors: a Refusal.
 //
@@ -35,7 +35,7 @@
 namespace ashbeam::calling {
 
 // What a request holds of its quotas, from admit() to release().
-struct AdmissionToken {
+struct QuotaHold {
   static constexpr std::uint32_t kNone = UINT32_MAX;
   std::uint32_t tenant_slot = kNone;  // kNone: nothing is to be released
   std::uint32_t subject_slot = kNone;
@@ -49,10 +49,10 @@
   // kNone: `identity` says who it is. kVerificationsBusy: `retry_after` says when to try again.
   Refusal authenticate(const Credentials& credentials, ConnectionHistory& history, Instant now,
                        Identity& identity, Span& retry_after);
-  // kNone: `token` is to be released. kRateLimit, kInFlightLimit: `retry_after` says when there is capacity.
-  Refusal admit(const Identity& identity, unsigned request_class, Instant now, AdmissionToken& token,
+  // kNone: `hold` is to be released. kRateLimit, kInFlightLimit: `retry_after` says when there is capacity.
+  Refusal admit(const Identity& identity, unsigned request_class, Instant now, QuotaHold& hold,
                 Span& retry_after);
-  void release(const AdmissionToken& token);
+  void release(const QuotaHold& hold);
 
   KeyRing::Change update_keys(std::span<const tokens::KeyEntry> listed, Instant now) {
     return key_ring_.update(listed, wall_clock(now));
--- a/src/calling/principal.hpp
+++ b/src/calling/principal.hpp
@@ -36,11 +36,12 @@
 struct Identity {
   static constexpr std::uint32_t kNoTenant = UINT32_MAX;
   std::uint32_t tenant =
-      kNoTenant;                    // index in TenantDirectory; kNoTenant: nobody is proven, and none need be
-  std::uint32_t rule = 0;           // index in the tenant's rules
-  std::uint64_t subject_hash = 0;   // of tenant and subject
-  std::uint32_t policy_tenant = 0;  // index in CallingSettings::policy_tenants
-  std::string principal;            // "tenant/subject", as endpoints see it; empty: nobody
+      kNoTenant;                   // index in TenantDirectory; kNoTenant: nobody is proven, and none need be
+  std::uint32_t rule = 0;          // index in the tenant's rules
+  std::uint64_t subject_hash = 0;  // of tenant and subject
+  std::uint32_t policy_tenant =
+      0;                  // index in CallingSettings::policy_tenants, whose quota policy/admission weighs
+  std::string principal;  // "tenant/subject", as endpoints see it; empty: nobody
 };
 
 // "tenant/subject", with every byte percent-encoded that could end a header line or be read as another name.
--- a/src/calling/settings.hpp
+++ b/src/calling/settings.hpp
@@ -57,7 +57,8 @@
   double peak_factor = 4;
   Span max_request_duration = Span::s(5);  // whatever is in flight has ended by then
 
-  // The names behind the indices that the router's decisions use.
+  // The deployment's own names, behind the indices that the router's decisions use. Their tenants have soft
+  // quotas (policy/admission); `tenants` below are the operator's, with rights and hard limits.
   std::vector<std::string> request_classes;
   std::vector<std::string> policy_tenants;
 
--- a/src/fakes/client.cpp
+++ b/src/fakes/client.cpp
@@ -41,7 +41,7 @@
 }
 
 void Client::on_closed() {
-  const bool request_written = !connection_->has_pending_output();
+  const bool request_written = !connection_->may_have_unwritten_output();
   disconnect();
   if (on_answer_) finish({0, nullptr, request_written});
 }
--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -14,7 +14,7 @@
 constexpr double kPatienceRange = 0.5;
 
 constexpr double kBestWeightDecay = 0.999;  // a request
-constexpr double kMeanWeightWeight = 0.01;
+constexpr double kMeanWeightUpdate = 0.01;
 constexpr double kMinMeanWeight = 1e-9;
 
 }  // namespace
@@ -29,8 +29,10 @@
 
 void Admission::on_request(Request& request, unsigned tenant, double class_mean_ms) {
   const double weight = weight_per_ms(request, tenant, class_mean_ms);
-  mean_weight_ += kMeanWeightWeight * (weight * class_mean_ms - mean_weight_);
+  mean_weight_ += kMeanWeightUpdate * (weight * class_mean_ms - mean_weight_);
   request.weight = weight * class_mean_ms / std::max(mean_weight_, kMinMeanWeight);
+  // One of many routers predicts by its zone's mean, which says less of a single endpoint: it is up to twice
+  // as patient.
   request.patience =
       (kMinPatience + kPatienceRange * weight / best_weight_per_ms_) * (2 - std::min(1.0, exploration_part_));
 }
--- a/src/policy/admission.hpp
+++ b/src/policy/admission.hpp
@@ -1,4 +1,5 @@
-// Which requests are admitted when endpoints are slow: those that are worth most.
+// Which requests are admitted when endpoints are slow: those that are worth most. Tenants' hard limits and
+// rights are calling::Authorizer's, which has let the request pass before.
 //
 // Job: weigh each request by the priority weight of its class for the time that it takes, and less if its
 // tenant is over quota; admit it while it is predicted to take no more than a part of the time left, which
--- a/src/policy/attempt_outcomes.cpp
+++ b/src/policy/attempt_outcomes.cpp
@@ -77,7 +77,7 @@
   parts_.latency.learn_peers(endpoint, normalized_ms, now);
   const bool warm = parts_.slow_start.is_warm(endpoint, now);
   if (warm && endpoint.version <= parts_.release.version()) {
-    parts_.regression.add_latency(parts_.release.role(endpoint.version), endpoint.machine_type,
+    parts_.regression.add_latency(parts_.release.judged_role(endpoint.version), endpoint.machine_type,
                                   request.request_class, attempt.endpoint, latency_ms, now);
   }
   // An endpoint that has answered nobody since is failing, not slow.
--- a/src/policy/endpoint_table.cpp
+++ b/src/policy/endpoint_table.cpp
@@ -51,7 +51,7 @@
   newest_canary_start_ = Instant();
   for (const Endpoint& endpoint : endpoints_) {
     if (endpoint.state != EndpointState::kReady) continue;
-    ++(release.is_canary(endpoint.version) ? canary_ready_ : stable_ready_);
+    ++(release.is_capped(endpoint.version) ? canary_ready_ : stable_ready_);
     if (endpoint.version == release.version())
       newest_canary_start_ = std::max(newest_canary_start_, endpoint.started_at);
   }
--- a/src/policy/load_balancer.cpp
+++ b/src/policy/load_balancer.cpp
@@ -53,7 +53,7 @@
   own_zone_.clear();
   for (const EndpointIndex index : jittered_nearby_) {
     const Endpoint& endpoint = in_.endpoints[index];
-    const bool canary = in_.release.is_canary(endpoint.version);
+    const bool canary = in_.release.is_capped(endpoint.version);
     if (canary && in_.sticky_keys.applies_to(request)) continue;
     if (canary && endpoint.slow_start.jitter >= in_.slow_start.limit(endpoint, now) * split.canary_weight)
       continue;
@@ -99,7 +99,7 @@
   for (EndpointIndex index = 0; index < count; ++index) {
     const Endpoint& endpoint = endpoints[index];
     if (without_ejected && !OutlierDetector::may_use(endpoint, most_ejected, now)) continue;
-    if (release.is_canary(endpoint.version) != canary) continue;
+    if (release.is_capped(endpoint.version) != canary) continue;
     if (!guards_.may_send(request, index, traffic_weight, now)) continue;
     std::vector<Candidate>& candidates = endpoint.zone == own_zone ? own_zone_ : other_zones_;
     candidates.push_back({index, latency.selection_weight(endpoint, now)});
--- a/src/policy/regression_detector.cpp
+++ b/src/policy/regression_detector.cpp
@@ -63,7 +63,7 @@
 void RegressionDetector::add_sample(const OutcomeSample& sample) {
   if (sample.request_class >= in_.settings.request_classes.size()) return;
   if (sample.version > in_.release.version()) return;
-  failures_.add_sample(in_.release.role(sample.version), sample);
+  failures_.add_sample(in_.release.judged_role(sample.version), sample);
 }
 
 void RegressionDetector::add_disputed_answer(const DisputedAnswer& disputed, Instant now) {
@@ -88,7 +88,7 @@
   PerRole<OutcomeCount> answers;
   for (const Endpoint& endpoint : in_.endpoints) {
     if (endpoint.version <= in_.release.version())
-      answers[in_.release.role(endpoint.version)].merge(endpoint.answers);
+      answers[in_.release.judged_role(endpoint.version)].merge(endpoint.answers);
   }
   const double reported_part = in_.settings.dispute_report_fraction;
   const double canary = answers.canary.failure_rate() / reported_part;
--- a/src/policy/release_tracker.hpp
+++ b/src/policy/release_tracker.hpp
@@ -1,8 +1,9 @@
 // The state of the newest release, as the platform announces it.
 //
-// Job: keep the newest release state, and say which versions count as canary. Until the platform has
-// announced anything, the lowest version in the endpoint list counts as released. Units: instants. No I/O.
-// Errors: none; states of older versions are to be dropped by the caller, see is_outdated().
+// Job: keep the newest release state, and say which versions are capped, and which are judged as the canary.
+// Until the platform has announced anything, the lowest version in the endpoint list counts as released.
+// Units: instants. No I/O. Errors: none; states of older versions are to be dropped by the caller, see
+// is_outdated().
 #pragma once
 #include "policy/release_role.hpp"
 #include "policy/router_policy.hpp"
@@ -46,11 +47,12 @@
 
   // May requests go to this version within the exposure cap only? Also true of a version that is newer than
   // the newest announced.
-  bool is_canary(ReleaseVersion version) const {
+  bool is_capped(ReleaseVersion version) const {
     return version > version_ || (version == version_ && phase_ != ReleasePhase::kReleased);
   }
-  // On which side its outcomes count as evidence; the newest version is judged after its release, too.
-  ReleaseRole role(ReleaseVersion version) const {
+  // On which side its outcomes count as evidence. The newest version is judged as the canary after its
+  // release, too, when it is not capped any more.
+  ReleaseRole judged_role(ReleaseVersion version) const {
     return version >= version_ ? ReleaseRole::kCanary : ReleaseRole::kStable;
   }
   static bool ends_in_rollback(ReleasePhase phase) {
--- a/src/policy/request_router.cpp
+++ b/src/policy/request_router.cpp
@@ -121,7 +121,8 @@
   route(request);
 }
 
-// Sends the request, lets it wait a little for an endpoint, or gives it up at once.
+// The first attempt, a retry, and the next look of a request that waits: sends it, lets it wait a little for
+// an endpoint, or gives it up at once.
 void RequestRouter::route(Request& request) {
   const auto selection = choose(request);
   if (!selection) return wait_for_endpoint(request);
@@ -155,7 +156,7 @@
   ++endpoint.attempts_in_flight;
   if (endpoint.unanswered_since <= endpoint.last_heard_at) endpoint.unanswered_since = now_;
   endpoint.slow_start.attempts.add(now_);
-  if (release_.is_canary(endpoint.version)) exposure_.add_canary_attempt(request.request_class, now_);
+  if (release_.is_capped(endpoint.version)) exposure_.add_canary_attempt(request.request_class, now_);
   actions_.send_attempt(request.id, selection.endpoint);
   request.schedule(NextStep::kGiveUp, request.deadline);
   if (!hedged) schedule_hedge(request, selection);
--- a/src/policy/request_router.hpp
+++ b/src/policy/request_router.hpp
@@ -4,7 +4,8 @@
 // A request is routed (on_request, route), sent (send), and sent again or hedged while that may help (hedge,
 // after_attempt), until it has its one final answer (give_up, or an attempt that answers its client). Each
 // tick looks at the endpoints, takes the steps of requests that are due, and judges the release.
-// docs/architecture.md has the pictures. Units, order of calls and errors: see router_policy.hpp.
+// Whether an unsafe or keyed request may be sent again is RuleGuards'. docs/architecture.md has the pictures.
+// Units, order of calls and errors: see router_policy.hpp.
 #pragma once
 #include "base/index_map.hpp"
 #include "base/pcg.hpp"
--- a/src/policy/router_policy.hpp
+++ b/src/policy/router_policy.hpp
@@ -28,8 +28,11 @@
 
 // Until when attempts may begin without further news of the endpoint list, see policy/endpoint_lease.hpp.
 struct EndpointListValidity {
-  Instant any_endpoint = Instant::never();  // to any endpoint of the list
-  Instant no_endpoint = Instant::never();   // not even to one that vouches for itself later than this
+  // To any ready endpoint of the list. Later, to those alone whose own answers show that they do not drain,
+  // see RouterPolicy::extend_endpoint_validity().
+  Instant all_until = Instant::never();
+  // To none at all: a change is on its way whose content is not known yet.
+  Instant none_after = Instant::never();
 };
 
 // A request whose last byte has come.
--- a/src/policy/rule_guards.cpp
+++ b/src/policy/rule_guards.cpp
@@ -25,7 +25,7 @@
   if (!list_allows(endpoint, now)) return false;
   if (request.attempt_count > 0 && !former_attempts_allow(request, index, now)) return false;
   if (!sticky_keys_.allows(request, endpoint.version, release_)) return false;
-  if (release_.is_canary(endpoint.version) &&
+  if (release_.is_capped(endpoint.version) &&
       !exposure_.allows(request, endpoint.version, release_, traffic_weight, now))
     return false;
   return slow_start_.allows(endpoint, now);
@@ -39,8 +39,7 @@
 
 // A drain counts as notified some time after discovery had it, whether or not it has arrived here.
 bool RuleGuards::list_allows(const Endpoint& endpoint, Instant now) const {
-  return now < list_validity_.no_endpoint &&
-         now < std::max(list_validity_.any_endpoint, endpoint.valid_until);
+  return now < list_validity_.none_after && now < std::max(list_validity_.all_until, endpoint.valid_until);
 }
 
 bool RuleGuards::former_attempts_allow(const Request& request, EndpointIndex index, Instant now) const {
--- a/src/policy/rule_guards.hpp
+++ b/src/policy/rule_guards.hpp
@@ -2,7 +2,8 @@
 //
 // Rules: (1) nothing is sent for a request that has its final answer, or past its deadline; (2) a request has
 // no effect twice: no further attempt and no rejection of an unsafe one that may have run, and keyed ones
-// stay within their scope and retention; (3) nothing goes to an endpoint past the grace of its drain; (4) an
+// stay within their scope and retention; (3) nothing new goes to an endpoint that is draining or
+// removed, nor, once the list's lease is over, to one that may be draining without our knowing; (4) an
 // endpoint that warms up is not pushed over; (5) the canary gets no more than the exposure cap. Units:
 // instants. No I/O. Errors: none.
 #pragma once
@@ -24,7 +25,7 @@
 
   void set_list_validity(const EndpointListValidity& validity) { list_validity_ = validity; }
   // May attempts go to any endpoint of the list, by the list's lease alone?
-  bool list_is_valid(Instant now) const { return now < list_validity_.any_endpoint; }
+  bool list_is_valid(Instant now) const { return now < list_validity_.all_until; }
 
   // May the request's next attempt go to this endpoint now? `traffic_weight`: see ExposureCap::allows().
   bool may_send(const Request& request, EndpointIndex index, double traffic_weight, Instant now);
--- a/src/policy/slow_start_state.hpp
+++ b/src/policy/slow_start_state.hpp
@@ -6,8 +6,8 @@
 namespace ashbeam::policy {
 
 struct SlowStartState {
-  // Drawn once for each start, in [0, 1): this router's place in a queue of all routers for less than one
-  // attempt each.
+  // Drawn once for each start, in [0, 1): which routers may send an attempt where a window allows less
+  // than one for each: those whose jitter is below the limit.
   double jitter = 0;
   SlidingWindowCounter attempts;  // sent there by this router
   Instant connect_failed_at;      // when it last refused a connection, or none came up
--- a/src/policy/sticky_keys.hpp
+++ b/src/policy/sticky_keys.hpp
@@ -29,7 +29,7 @@
   bool allows(const Request& request, ReleaseVersion version, const ReleaseTracker& release) const {
     if (!applies_to(request)) return true;
     const std::uint32_t bound = versions_.find(request.sticky_key);
-    if (bound == IndexMap::kNone) return versions_.size() < kMaxKeys || !release.is_canary(version);
+    if (bound == IndexMap::kNone) return versions_.size() < kMaxKeys || !release.is_capped(version);
     return bound <= release.rolled_back() || version >= bound;
   }
 
--- a/src/routing/client_connection.cpp
+++ b/src/routing/client_connection.cpp
@@ -78,7 +78,7 @@
   bytes.append("\r\n").append(body);
   timer_.in(owner_.limits_.answer_write_timeout);
   connection_.write(bytes);
-  if (!connection_.has_pending_output()) on_answer_written();
+  if (!connection_.may_have_unwritten_output()) on_answer_written();
 }
 
 void ClientConnection::on_write_complete() {
--- a/src/routing/client_connection.hpp
+++ b/src/routing/client_connection.hpp
@@ -40,8 +40,8 @@
   // Of this connection, never given twice.
   std::uint64_t serial_number() const { return serial_number_; }
 
-  std::optional<RequestId> request;     // the one at hand, set by its owner
-  calling::ConnectionHistory presence;  // of the connection, kept for the authorizer
+  std::optional<RequestId> request;    // the one at hand, set by its owner
+  calling::ConnectionHistory history;  // of the connection, kept for the authorizer
 
  private:
   friend class ClientConnections;
--- a/src/routing/client_connections.cpp
+++ b/src/routing/client_connections.cpp
@@ -129,7 +129,7 @@
   for (Listener* const listener : {&listener_, tls_listener_.get()}) {
     if (!listener) continue;
     listener->pause(false);
-    none_waiting = listener->accept_waiting() && none_waiting;
+    none_waiting = listener->accept_all_waiting() && none_waiting;
   }
   if (!none_waiting || loop_.now() - last_accepted_ < limits_.shutdown_quiet_time) return false;
   listener_.close();
--- a/src/routing/endpoint_list_lease.cpp
+++ b/src/routing/endpoint_list_lease.cpp
@@ -60,11 +60,11 @@
 
 void EndpointListLease::publish() {
   EndpointListValidity validity;
-  validity.any_endpoint = std::max(lease_.valid_until(), configured_list_valid_until_);
-  validity.no_endpoint = lease_.pending_until();
+  validity.all_until = std::max(lease_.valid_until(), configured_list_valid_until_);
+  validity.none_after = lease_.pending_until();
   context_.policy.at_now().set_endpoint_list_validity(validity);
-  if (validity.any_endpoint > context_.loop.now()) {
-    expiry_timer_.at(validity.any_endpoint);
+  if (validity.all_until > context_.loop.now()) {
+    expiry_timer_.at(validity.all_until);
   } else {
     expiry_timer_.off();
   }
--- a/src/routing/endpoint_pools.cpp
+++ b/src/routing/endpoint_pools.cpp
@@ -34,7 +34,7 @@
 
   EndpointIndex endpoint() const { return endpoint_; }
   bool in_flight() const { return on_end_ != nullptr; }
-  bool written() const { return !make_bytes_ && !connection_.has_pending_output(); }
+  bool written() const { return !make_bytes_ && !connection_.may_have_unwritten_output(); }
   bool usable() const { return connection_.is_idle(); }
   bool has_unsolicited_bytes() const { return connection_.has_input(); }
   Instant idle_since() const { return idle_since_; }
@@ -177,6 +177,7 @@
   }
   for (PooledConnection* connection : in_use) {
     connection->close_after_answer();
+    // The attempt provably never ran: it ends as if no connection had come up.
     if (connection->in_flight() && !connection->written())
       connection->finish_later(AttemptResult::kConnectFailed);
   }
@@ -234,6 +235,7 @@
     connection = take_idle(endpoint);
     if (!connection) connection = open_new(endpoint);
   }
+  // No connection can be made, or as many as may be are in use.
   if (!connection) {
     loop_.post([on_end = std::move(on_end)] { on_end(AttemptResult::kLocalFailure, nullptr); });
     return nullptr;
--- a/src/routing/request_authorization.cpp
+++ b/src/routing/request_authorization.cpp
@@ -44,25 +44,25 @@
   asked.certificate = proof.certificate;
   Span retry_after;
   const calling::Refusal reason =
-      authorizer_->authenticate(asked, client.presence, context_.loop.now(), identity_, retry_after);
+      authorizer_->authenticate(asked, client.history, context_.loop.now(), identity_, retry_after);
   if (reason == calling::Refusal::kNone) return &identity_;
   refuse(client, reason, retry_after);
   return nullptr;
 }
 
 bool RequestAuthorization::admit(ClientConnection& client, const calling::Identity& identity,
-                                 unsigned request_class, calling::AdmissionToken& token) {
+                                 unsigned request_class, calling::QuotaHold& hold) {
   if (!authorizer_) return true;
   Span retry_after;
   const calling::Refusal reason =
-      authorizer_->admit(identity, request_class, context_.loop.now(), token, retry_after);
+      authorizer_->admit(identity, request_class, context_.loop.now(), hold, retry_after);
   if (reason == calling::Refusal::kNone) return true;
   refuse(client, reason, retry_after);
   return false;
 }
 
-void RequestAuthorization::release(const calling::AdmissionToken& token) {
-  if (authorizer_) authorizer_->release(token);
+void RequestAuthorization::release(const calling::QuotaHold& hold) {
+  if (authorizer_) authorizer_->release(hold);
 }
 
 void RequestAuthorization::refuse(ClientConnection& client, calling::Refusal reason, Span retry_after) {
--- a/src/routing/request_authorization.hpp
+++ b/src/routing/request_authorization.hpp
@@ -31,8 +31,8 @@
   const calling::Identity* identify(ClientConnection& client, const http::Head& head, Instant now);
   // False where the request has been answered with a refusal.
   bool admit(ClientConnection& client, const calling::Identity& identity, unsigned request_class,
-             calling::AdmissionToken& token);
-  void release(const calling::AdmissionToken& token);
+             calling::QuotaHold& hold);
+  void release(const calling::QuotaHold& hold);
 
  private:
   static constexpr auto kReasons = calling::kRefusalCount;
--- a/src/routing/request_lifecycle.cpp
+++ b/src/routing/request_lifecycle.cpp
@@ -206,6 +206,7 @@
   }
 }
 
+// Past its deadline, or at the end of a graceful shutdown.
 void RequestLifecycle::fail_overdue(RequestId id) {
   context_.log("request overdue: answered with an error");
   if (ClientConnection* const client = take_client(id)) client->answer_plain(kGatewayTimeoutStatus);
--- a/src/routing/request_lifecycle.hpp
+++ b/src/routing/request_lifecycle.hpp
@@ -31,7 +31,7 @@
   std::uint64_t sticky_key = 0;  // 0: none, or keys do not bind
   std::string head;              // first line and header lines, but for the time left
   std::string body;
-  calling::AdmissionToken admission;
+  calling::QuotaHold admission;
   std::unique_ptr<MetadataRequest> metadata;  // null: not for a metadata file
 };
 
--- a/src/routing/request_parser.cpp
+++ b/src/routing/request_parser.cpp
@@ -76,7 +76,7 @@
   return parameters;
 }
 
-std::uint64_t sticky_key_of(const http::Head& head, bool sticky_sessions) {
+std::uint64_t request_key_of(const http::Head& head, bool sticky_sessions) {
   std::uint64_t key = 0;
   const auto session = sticky_sessions ? head.find(header::kSessionKey) : std::nullopt;
   // Decisions need only know a key again; 0 means none.
--- a/src/routing/service.cpp
+++ b/src/routing/service.cpp
@@ -119,7 +119,7 @@
   const auto& parameters = std::get<RequestParameters>(parsed);
   const Instant deadline = shutdown_.bound_deadline(now + parameters.time_left);
 
-  calling::AdmissionToken admission;
+  calling::QuotaHold admission;
   if (!authorization_.admit(client, *identity, parameters.request_class, admission)) return;
 
   if (!remember_id(head, now, deadline)) {
@@ -130,7 +130,7 @@
   RequestArrival arrival;
   arrival.request_class = parameters.request_class;
   arrival.tenant = tenant_of(head, *identity);
-  arrival.sticky_key = sticky_key_of(head, sticky_keys_);
+  arrival.sticky_key = request_key_of(head, sticky_keys_);
   arrival.deadline = deadline;
 
   AcceptedRequest accepted = make_accepted(client, request, *identity);
--- a/src/transport/connection.cpp
+++ b/src/transport/connection.cpp
@@ -239,7 +239,7 @@
   if (state_ == State::kHandshaking) return continue_handshake();
   if (state_ == State::kConnecting) return complete_connect();
   flush();
-  if (state_ == State::kOpen && !has_pending_output()) owner_.on_write_complete();
+  if (state_ == State::kOpen && !may_have_unwritten_output()) owner_.on_write_complete();
 }
 
 void Connection::flush() {
@@ -249,8 +249,8 @@
     if (result.status != IoResult::Status::kDone) return end();
     written_ += result.bytes;
   }
-  if (!has_pending_output()) clear_output();
-  watch(reading_, has_pending_output());
+  if (!may_have_unwritten_output()) clear_output();
+  watch(reading_, may_have_unwritten_output());
 }
 
 IoResult Connection::send(std::string_view bytes) {
@@ -279,6 +279,7 @@
 
 // The owner hears of it after the call at hand.
 void Connection::end(Failure failure) {
+  // `broken_` is set until the other side ends in order, which is no failure.
   if (broken_) failure_ = failure;
   state_ = State::kEnded;
   watch(false, false);
--- a/src/transport/connection.hpp
+++ b/src/transport/connection.hpp
@@ -68,7 +68,7 @@
   // Writes as much as can be at once, and the rest when the other side reads.
   void write(std::string_view bytes);
   // Was the connection never open, or is something left of what was to be written? Stands after the end, too.
-  bool has_pending_output() const { return !was_open_ || written_ < output_.size(); }
+  bool may_have_unwritten_output() const { return !was_open_ || written_ < output_.size(); }
   // Tells the other side that nothing more comes; reading goes on.
   void shutdown_write();
 
--- a/src/transport/handshake_scheduler.cpp
+++ b/src/transport/handshake_scheduler.cpp
@@ -16,15 +16,15 @@
 
 HandshakeScheduler::HandshakeScheduler(EventLoop& loop, const TlsSettings& settings)
     : loop_(loop),
-      budget_(settings.max_handshakes, settings.handshake_cpu_per_second, kMinSilenceBeforeEviction),
+      limiter_(settings.max_handshakes, settings.handshake_cpu_per_second, kMinSilenceBeforeEviction),
       resumption_(loop, [this] { resume_deferred(); }) {}
 
 void HandshakeScheduler::set_limits(const TlsSettings& settings) {
-  budget_.set_limits(settings.max_handshakes, settings.handshake_cpu_per_second);
+  limiter_.set_limits(settings.max_handshakes, settings.handshake_cpu_per_second);
 }
 
 std::optional<HandshakeScheduler::Id> HandshakeScheduler::admit() {
-  const calling::HandshakeLimiter::Started started = budget_.start(loop_.now());
+  const calling::HandshakeLimiter::Started started = limiter_.start(loop_.now());
   if (started.evicted != calling::HandshakeLimiter::kNone) {
     const auto evicted = streams_.find(started.evicted);
     if (evicted != streams_.end()) evicted->second->evict();
@@ -34,21 +34,21 @@
 }
 
 bool HandshakeScheduler::may_proceed(Id id) {
-  const bool may = budget_.may_continue(id, loop_.now());
+  const bool may = limiter_.may_continue(id, loop_.now());
   if (!may) schedule_resumption();
   return may;
 }
 
-void HandshakeScheduler::add_cpu_time(Span cpu_time) { budget_.record_cpu(cpu_time, loop_.now()); }
+void HandshakeScheduler::add_cpu_time(Span cpu_time) { limiter_.record_cpu(cpu_time, loop_.now()); }
 
 void HandshakeScheduler::finish(Id id) {
   streams_.erase(id);
-  budget_.finish(id);
+  limiter_.finish(id);
 }
 
 void HandshakeScheduler::resume_deferred() {
   for (;;) {
-    const Id id = budget_.next_waiting(loop_.now());
+    const Id id = limiter_.next_waiting(loop_.now());
     if (id == calling::HandshakeLimiter::kNone) break;
     const auto deferred = streams_.find(id);
     if (deferred != streams_.end()) deferred->second->resume_handshake();
@@ -57,8 +57,8 @@
 }
 
 void HandshakeScheduler::schedule_resumption() {
-  if (!budget_.any_waiting() || resumption_.armed()) return;
-  resumption_.in(std::max(kMinDeferral, budget_.wait(loop_.now())));
+  if (!limiter_.any_waiting() || resumption_.armed()) return;
+  resumption_.in(std::max(kMinDeferral, limiter_.wait(loop_.now())));
 }
 
 }  // namespace ashbeam
--- a/src/transport/handshake_scheduler.hpp
+++ b/src/transport/handshake_scheduler.hpp
@@ -33,14 +33,14 @@
   bool may_proceed(Id id);
   void add_cpu_time(Span cpu_time);
   void finish(Id id);
-  std::size_t in_progress() const { return budget_.in_progress(); }
+  std::size_t in_progress() const { return limiter_.in_progress(); }
 
  private:
   void resume_deferred();
   void schedule_resumption();
 
   EventLoop& loop_;
-  calling::HandshakeLimiter budget_;
+  calling::HandshakeLimiter limiter_;
   std::map<Id, TlsServerStream*> streams_;
   Timer resumption_;
 };
--- a/src/transport/listener.cpp
+++ b/src/transport/listener.cpp
@@ -50,7 +50,7 @@
   accepting_ = !on;
 }
 
-bool Listener::accept_waiting() {
+bool Listener::accept_all_waiting() {
   while (!closed_ && accepting_) {
     const int fd = ::accept4(socket_.impl()->sockfd(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (fd < 0 && concerns_one_connection(errno)) continue;
--- a/src/transport/listener.hpp
+++ b/src/transport/listener.hpp
@@ -25,12 +25,12 @@
   void pause(bool on);
   // Hands on all connections that the kernel has accepted already. False where it had to pause before the
   // last of them.
-  bool accept_waiting();
+  bool accept_all_waiting();
   void close();
   std::uint16_t port() const { return socket_.address().port(); }
 
  private:
-  void handle_readable(const Poco::AutoPtr<Poco::Net::ReadableNotification>&) { accept_waiting(); }
+  void handle_readable(const Poco::AutoPtr<Poco::Net::ReadableNotification>&) { accept_all_waiting(); }
 
   EventLoop& loop_;
   std::function<void(int fd)> on_accept_;
--- a/src/transport/tls_stream.hpp
+++ b/src/transport/tls_stream.hpp
@@ -31,7 +31,8 @@
 
   // Takes the handshake as far as it goes without blocking.
   virtual HandshakeStep handshake() = 0;
-  // Called when a deferred handshake may go on, and when it is to fail early; it may come unasked, too.
+  // `callback` says that handshake() is to be called again: a deferred one may go on, or one has been evicted
+  // and fails. It may come without a deferral.
   virtual void set_handshake_resume_callback(std::function<void()> callback) = 0;
   virtual IoResult receive(char* buffer, std::size_t size) = 0;
   virtual IoResult send(const char* bytes, std::size_t size) = 0;
--- a/tests/authorizer_test.cpp
+++ b/tests/authorizer_test.cpp
@@ -195,7 +195,7 @@
   fixture.settings.tenants[0].subject_limit = {10, 2, 0};
   fixture.authorizer.update_settings(fixture.settings, fixture.now);
   const std::string token = fixture.token();
-  AdmissionToken admission;
+  QuotaHold admission;
   Span retry_after;
   const auto admit = [&](unsigned request_class) {
     EXPECT_EQ(fixture.authenticate(token), Refusal::kNone);
@@ -226,7 +226,7 @@
   unsigned busy = 0;
   unsigned bad = 0;
   EXPECT_EQ(fixture.authenticate(fixture.token()), Refusal::kNone);
-  AdmissionToken admission;
+  QuotaHold admission;
   Span retry_after;
   EXPECT_EQ(fixture.authorizer.admit(fixture.identity, 0, fixture.now, admission, retry_after),
             Refusal::kNone);
@@ -277,7 +277,7 @@
     Credentials credentials;
     credentials.authorization = field;
     Identity identity;
-    AdmissionToken admission;
+    QuotaHold admission;
     Span retry_after;
     ASSERT_EQ(authorizer.authenticate(credentials, history, fixture.now, identity, retry_after),
               Refusal::kNone);
