--- a/Makefile
+++ b/Makefile
@@ -6,11 +6,13 @@
 	cmake -B build -DCMAKE_BUILD_TYPE=Release -DASHBEAM_STRICT=$${ASHBEAM_STRICT:-ON} && cmake --build build -j4
 test: build
 	tools/run_tests build
-# Formatting, who may include whom (tools/layers.txt), length of files, withdrawn words, clang-tidy (.clang-tidy).
+# Formatting, who may include whom (tools/layers.txt), length of files, withdrawn words, names that leave the process
+# (tools/external_names.txt), clang-tidy (.clang-tidy).
 lint: build
 	clang-format --dry-run -Werror $(shell find src tests proofs benches -name '*.?pp')
 	tools/lint_layers
 	tools/lint_words
+	tools/check_external_names
 	tools/lint_tidy build
 # With docs/example.json unless the variables say otherwise.
 run: build
