--- a/benches/calling.cpp
+++ b/benches/calling.cpp
@@ -25,18 +25,18 @@
 void quota_decision(benchmark::State& state) {
   const auto subjects = static_cast<std::uint32_t>(state.range(0));
   SubjectTable table(static_cast<std::size_t>(subjects));
-  const Rate subject_rate = Rate::per_router({5, 5, 4}, 2, 4, Span::s(10));
-  const Rate tenant_rate = Rate::per_router({1e6, 1e4, 0}, 8, 4, Span::s(10));
+  const Rate subject_rate = Rate::per_router({5, 5, 4}, 2, 4, Duration::s(10));
+  const Rate tenant_rate = Rate::per_router({1e6, 1e4, 0}, 8, 4, Duration::s(10));
   std::int64_t now_ns = nanoseconds_of(kBegin);
   Bucket tenant;
   tenant.start(now_ns, Bucket::kNever, Bucket::kNever);
   Pcg chance(3);
   std::uint64_t admitted = 0;
   for (std::uint32_t i = 0; i < subjects; ++i) table.find_or_insert(hash_of(i), kBegin);
-  std::uint64_t next = hash_of(chance.below(subjects));
+  std::uint64_t next = hash_of(chance.next_below(subjects));
   for (auto _ : state) {
     const std::uint64_t hash = next;
-    next = hash_of(chance.below(subjects));
+    next = hash_of(chance.next_below(subjects));
     table.prefetch(next);  // as the authorizer does between the token and the quota
     now_ns += 1000;
     const std::uint32_t slot = table.find_or_insert(hash, Instant::at_us(now_ns / 1000));
@@ -70,11 +70,11 @@
     fields.push_back("Bearer " + benchmark_token(entry.key, "s" + std::to_string(i), kBegin));
   ConnectionHistory history{true};
   Identity identity;
-  Span retry_after;
+  Duration retry_after;
   Instant now = kBegin;
   std::size_t at = 0;
   for (auto _ : state) {
-    now = now + Span::us(100);
+    now = now + Duration::us(100);
     at = (at + 1) % fields.size();
     Credentials credentials;
     credentials.authorization = fields[at];
--- a/benches/load.cpp
+++ b/benches/load.cpp
@@ -15,7 +15,7 @@
 constexpr int kEndpoints = 4;
 constexpr unsigned kMaxFailures = 200;
 constexpr unsigned kTimeLeftMs = 15'000;
-constexpr Span kStartTime = Span::ms(500);
+constexpr Duration kStartTime = Duration::ms(500);
 
 constexpr const char* kSettings = R"({
     "allowed":{"cancel":true,"connectTimeoutMs":250,"connIdleMs":20000,"maxAttempts":1},"discovery":"subscribe",
@@ -34,7 +34,7 @@
 
   // Returns the program's exit code.
   int run() {
-    next_request_.in(kStartTime);
+    next_request_.schedule_after(kStartTime);
     loop_.run();
     const RouterProcess::End end = router_.end(SIGTERM);
     std::printf("requests_served %u\n", served_);
@@ -48,7 +48,7 @@
     client_.send(look_request(sent_, kTimeLeftMs), [this](const fakes::Client::Answer& answer) {
       const bool served = answer.status == 200;
       ++(served ? served_ : failed_);
-      next_request_.in(served ? Span() : Span::ms(100));  // the router may not listen yet
+      next_request_.schedule_after(served ? Duration() : Duration::ms(100));  // the router may not listen yet
     });
   }
 
--- a/benches/policy.cpp
+++ b/benches/policy.cpp
@@ -14,9 +14,9 @@
 namespace ashbeam {
 
 constexpr unsigned kRouters = 300;
-constexpr Span kRequestDuration = Span::ms(100);
-constexpr Span kWakeupInterval = Span::ms(20);
-constexpr Span kClientTimeout = Span::ms(2400);
+constexpr Duration kRequestDuration = Duration::ms(100);
+constexpr Duration kWakeupInterval = Duration::ms(20);
+constexpr Duration kClientTimeout = Duration::ms(2400);
 constexpr std::uint64_t kPolicySeed = 7;
 constexpr std::uint64_t kWakeupToken = 1;
 
@@ -37,17 +37,17 @@
     policy->begin_endpoint_update(true);
     for (EndpointIndex i = 0; i < endpoints; ++i) policy->update_endpoint(listed_endpoint(i));
     policy->end_endpoint_update();
-    policy->on_release_state({2, 1, ReleasePhase::kCanary, 0.3, Span()});
+    policy->on_release_state({2, 1, ReleasePhase::kCanary, 0.3, Duration()});
   }
 
   void send_attempt(RequestId, EndpointIndex chosen) override {
     sent = true;
     endpoint = chosen;
   }
-  void reject(RequestId, Span) override {}
+  void reject(RequestId, Duration) override {}
   void fail(RequestId) override {}
   void cancel_attempt(RequestId, unsigned) override {}
-  void schedule_wakeup(Span, std::uint64_t) override {}
+  void schedule_wakeup(Duration, std::uint64_t) override {}
   void watch_endpoints() override {}
   void cast_vote(ReleaseVersion, unsigned, Vote) override {}
   void log(std::string_view) override {}
@@ -56,7 +56,7 @@
   // A start in the future keeps an endpoint cold.
   EndpointUpdate listed_endpoint(EndpointIndex index) const {
     const ReleaseVersion version = index % 10 == 0 ? 2 : 1;
-    const Instant started_at = index % 20 == 0 ? now + Span::s(3600) : Instant();
+    const Instant started_at = index % 20 == 0 ? now + Duration::s(3600) : Instant();
     return {index, EndpointState::kReady, version, index % 2, index / 8, index / 2 % 2, started_at};
   }
 };
--- a/benches/router_process.hpp
+++ b/benches/router_process.hpp
@@ -27,7 +27,7 @@
     for (int i = 0; i < endpoint_count; ++i) {
       endpoints_.push_back(
           std::make_unique<fakes::Endpoint>(loop, limits, [](const http::Head&, const std::string&) {
-            return fakes::EndpointAnswer{200, Span(), false, "ok\n"};
+            return fakes::EndpointAnswer{200, Duration(), false, "ok\n"};
           }));
       discovery_.put(
           {"h" + std::to_string(i), endpoints_.back()->address(), fakes::ListedState::kUp, 1, Instant()});
--- a/benches/router_under_load.cpp
+++ b/benches/router_under_load.cpp
@@ -14,7 +14,7 @@
 
 constexpr unsigned kEndpoints = 4;
 constexpr unsigned kClients = 16;
-constexpr Span kCpuReadInterval = Span::ms(2);
+constexpr Duration kCpuReadInterval = Duration::ms(2);
 
 constexpr const char* kConfiguration = R"({"seed":"7","release_api":{"address":"127.0.0.1:1"},"settings":{
   "allowed":{"cancel":true,"connectTimeoutMs":250,"connIdleMs":20000,"maxAttempts":2,"retryAfter":true,
@@ -93,7 +93,7 @@
     endpoints_.push_back(
         std::make_unique<fakes::Endpoint>(loop_, limits_, [](const http::Head&, const std::string&) {
           fakes::EndpointAnswer served;
-          served.delay = Span();
+          served.delay = Duration();
           return served;
         }));
   }
@@ -107,7 +107,7 @@
 
 void RouterUnderLoad::add_clients() {
   for (unsigned i = 0; i < kClients; ++i)
-    identities_.push_back(authority_.issue("shop", "c" + std::to_string(i), Span::s(3600)));
+    identities_.push_back(authority_.issue("shop", "c" + std::to_string(i), Duration::s(3600)));
   const std::string address = "127.0.0.1:" + std::to_string(port_);
   for (const fakes::Identity& identity : identities_) {
     std::shared_ptr<fakes::ClientTls> tls;
@@ -129,9 +129,9 @@
   Timer read_cpu(loop, [&] {
     if (stopping_) return loop.stop();
     cpu_us_ = thread_cpu_us();
-    read_cpu.in(kCpuReadInterval);
+    read_cpu.schedule_after(kCpuReadInterval);
   });
-  read_cpu.in(Span());
+  read_cpu.schedule_after(Duration());
   loop.run();
 }
 
@@ -141,7 +141,7 @@
     tls.listen = "127.0.0.1:0";
     tls.client_certificates = TlsSettings::ClientCertificates::kOptional;
     tls.handshake_cpu_per_second = 1;
-    const fakes::Identity server = authority_.issue("", "router", Span::s(3600), true);
+    const fakes::Identity server = authority_.issue("", "router", Duration::s(3600), true);
     const TlsFiles files{server.certificate_pem, server.key_pem, authority_.pem(), "", ""};
     service.listen_with_tls(tls, std::make_shared<TlsCredentials>(tls, files));
   }
@@ -159,7 +159,7 @@
   const std::int64_t cpu_before_us = cpu_us_;
   const Instant begin = loop_.now();
   Timer end(loop_, [this] { loop_.stop(); });
-  end.in(Span::s(seconds));
+  end.schedule_after(Duration::s(seconds));
   loop_.run();
   result_.cpu_us = cpu_us_ - cpu_before_us;
   result_.seconds = (loop_.now() - begin).s();
--- a/benches/throughput.cpp
+++ b/benches/throughput.cpp
@@ -19,9 +19,9 @@
 
 constexpr const char* kListen = "127.0.0.1:9188";
 constexpr int kEndpoints = 8;
-constexpr Span kStartTime = Span::s(1);  // the router starts, and connections are made
+constexpr Duration kStartTime = Duration::s(1);  // the router starts, and connections are made
 constexpr unsigned kTimeLeftMs = 2000;
-constexpr Span kRetryDelay = Span::ms(20);
+constexpr Duration kRetryDelay = Duration::ms(20);
 
 constexpr const char* kSettings = R"({
     "allowed":{"cancel":true,"connectTimeoutMs":250,"connIdleMs":20000,"maxAttempts":4},"discovery":"subscribe",
@@ -50,7 +50,7 @@
 
   // Returns the program's exit code.
   int run() {
-    begin_timer_.in(kStartTime);
+    begin_timer_.schedule_after(kStartTime);
     loop_.run();
     print(router_.end(SIGKILL).used);
     return latencies_ms_.empty() ? 1 : 0;
@@ -59,7 +59,7 @@
  private:
   void begin() {
     for (std::size_t i = 0; i < clients_.size(); ++i) send_request(i);
-    end_timer_.in(Span::s(seconds_));
+    end_timer_.schedule_after(Duration::s(seconds_));
   }
 
   void send_request(std::size_t client) {
@@ -69,7 +69,7 @@
                              const bool served = answer.status == 200;
                              if (served) latencies_ms_.push_back((loop_.now() - sent).ms());
                              else ++not_served_;
-                             next_request_[client]->in(served ? Span() : kRetryDelay);
+                             next_request_[client]->schedule_after(served ? Duration() : kRetryDelay);
                            });
   }
 
--- a/proofs/access_load.cpp
+++ b/proofs/access_load.cpp
@@ -17,12 +17,12 @@
 constexpr unsigned kEndpoints = 4;
 constexpr unsigned kClients = 32;
 constexpr unsigned kMaxAttempts = 3;
-constexpr Span kRotationInterval = Span::s(2);
-constexpr Span kRevocationInterval = Span::ms(400);
-constexpr Span kRevokedClientLifetime = Span::s(5);  // after its revocation
-constexpr Span kTokenLifetime = Span::s(5);
-constexpr Span kTokenRenewal = Span::s(3);
-constexpr Span kLongestAnswer = Span::s(2);
+constexpr Duration kRotationInterval = Duration::s(2);
+constexpr Duration kRevocationInterval = Duration::ms(400);
+constexpr Duration kRevokedClientLifetime = Duration::s(5);  // after its revocation
+constexpr Duration kTokenLifetime = Duration::s(5);
+constexpr Duration kTokenRenewal = Duration::s(3);
+constexpr Duration kLongestAnswer = Duration::s(2);
 constexpr double kKeptListedS = 4;  // two rotations
 
 bool has_certificate(ProofKind kind) {
@@ -82,11 +82,11 @@
 
 AccessCounts AccessLoad::run() {
   add_clients();
-  flood_begin_timer_.in(Span::s(proof_.seconds / 3));
-  flood_end_timer_.in(Span::s(proof_.seconds * 2 / 3));
-  rotate_timer_.in(kRotationInterval);
-  revoke_timer_.in(Span::ms(300));
-  end_timer_.in(Span::s(proof_.seconds));
+  flood_begin_timer_.schedule_after(Duration::s(proof_.seconds / 3));
+  flood_end_timer_.schedule_after(Duration::s(proof_.seconds * 2 / 3));
+  rotate_timer_.schedule_after(kRotationInterval);
+  revoke_timer_.schedule_after(Duration::ms(300));
+  end_timer_.schedule_after(Duration::s(proof_.seconds));
   loop_.run();
   for (const auto& client : clients_) {
     counts_.answered_twice += client->client->unexpected();
@@ -98,7 +98,7 @@
 
 fakes::EndpointAnswer AccessLoad::serve(const http::Head& head) {
   fakes::EndpointAnswer served;
-  served.delay = Span::ms(10 + chance_.below(10));
+  served.delay = Duration::ms(10 + chance_.next_below(10));
   const bool is_unsafe = head.target().starts_with("/pay");
   if (is_unsafe && !unsafe_ids_run_.insert(std::string(*head.find("X-Correlation-Id"))).second)
     ++counts_.duplicates;
@@ -114,9 +114,9 @@
   for (unsigned i = 0; i < kClients; ++i) {
     auto client = std::make_unique<ProvenClient>(*this, kKinds[i % 4], "caller" + std::to_string(i));
     if (has_certificate(client->kind))
-      client->identity = files_.authority.issue("shop", client->subject, Span::s(3600));
+      client->identity = files_.authority.issue("shop", client->subject, Duration::s(3600));
     connect(*client, i % 8 >= 4);
-    client->timer.in(Span::ms(10 + 3 * i));
+    client->timer.schedule_after(Duration::ms(10 + 3 * i));
     clients_.push_back(std::move(client));
   }
 }
@@ -136,18 +136,18 @@
   const ProofKind kind = number % 2 == 0 ? ProofKind::kRevokedCertificate : ProofKind::kRevokedKey;
   auto client = std::make_unique<ProvenClient>(*this, kind, std::to_string(number));
   if (kind == ProofKind::kRevokedCertificate) {
-    client->identity = files_.authority.issue("shop", "doomed", Span::s(3600));
+    client->identity = files_.authority.issue("shop", "doomed", Duration::s(3600));
   } else {
     tokens::KeyEntry entry;
     entry.kid = revoked_kid(client->subject);
     entry.key = tokens::Key::generate(tokens::Algorithm::kEdDsa);
     listed_keys_.insert(listed_keys_.begin(), entry);
-    client->token = sign(entry, *client, Span::s(3600));
+    client->token = sign(entry, *client, Duration::s(3600));
     client->renew_token_at = Instant::never();
     files_.write_keys(listed_keys_);
   }
   connect(*client, number % 4 == 0);
-  client->timer.in(Span::ms(250));  // by then its key is known
+  client->timer.schedule_after(Duration::ms(250));  // by then its key is known
   clients_.push_back(std::move(client));
 }
 
@@ -156,7 +156,7 @@
 // The next key is listed one rotation before it signs; the one before retires, and is taken off the list two
 // rotations later, some of them at once: the ring must then remember it.
 void AccessLoad::rotate_keys() {
-  rotate_timer_.in(kRotationInterval);
+  rotate_timer_.schedule_after(kRotationInterval);
   const double now_s = static_cast<double>(loop_.now().us()) / 1e6;
   if (!listed_keys_.empty()) signing_key_ = listed_keys_.back();
   for (tokens::KeyEntry& entry : listed_keys_) {
@@ -179,7 +179,7 @@
 
 // Now a certificate, now a key, each of a client that has just begun to be served.
 void AccessLoad::revoke() {
-  revoke_timer_.in(kRevocationInterval);
+  revoke_timer_.schedule_after(kRevocationInterval);
   revoke_newest();
   forget_revoked();
   add_client_to_revoke();
@@ -218,7 +218,7 @@
     const auto& revocation = client->revocation;
     if (!revocation || revocation->in_force_us == 0) return false;
     if (revocation->written_at >= now - kRevokedClientLifetime || client->client->busy()) return false;
-    const Span took = Instant::at_us(revocation->in_force_us) - revocation->written_at;
+    const Duration took = Instant::at_us(revocation->in_force_us) - revocation->written_at;
     counts_.max_in_force_ms = std::max(counts_.max_in_force_ms, took.ms());
     std::erase_if(listed_keys_,
                   [&](const tokens::KeyEntry& entry) { return entry.kid == revoked_kid(client->subject); });
@@ -226,7 +226,7 @@
   });
 }
 
-std::string AccessLoad::sign(const tokens::KeyEntry& signer, const ProvenClient& client, Span lifetime) {
+std::string AccessLoad::sign(const tokens::KeyEntry& signer, const ProvenClient& client, Duration lifetime) {
   const std::int64_t now_s = loop_.now().us() / 1'000'000;
   std::string claims = R"({"aud":"ashbeam","tenant":"shop","sub":")" + client.subject + R"(","iat":)" +
                        std::to_string(now_s) + R"(,"exp":)" +
@@ -240,7 +240,7 @@
 
 void AccessLoad::begin_request(ProvenClient& client) {
   const Instant now = loop_.now();
-  client.timer.in(Span::ms(30 + chance_.below(30)));
+  client.timer.schedule_after(Duration::ms(30 + chance_.next_below(30)));
   if (client.client->busy()) return;
   const bool renews = client.kind == ProofKind::kToken || client.kind == ProofKind::kBoundToken;
   if (renews && client.renew_token_at < now) {
@@ -256,7 +256,7 @@
 }
 
 void AccessLoad::send(ProvenClient& client) {
-  const bool is_unsafe = chance_.below(4) == 0;
+  const bool is_unsafe = chance_.next_below(4) == 0;
   std::string fields = " HTTP/1.1\r\nHost: p\r\nX-Account: shop\r\nX-Correlation-Id: " + client.request_id +
                        "\r\nX-Time-Left-Ms: 1500\r\n";
   if (!client.token.empty()) fields += "Authorization: Bearer " + client.token + "\r\n";
@@ -275,7 +275,7 @@
   } else if (is_revoked_kind(client.kind)) {
     if (client.sent_when_revoked) ++(served ? counts_.revoked_served : counts_.revoked_refused);
     // So that new handshakes and resumed sessions are tried, too.
-    if (chance_.below(3) == 0) client.client->disconnect();
+    if (chance_.next_below(3) == 0) client.client->disconnect();
   } else {
     take_valid_answer(client, answer);
   }
@@ -285,7 +285,7 @@
   if (answer.status == 200) {
     if (client.client->resumed()) ++counts_.resumed;
     (flooding() ? counts_.flood_ms : counts_.calm_ms).push_back((loop_.now() - client.sent_at).ms());
-    if (chance_.below(20) == 0) client.client->disconnect();
+    if (chance_.next_below(20) == 0) client.client->disconnect();
     return;
   }
   if (answer.status == 0) {  // closed as the request crossed it: once more, on a new connection
--- a/proofs/access_load.hpp
+++ b/proofs/access_load.hpp
@@ -86,7 +86,7 @@
   void revoke_newest();
   void forget_revoked();
   void note_revocation(ProvenClient& client);
-  std::string sign(const tokens::KeyEntry& signer, const ProvenClient& client, Span lifetime);
+  std::string sign(const tokens::KeyEntry& signer, const ProvenClient& client, Duration lifetime);
 
   void begin_request(ProvenClient& client);
   void send(ProvenClient& client);
--- a/proofs/corrupted_metadata.hpp
+++ b/proofs/corrupted_metadata.hpp
@@ -12,25 +12,25 @@
 
 // Changes one place in a file; may leave it as it was.
 inline void corrupt(std::string& bytes, Pcg& random) {
-  const std::size_t at = random.below(static_cast<std::uint32_t>(bytes.size()));
-  switch (random.below(6)) {
+  const std::size_t at = random.next_below(static_cast<std::uint32_t>(bytes.size()));
+  switch (random.next_below(6)) {
     case 0:
-      bytes[at] = static_cast<char>(bytes[at] ^ (1 << random.below(8)));
+      bytes[at] = static_cast<char>(bytes[at] ^ (1 << random.next_below(8)));
       break;
     case 1:
       bytes.resize(at);
       break;
     case 2:
-      bytes.insert(at, 1, static_cast<char>(random.below(256)));
+      bytes.insert(at, 1, static_cast<char>(random.next_below(256)));
       break;
     case 3:
-      bytes.erase(at, 1 + random.below(8));
+      bytes.erase(at, 1 + random.next_below(8));
       break;
     case 4:
       bytes += bytes.substr(at);
       break;
     default:
-      bytes.replace(at, 1, std::to_string(random.below(100)));
+      bytes.replace(at, 1, std::to_string(random.next_below(100)));
       break;
   }
 }
@@ -45,7 +45,7 @@
 // No corrupted file may be accepted, but for changes outside of what is signed.
 inline void check_corrupted_files(Proof& proof, std::uint64_t tries) {
   const Instant now = Instant::at_us(1'800'000'000'000'000);
-  Publisher publisher(now + Span::s(86400));
+  Publisher publisher(now + Duration::s(86400));
   publisher.list_hashes = false;  // or the listed hash would catch most of it before the signature does
   publisher.contents["targets"]["app"] = "1";
   const std::string timestamp = publisher.timestamp();
@@ -58,7 +58,7 @@
   std::uint64_t accepted = 0;
   std::uint64_t harmless = 0;
   for (std::uint64_t i = 0; i < tries; ++i) {
-    const unsigned role = random.below(3);
+    const unsigned role = random.next_below(3);
     const std::string& file = role == 0 ? timestamp : role == 1 ? snapshot : targets;
     std::string bytes = file;
     corrupt(bytes, random);
--- a/proofs/discovery_queue.cpp
+++ b/proofs/discovery_queue.cpp
@@ -18,12 +18,12 @@
 namespace {
 
 constexpr Instant kBegin = Instant::at_us(0);
-constexpr Span kCallTimeout = Span::s(2);
-constexpr Span kOutage = Span::s(8);
-constexpr Span kEnd = Span::s(60);
-constexpr Span kUsualWait = Span::s(3);
-constexpr Span kLease = Span::ms(6550);  // with a grace of 1 s
-constexpr Span kRetryDelayAfterOutage = Span::ms(450);
+constexpr Duration kCallTimeout = Duration::s(2);
+constexpr Duration kOutage = Duration::s(8);
+constexpr Duration kEnd = Duration::s(60);
+constexpr Duration kUsualWait = Duration::s(3);
+constexpr Duration kLease = Duration::ms(6550);  // with a grace of 1 s
+constexpr Duration kRetryDelayAfterOutage = Duration::ms(450);
 
 enum class CallEventKind { kCall, kFailure };
 
@@ -44,8 +44,8 @@
 struct QueueSettings {
   std::vector<Instant> starts;  // when each router may first call
   Instant discovery_back;       // discovery is away until then
-  Span service_time;            // of a call
-  Span max_first_delay;         // a router's first call comes within that
+  Duration service_time;        // of a call
+  Duration max_first_delay;     // a router's first call comes within that
 };
 
 class DiscoveryQueue {
@@ -56,7 +56,7 @@
 
   Outcome run() {
     for (unsigned router = 0; router < settings_.starts.size(); ++router)
-      schedule_call(settings_.starts[router] + settings_.max_first_delay * random_.unit(), router);
+      schedule_call(settings_.starts[router] + settings_.max_first_delay * random_.next_double(), router);
     while (!events_.empty() && events_.top().at < kBegin + kEnd) {
       const CallEvent event = events_.top();
       events_.pop();
@@ -77,7 +77,7 @@
   void schedule_call(Instant at, unsigned router) { events_.push({at, router, CallEventKind::kCall}); }
 
   void on_failure(const CallEvent& event) {
-    const Span wait = pacing_[event.router].wait_after_failure(random_.unit());
+    const Duration wait = pacing_[event.router].wait_after_failure(random_.next_double());
     schedule_call(event.at + wait, event.router);
   }
 
@@ -105,10 +105,10 @@
   Outcome outcome_;
 };
 
-Span max_initial_poll_delay(unsigned routers) {
+Duration max_initial_poll_delay(unsigned routers) {
   RouterSettings settings;
   settings.router_count = routers;
-  settings.endpoint_poll_interval = Span::s(10);
+  settings.endpoint_poll_interval = Duration::s(10);
   return limits_for(1024, WireSettings{}, settings).max_initial_poll_delay;
 }
 
@@ -128,8 +128,8 @@
 // `all_take_s`: how long the service takes for a call of each router.
 void play(Proof& proof, unsigned routers, double all_take_s) {
   constexpr double kSingleCallS = 0.02;
-  const Instant restart = kBegin + Span::s(10);
-  const Instant discovery_back = restart - Span::ms(2500);
+  const Instant restart = kBegin + Duration::s(10);
+  const Instant discovery_back = restart - Duration::ms(2500);
   const Instant outage_begin = discovery_back - kOutage;
   // Where all take longer than the lease runs, not all can have a list in time.
   const double max_late_share = all_take_s < kLease.s() ? 0.3 : 0.8;
@@ -138,7 +138,7 @@
 
   QueueSettings settings;
   settings.discovery_back = discovery_back;
-  settings.service_time = Span::s(routers == 1 ? kSingleCallS : all_take_s / routers);
+  settings.service_time = Duration::s(routers == 1 ? kSingleCallS : all_take_s / routers);
   settings.max_first_delay = max_initial_poll_delay(routers);
   settings.starts.assign(routers, restart);
   std::fill(settings.starts.begin() + routers * 7 / 10, settings.starts.end(), outage_begin);
--- a/proofs/fleet.cpp
+++ b/proofs/fleet.cpp
@@ -9,16 +9,16 @@
 namespace ashbeam {
 namespace {
 
-constexpr Span kReleaseDuration = Span::s(24);
+constexpr Duration kReleaseDuration = Duration::s(24);
 constexpr unsigned kReleaseRouters = 200;
 constexpr unsigned kReleaseEndpoints = 80;
 
 void run_faults(Proof& proof) {
   FleetCounts counts;
-  const Span duration = Span::s(proof.seconds);
+  const Duration duration = Duration::s(proof.seconds);
   Fleet({350, 120, proof.seed}, counts).run(duration);
   Fleet({300, 60, proof.seed + 1}, counts).run(duration);
-  Fleet({1024, 1024, proof.seed + 2}, counts).run(Span::s(1));  // neither has a limit
+  Fleet({1024, 1024, proof.seed + 2}, counts).run(Duration::s(1));  // neither has a limit
   proof.figure("hits_asked", counts.requests);
   proof.at_least("hits_served_part", counts.answered / counts.requests, 0.4);
   proof.figure("routers_started_anew", counts.routers_restarted);
--- a/proofs/fleet/fleet.cpp
+++ b/proofs/fleet/fleet.cpp
@@ -11,14 +11,14 @@
 
 constexpr double kLoad = 0.6;         // requests, as a part of what all endpoints can do
 constexpr double kQuotaShare = 0.85;  // the tenants' quotas, likewise
-constexpr Span kStep = Span::ms(5);
-constexpr Span kNoticeDelay = Span::ms(1);
-constexpr Span kVoteAnswerDelay = Span::ms(90);
-constexpr Span kReleaseOffered = Span::s(3);
-constexpr Span kZoneLost = Span::s(3);
-constexpr Span kZoneRestored = Span::s(7);
-constexpr Span kColdRestart = Span::s(9);
-constexpr Span kDrain = Span::s(11);
+constexpr Duration kStep = Duration::ms(5);
+constexpr Duration kNoticeDelay = Duration::ms(1);
+constexpr Duration kVoteAnswerDelay = Duration::ms(90);
+constexpr Duration kReleaseOffered = Duration::s(3);
+constexpr Duration kZoneLost = Duration::s(3);
+constexpr Duration kZoneRestored = Duration::s(7);
+constexpr Duration kColdRestart = Duration::s(9);
+constexpr Duration kDrain = Duration::s(11);
 constexpr unsigned kLostZone = 1;
 constexpr unsigned kClientRetries = 3;
 
@@ -30,17 +30,17 @@
   capacity_per_s_ = create_endpoints() * 1000 / kMeanWorkMs;
   settings_ = fleet_settings(fleet.routers, kQuotaShare * capacity_per_s_);
   if (release_ != FleetRelease::kNone) {
-    settings_.bake_time = Span::ms(1200);
+    settings_.bake_time = Duration::ms(1200);
     settings_.platform_calls_per_s = fleet.routers / 4.0;
   }
   share_out_traffic();
   for (SimulatedRouter& router : routers_) start_router(router);
 }
 
-void Fleet::run(Span duration) {
+void Fleet::run(Duration duration) {
   const Instant begin = now_;
   for (; now_ - begin < duration; now_ = now_ + kStep) {
-    const Span elapsed = now_ - begin;
+    const Duration elapsed = now_ - begin;
     if (release_ == FleetRelease::kNone) {
       run_faults(elapsed);
     } else if (elapsed >= kReleaseOffered) {
@@ -63,8 +63,9 @@
     const bool released_later = release_ != FleetRelease::kNone && i >= endpoints_.size() / 2;
     const bool canary_all_along = release_ == FleetRelease::kNone && i % 12 == 5;
     endpoint.zone = i % 2;
-    endpoint.machine_type = released_later ? random_.below(2) : i / 2 % 2;
-    endpoint.cores = (endpoint.machine_type == 0 ? kLargeCores : kSmallCores) * (0.85 + 0.3 * random_.unit());
+    endpoint.machine_type = released_later ? random_.next_below(2) : i / 2 % 2;
+    endpoint.cores =
+        (endpoint.machine_type == 0 ? kLargeCores : kSmallCores) * (0.85 + 0.3 * random_.next_double());
     if (released_later || canary_all_along) endpoint.version = kCanaryVersion;
     endpoint.deployed = !released_later;
     endpoint.up = !released_later;
@@ -80,7 +81,7 @@
     SimulatedRouter& router = routers_[i];
     router.network = this;
     router.index = i;
-    router.requests_per_s = i % 4 == 3 ? 4 : 0.5 + random_.unit();
+    router.requests_per_s = i % 4 == 3 ? 4 : 0.5 + random_.next_double();
     weights += router.requests_per_s;
   }
   for (SimulatedRouter& router : routers_) router.requests_per_s *= kLoad * capacity_per_s_ / weights;
@@ -104,17 +105,17 @@
   router.policy->end_endpoint_update();
   if (release_ == FleetRelease::kNone) {
     router.policy->on_release_state(
-        {kCanaryVersion, 0, ReleasePhase::kCanary, settings_.exposure_caps[0], Span::s(4)});
+        {kCanaryVersion, 0, ReleasePhase::kCanary, settings_.exposure_caps[0], Duration::s(4)});
   } else {
-    router.policy->on_release_state({kStableVersion, 2, ReleasePhase::kReleased, 1, Span::s(60)});
+    router.policy->on_release_state({kStableVersion, 2, ReleasePhase::kReleased, 1, Duration::s(60)});
   }
 }
 
 // ---- Faults ----
 
-void Fleet::run_faults(Span elapsed) {
+void Fleet::run_faults(Duration elapsed) {
   struct ScheduledFault {
-    Span at;
+    Duration at;
     Fault fault;
   };
   static constexpr ScheduledFault kFaults[] = {{kZoneLost, &Fleet::lose_zone},
@@ -174,9 +175,10 @@
 // Each router is notified on its own: most soon, some late.
 void Fleet::notify_endpoint(EndpointIndex endpoint) {
   for (const SimulatedRouter& router : routers_) {
-    const double usual_delay_ms = 250 + 1100 * random_.unit();
-    const double late_by_ms = random_.below(20) == 0 ? 3000 : 0;
-    events_.schedule(now_ + Span::ms(usual_delay_ms + late_by_ms), EndpointNotice{router.index, endpoint});
+    const double usual_delay_ms = 250 + 1100 * random_.next_double();
+    const double late_by_ms = random_.next_below(20) == 0 ? 3000 : 0;
+    events_.schedule(now_ + Duration::ms(usual_delay_ms + late_by_ms),
+                     EndpointNotice{router.index, endpoint});
   }
 }
 
@@ -184,7 +186,7 @@
 
 void Fleet::notify_release_state() {
   for (const SimulatedRouter& router : routers_) {
-    const Span delay = Span::ms(200 + 700 * random_.unit());
+    const Duration delay = Duration::ms(200 + 700 * random_.next_double());
     events_.schedule(now_ + delay, ReleaseStateNotice{router.process()});
   }
 }
@@ -194,13 +196,13 @@
     events_.schedule(now_ + kNoticeDelay, OutcomeSampleNotice{router.process()});
 }
 
-Span Fleet::start_canary_endpoints(double fraction) {
+Duration Fleet::start_canary_endpoints(double fraction) {
   const auto first = static_cast<EndpointIndex>(endpoints_.size() / 2);
   const auto wanted = static_cast<unsigned>(std::lround(fraction * first));
-  Span last_start;
+  Duration last_start;
   for (EndpointIndex i = first; i < first + wanted; ++i) {
     if (endpoints_[i].deployed) continue;
-    const Span start_delay = Span::ms(1200 + 1100 * random_.unit());
+    const Duration start_delay = Duration::ms(1200 + 1100 * random_.next_double());
     last_start = std::max(last_start, start_delay);
     events_.schedule(now_ + start_delay, EndpointStarted{i});
   }
@@ -225,14 +227,14 @@
     // The load balancer before the routers spreads a lost router's clients over the others.
     const double lost_routers_factor = zone_lost_ ? 2 : 1;
     const double per_s = router.policy ? router.requests_per_s * lost_routers_factor : 0;
-    router.requests_due += per_s * kStep.s() * 2 * random_.unit();
+    router.requests_due += per_s * kStep.s() * 2 * random_.next_double();
     for (; router.requests_due >= 1; router.requests_due -= 1) send_request(router, kClientRetries);
   }
 }
 
 void Fleet::send_request(SimulatedRouter& router, unsigned client_retries) {
   const auto id = static_cast<RequestId>(router.requests.size());
-  const unsigned request_class = random_.below(kRequestClasses);
+  const unsigned request_class = random_.next_below(kRequestClasses);
   const Instant deadline = now_ + settings_.request_classes[0].client_timeout;
   router.requests.push_back({request_class, client_retries, deadline, false, {}});
   router.requests_at[request_class].push_back(now_);
@@ -241,15 +243,16 @@
   router.policy->on_request({id, request_class, 0, 0, deadline});
 }
 
-void Fleet::end_request(SimulatedRouter& router, RequestId id, Span retry_after) {
+void Fleet::end_request(SimulatedRouter& router, RequestId id, Duration retry_after) {
   SimulatedRequest& request = router.requests[id];
   if (request.done) ++counts_.repeated_answers;
   if (now_ > request.deadline) ++counts_.missing_answers;
   request.done = true;
   if (request.client_retries == 0) return;
   // Some clients honour Retry-After, some retry at once.
-  const bool honours_retry_after = random_.below(2) == 0;
-  const Span wait = honours_retry_after ? retry_after + Span::ms(30) : Span::ms(30 + 200 * random_.unit());
+  const bool honours_retry_after = random_.next_below(2) == 0;
+  const Duration wait =
+      honours_retry_after ? retry_after + Duration::ms(30) : Duration::ms(30 + 200 * random_.next_double());
   events_.schedule(now_ + wait, ClientRetry{router.process(), request.client_retries - 1});
 }
 
--- a/proofs/fleet/fleet.hpp
+++ b/proofs/fleet/fleet.hpp
@@ -31,7 +31,7 @@
   Fleet(const Fleet&) = delete;
   Fleet& operator=(const Fleet&) = delete;
   // Runs it for a simulated time. To be called once.
-  void run(Span duration);
+  void run(Duration duration);
 
  private:
   using Fault = void (Fleet::*)();
@@ -46,7 +46,7 @@
   void start_router(SimulatedRouter& router);
 
   // Faults, without a release.
-  void run_faults(Span elapsed);
+  void run_faults(Duration elapsed);
   void lose_zone();
   void restore_zone();
   void restart_cold_endpoints();
@@ -81,13 +81,13 @@
 
   void send_attempt(SimulatedRouter& router, RequestId id, EndpointIndex index) override;
   void cancel_attempt(SimulatedRouter& router, RequestId request, unsigned attempt) override;
-  void end_request(SimulatedRouter& router, RequestId id, Span retry_after) override;
-  void schedule_wakeup(SimulatedRouter& router, Span delay, std::uint64_t token) override;
+  void end_request(SimulatedRouter& router, RequestId id, Duration retry_after) override;
+  void schedule_wakeup(SimulatedRouter& router, Duration delay, std::uint64_t token) override;
   void cast_vote(SimulatedRouter& router, unsigned stage, Vote vote) override;
 
   void notify_release_state() override;
   void notify_outcome_samples() override;
-  Span start_canary_endpoints(double fraction) override;
+  Duration start_canary_endpoints(double fraction) override;
   void drain_canary_endpoints() override;
 
   const FleetRelease release_;
--- a/proofs/fleet/fleet_attempts.cpp
+++ b/proofs/fleet/fleet_attempts.cpp
@@ -9,10 +9,10 @@
 namespace ashbeam {
 namespace {
 
-constexpr Span kNetworkDelay = Span::ms(1);
-constexpr Span kConnectTimeout = Span::ms(250);
-constexpr Span kCancelDelay = Span::ms(5);
-constexpr Span kMaxQueue = Span::s(2);  // an endpoint rejects what would wait longer
+constexpr Duration kNetworkDelay = Duration::ms(1);
+constexpr Duration kConnectTimeout = Duration::ms(250);
+constexpr Duration kCancelDelay = Duration::ms(5);
+constexpr Duration kMaxQueue = Duration::s(2);  // an endpoint rejects what would wait longer
 constexpr unsigned kUnsafeClass = 2;
 constexpr unsigned kBadReleaseErrorOneIn = 3;
 constexpr unsigned kSampledOneIn = 10;
@@ -65,16 +65,16 @@
 }
 
 Fleet::SimulatedAnswer Fleet::serve(SimulatedEndpoint& endpoint, const SimulatedRequest& request) {
-  const double work_ms = -std::log(1 - random_.unit()) * kMeanWorkMs;
+  const double work_ms = -std::log(1 - random_.next_double()) * kMeanWorkMs;
   endpoint.add_work(now_, work_ms, settings_);
   const bool cold = endpoint.cold(now_, settings_);
   if (cold) count_cold_load(endpoint);
   const Instant queue_end = endpoint.enqueue(now_, work_ms, settings_);
-  const Instant end = std::max(queue_end, now_ + Span::ms(work_ms)) + kNetworkDelay;
+  const Instant end = std::max(queue_end, now_ + Duration::ms(work_ms)) + kNetworkDelay;
   const AttemptResult result = attempt_result(endpoint, end, request.deadline);
   if (cold && result == AttemptResult::kOk && !std::exchange(endpoint.answered_since_cold, true))
     ++counts_.cold_answered;
-  if (random_.below(kSampledOneIn) == 0)
+  if (random_.next_below(kSampledOneIn) == 0)
     platform_.count_outcome(endpoint.version, request.request_class, result != AttemptResult::kOk);
   const bool rejected = result == AttemptResult::kRejected;
   return {rejected ? now_ + kNetworkDelay * 2 : std::min(end, request.deadline), result};
@@ -91,7 +91,7 @@
 AttemptResult Fleet::attempt_result(const SimulatedEndpoint& endpoint, Instant end, Instant deadline) {
   AttemptResult result = end < deadline ? AttemptResult::kOk : AttemptResult::kTimeout;
   const bool bad_version = release_ == FleetRelease::kBad && endpoint.version == kCanaryVersion;
-  if (bad_version && random_.below(kBadReleaseErrorOneIn) == 0) {
+  if (bad_version && random_.next_below(kBadReleaseErrorOneIn) == 0) {
     result = AttemptResult::kError;
     ++counts_.canary_errors;
   }
@@ -104,7 +104,7 @@
                    AttemptEnded{router.process(), request, attempt, AttemptResult::kCancelled});
 }
 
-void Fleet::schedule_wakeup(SimulatedRouter& router, Span delay, std::uint64_t token) {
+void Fleet::schedule_wakeup(SimulatedRouter& router, Duration delay, std::uint64_t token) {
   events_.schedule(now_ + delay, Wakeup{router.process(), token});
 }
 
--- a/proofs/fleet/fleet_settings.hpp
+++ b/proofs/fleet/fleet_settings.hpp
@@ -6,7 +6,7 @@
 namespace ashbeam {
 
 inline RequestClass fleet_request_class(Idempotency idempotency) {
-  return {idempotency, IdempotencyScope::kZone, Span::ms(700), Span::ms(2400), Span::s(5), 1, 0};
+  return {idempotency, IdempotencyScope::kZone, Duration::ms(700), Duration::ms(2400), Duration::s(5), 1, 0};
 }
 
 // `quota_per_s`: requests a second within the tenants' quotas, all routers together.
@@ -21,21 +21,21 @@
   settings.router_count = routers;
   settings.may_cancel = true;
   settings.may_send_retry_after = true;
-  settings.max_retry_after = Span::s(2);
+  settings.max_retry_after = Duration::s(2);
   settings.max_attempts = 4;
-  settings.drain_grace = Span::s(1);
-  settings.slow_start_window = Span::s(1);
-  settings.slow_start_duration = Span::s(3);
-  settings.clock_tick = Span::ms(1);
+  settings.drain_grace = Duration::s(1);
+  settings.slow_start_window = Duration::s(1);
+  settings.slow_start_duration = Duration::s(3);
+  settings.clock_tick = Duration::ms(1);
   settings.initial_capacity = 0.33;
   settings.cross_zone_cost = 0.08;
   settings.exposure_caps = {0.1, 0.4, 1.0};
   settings.stage_fractions = {0.08, 0.25, 1.0};
   settings.exposure_per_class = true;
   settings.exposure_allowance = 2;
-  settings.exposure_window = Span::s(2);
-  settings.vote_ttl = Span::s(10);
-  settings.bake_time = Span::s(2);
+  settings.exposure_window = Duration::s(2);
+  settings.vote_ttl = Duration::s(10);
+  settings.bake_time = Duration::s(2);
   settings.abort_votes_needed = routers / 6;
   settings.platform_calls_per_s = 16;
   return settings;
--- a/proofs/fleet/simulated_endpoint.cpp
+++ b/proofs/fleet/simulated_endpoint.cpp
@@ -39,7 +39,7 @@
 }
 
 Instant SimulatedEndpoint::enqueue(Instant now, double work_ms, const RouterSettings& settings) {
-  free_at_ = std::max(free_at_, now) + Span::ms(work_ms / (cores * capacity(now, settings)));
+  free_at_ = std::max(free_at_, now) + Duration::ms(work_ms / (cores * capacity(now, settings)));
   return free_at_;
 }
 
--- a/proofs/fleet/simulated_platform.cpp
+++ b/proofs/fleet/simulated_platform.cpp
@@ -8,12 +8,12 @@
 namespace ashbeam {
 namespace {
 
-constexpr Span kSampleInterval = Span::s(2);
-constexpr Span kBakeMargin = Span::s(1);  // after the stage's last endpoint is up
+constexpr Duration kSampleInterval = Duration::s(2);
+constexpr Duration kBakeMargin = Duration::s(1);  // after the stage's last endpoint is up
 
 }  // namespace
 
-void SimulatedPlatform::run(Instant now, Span step) {
+void SimulatedPlatform::run(Instant now, Duration step) {
   if (offered_at_ == Instant()) {
     offered_at_ = now;
     begin_stage(0, now);
@@ -35,7 +35,7 @@
   stage_ = stage;
   stage_began_at_ = now;
   actions_.notify_release_state();
-  const Span last_start = actions_.start_canary_endpoints(settings_.stage_fractions[stage]);
+  const Duration last_start = actions_.start_canary_endpoints(settings_.stage_fractions[stage]);
   bake_began_at_ = now + last_start + kBakeMargin;
 }
 
--- a/proofs/fleet/simulated_platform.hpp
+++ b/proofs/fleet/simulated_platform.hpp
@@ -20,7 +20,7 @@
   virtual void notify_release_state() = 0;
   virtual void notify_outcome_samples() = 0;
   // Starts canary endpoints until they are this part of all; returns when the last one will be up.
-  virtual Span start_canary_endpoints(double fraction) = 0;
+  virtual Duration start_canary_endpoints(double fraction) = 0;
   virtual void drain_canary_endpoints() = 0;
 };
 
@@ -32,7 +32,7 @@
       : settings_(settings), counts_(counts), actions_(actions), votes_(routers) {}
 
   // `step`: the time since the call before.
-  void run(Instant now, Span step);
+  void run(Instant now, Duration step);
   VoteOutcome receive_vote(unsigned router, unsigned stage, Vote vote, Instant now);
   ReleaseState release_state(Instant now) const;
   void count_outcome(ReleaseVersion version, unsigned request_class, bool failed);
--- a/proofs/fleet/simulated_router.hpp
+++ b/proofs/fleet/simulated_router.hpp
@@ -22,8 +22,8 @@
   virtual void send_attempt(SimulatedRouter& router, RequestId request, EndpointIndex endpoint) = 0;
   virtual void cancel_attempt(SimulatedRouter& router, RequestId request, unsigned attempt) = 0;
   // The router answers the request itself. `retry_after` may be zero.
-  virtual void end_request(SimulatedRouter& router, RequestId request, Span retry_after) = 0;
-  virtual void schedule_wakeup(SimulatedRouter& router, Span delay, std::uint64_t token) = 0;
+  virtual void end_request(SimulatedRouter& router, RequestId request, Duration retry_after) = 0;
+  virtual void schedule_wakeup(SimulatedRouter& router, Duration delay, std::uint64_t token) = 0;
   virtual void cast_vote(SimulatedRouter& router, unsigned stage, Vote vote) = 0;
 };
 
@@ -69,14 +69,14 @@
   void send_attempt(RequestId request, EndpointIndex endpoint) override {
     network->send_attempt(*this, request, endpoint);
   }
-  void reject(RequestId request, Span retry_after) override {
+  void reject(RequestId request, Duration retry_after) override {
     network->end_request(*this, request, retry_after);
   }
-  void fail(RequestId request) override { network->end_request(*this, request, Span()); }
+  void fail(RequestId request) override { network->end_request(*this, request, Duration()); }
   void cancel_attempt(RequestId request, unsigned attempt) override {
     network->cancel_attempt(*this, request, attempt);
   }
-  void schedule_wakeup(Span delay, std::uint64_t token) override {
+  void schedule_wakeup(Duration delay, std::uint64_t token) override {
     network->schedule_wakeup(*this, delay, token);
   }
   void watch_endpoints() override {}
--- a/proofs/metadata.cpp
+++ b/proofs/metadata.cpp
@@ -25,7 +25,7 @@
 constexpr unsigned kEndpoints = 6;
 constexpr unsigned kBadEndpoints = 2;
 constexpr unsigned kClients = 24;
-constexpr Span kLag = Span::s(2);
+constexpr Duration kLag = Duration::s(2);
 const std::string kPrefix = "/look/u/";
 
 // ---- Through a router ----
@@ -100,7 +100,7 @@
 class FaultTest {
  public:
   explicit FaultTest(Proof& proof)
-      : proof_(proof), random_(proof.seed), repository_(loop_.now() + Span::s(86400), kEndpoints),
+      : proof_(proof), random_(proof.seed), repository_(loop_.now() + Duration::s(86400), kEndpoints),
         surroundings_(loop_, limits_), publish_(loop_, [this] { publish(); }),
         end_(loop_, [this] { loop_.stop(); }) {
     for (unsigned i = 0; i < kEndpoints; ++i) {
@@ -115,14 +115,14 @@
     begin_ = loop_.now();
     for (unsigned i = 0; i < kClients; ++i) {
       clients_.push_back(std::make_unique<UpdatingClient>(*this));
-      clients_.back()->timer.in(Span::ms(20 + 7 * i));
+      clients_.back()->timer.schedule_after(Duration::ms(20 + 7 * i));
     }
-    publish_.in(Span::ms(700));
-    end_.in(Span::s(proof_.seconds));
+    publish_.schedule_after(Duration::ms(700));
+    end_.schedule_after(Duration::s(proof_.seconds));
     loop_.run();
     for (const auto& client : clients_) {
       counts_.repeated_answers += client->connection.unexpected();
-      const bool overdue = client->connection.busy() && loop_.now() - client->requested_at > Span::s(3);
+      const bool overdue = client->connection.busy() && loop_.now() - client->requested_at > Duration::s(3);
       if (overdue) ++counts_.missing_answers;
     }
     counts_.published = repository_.published();
@@ -152,9 +152,9 @@
 
   void publish() {
     constexpr std::size_t kMaxVersions = 4000;
-    publish_.in(Span::ms(600 + random_.below(300)));
+    publish_.schedule_after(Duration::ms(600 + random_.next_below(300)));
     repository_.publish();
-    if (repository_.published() + 1 > kMaxVersions) publish_.off();
+    if (repository_.published() + 1 > kMaxVersions) publish_.cancel();
     replicate(repository_.published());
   }
 
@@ -162,7 +162,7 @@
   void replicate(std::size_t version) {
     for (unsigned i = 0; i < kEndpoints; ++i) {
       auto timer = std::make_shared<Timer>(loop_, [this, i, version] { repository_.replicate(i, version); });
-      timer->in(Span::ms(random_.below(400)));
+      timer->schedule_after(Duration::ms(random_.next_below(400)));
       replications_.push_back(timer);
     }
     if (replications_.size() > 200) replications_.erase(replications_.begin(), replications_.begin() + 100);
@@ -170,7 +170,7 @@
 
   fakes::EndpointAnswer serve(unsigned endpoint, const http::Head& head) {
     fakes::EndpointAnswer answer;
-    answer.delay = Span::ms(2 + random_.below(4));
+    answer.delay = Duration::ms(2 + random_.next_below(4));
     const std::string path(head.target());
     const std::string name = path.substr(kPrefix.size());
     const std::string* const file = repository_.find(endpoint, name);
@@ -179,7 +179,7 @@
       return answer;
     }
     answer.body = *file;
-    if (!serves_bad_files() || endpoint >= kBadEndpoints || random_.below(2) == 0) return answer;
+    if (!serves_bad_files() || endpoint >= kBadEndpoints || random_.next_below(2) == 0) return answer;
     ++counts_.bad_files;
     repository_.spoil(name, answer.body, loop_.now(), random_);
     return answer;
@@ -188,7 +188,7 @@
   // ---- Clients ----
 
   void request_next(UpdatingClient& client) {
-    if (client.connection.busy()) return client.timer.in(Span::ms(20));
+    if (client.connection.busy()) return client.timer.schedule_after(Duration::ms(20));
     client.file = file_name(client.step, client.trust);
     client.requested_at = loop_.now();
     client.retried = false;
@@ -204,7 +204,7 @@
   }
 
   void on_answer(UpdatingClient& client, const fakes::Client::Answer& answer) {
-    client.timer.in(Span::ms(10 + random_.below(20)));
+    client.timer.schedule_after(Duration::ms(10 + random_.next_below(20)));
     if (answer.status == 0) return on_no_answer(client);
     if (answer.status == 200) return on_file(client, answer.message->raw_body());
     if (answer.status == 404 && client.step == UpdateStep::kRoot) {
--- a/proofs/operator_files.hpp
+++ b/proofs/operator_files.hpp
@@ -21,7 +21,7 @@
     if (!::mkdtemp(name)) throw std::runtime_error("no folder can be made");
     folder_ = name;
     ::mkdir(path("keys").c_str(), 0755);
-    const fakes::Identity server = authority.issue("", "router", Span::s(86400), true);
+    const fakes::Identity server = authority.issue("", "router", Duration::s(86400), true);
     write_file(path("chain.pem"), server.certificate_pem, 0644);
     write_file(path("key.pem"), server.key_pem, 0600);
     write_file(path("ca.pem"), authority.pem(), 0644);
--- a/proofs/quota_simulation.cpp
+++ b/proofs/quota_simulation.cpp
@@ -19,7 +19,7 @@
 constexpr double kBurst = 4;
 constexpr double kRoutersPerSubject = 2;
 constexpr double kPeakFactor = 4;
-constexpr Span kBank = Span::s(10);
+constexpr Duration kBank = Duration::s(10);
 constexpr unsigned kCheatsRouters = 50;  // that a cheating subject is on at once
 constexpr double kDealS = 15;            // how long a subject stays on its routers
 constexpr double kStepS = 0.02;
@@ -48,7 +48,7 @@
     const double requests_per_s = settings_.subjects * kLimitPerS * (0.5 * 3 + 0.5 * 0.5);
     double due = 0;
     for (double t = 0; t < settings_.seconds; t += kStepS) {
-      const Instant now = kBegin + Span::s(t);
+      const Instant now = kBegin + Duration::s(t);
       send_waiting(now);
       for (due += requests_per_s * kStepS; due >= 1; due -= 1) send_random(t, now);
       send_cheating(now);
@@ -138,22 +138,22 @@
   }
 
   void send_random(double t, Instant now) {
-    unsigned subject = chance_.below(settings_.subjects / 2) * 2;
-    if (chance_.below(7) == 0) subject += 1;  // 3 : 0.5
+    unsigned subject = chance_.next_below(settings_.subjects / 2) * 2;
+    if (chance_.next_below(7) == 0) subject += 1;  // 3 : 0.5
     if (cheats(subject)) return;
-    const unsigned router = router_of(subject, chance_.below(2), t);
+    const unsigned router = router_of(subject, chance_.next_below(2), t);
     ++sent_;
     const std::int64_t wait_ns = send(subject, router, now);
     // One in twenty comes back when it was told to, the others give up.
-    if (wait_ns > 0 && chance_.below(20) == 0)
+    if (wait_ns > 0 && chance_.next_below(20) == 0)
       retries_[((now - kBegin).us() + wait_ns / 1000) / 1000 + 1].push_back({subject, router});
   }
 
   // Ten times their limit each.
   void send_cheating(Instant now) {
     for (unsigned subject = 7; subject < settings_.subjects; subject += 1000) {
-      if (chance_.unit() < kLimitPerS * 10 * kStepS)
-        send(subject, router_of(subject, chance_.below(kCheatsRouters), 0), now);
+      if (chance_.next_double() < kLimitPerS * 10 * kStepS)
+        send(subject, router_of(subject, chance_.next_below(kCheatsRouters), 0), now);
     }
   }
 
--- a/proofs/replicated_repository.hpp
+++ b/proofs/replicated_repository.hpp
@@ -62,7 +62,7 @@
   }
 
   void spoil(const std::string& name, std::string& body, Instant now, Pcg& random) const {
-    switch (random.below(5)) {
+    switch (random.next_below(5)) {
       case 0:  // truncated
         body.resize(body.size() / 2);
         break;
@@ -75,7 +75,7 @@
         body = name == "timestamp.json" ? versions_[0].at(name) : body + " {}";
         break;
       case 3:  // another publisher's
-        body = Publisher(now + Span::s(900)).timestamp();
+        body = Publisher(now + Duration::s(900)).timestamp();
         break;
       default:  // rolled back, or another role's
         body = versions_[versions_.size() / 2].at("timestamp.json");
--- a/proofs/soak.cpp
+++ b/proofs/soak.cpp
@@ -30,15 +30,15 @@
 constexpr int kServers = 6;
 constexpr int kFewRouters = 3;
 constexpr int kManyRouters = 12;
-constexpr Span kGrace = Span::s(1);
-constexpr Span kSlack = Span::ms(50);
-constexpr Span kNotifiedWithin = Span::s(6);
-constexpr Span kTimeLeft = Span::ms(1500);
-constexpr Span kLateAllowed = Span::ms(500);
-constexpr Span kKilledAfterStop = Span::ms(2200);  // the longest deadline and 0.7 s
-constexpr Span kServiceTime = Span::ms(400);       // discovery's, for a call: many routers take 5 s of it
-constexpr Span kIdleMayCross = Span::ms(300);      // after a stop, a close may cross a request
-constexpr Span kFirstFault = Span::s(7);           // each router has its first list by then
+constexpr Duration kGrace = Duration::s(1);
+constexpr Duration kSlack = Duration::ms(50);
+constexpr Duration kNotifiedWithin = Duration::s(6);
+constexpr Duration kTimeLeft = Duration::ms(1500);
+constexpr Duration kLateAllowed = Duration::ms(500);
+constexpr Duration kKilledAfterStop = Duration::ms(2200);  // the longest deadline and 0.7 s
+constexpr Duration kServiceTime = Duration::ms(400);   // discovery's, for a call: many routers take 5 s of it
+constexpr Duration kIdleMayCross = Duration::ms(300);  // after a stop, a close may cross a request
+constexpr Duration kFirstFault = Duration::s(7);       // each router has its first list by then
 
 const char* const kSettings = R"(,"settings":{
   "allowed":{"cancel":true,"connectTimeoutMs":250,"connIdleMs":20000,"maxAttempts":3},"discovery":"subscribe",
@@ -98,8 +98,8 @@
     const bool unsafe = head.method() == "POST" && !head.find("Idempotency-Key");
     const bool runs = !draining_;
     on_request_(*this, id, unsafe, runs);
-    if (runs) return {200, Span(), false, id};
-    return {503, Span(), false, "", "X-Unprocessed: 1\r\n"};
+    if (runs) return {200, Duration(), false, id};
+    return {503, Duration(), false, "", "X-Unprocessed: 1\r\n"};
   }
 
   EventLoop& loop_;
@@ -144,8 +144,8 @@
     step_clock(0);
     for (int r = 0; r < routers; ++r) prepare(r);
     for (auto& router : routers_) start(*router);
-    end_.in(Span::s(proof.seconds));
-    fault_timer_.in(kFirstFault);
+    end_.schedule_after(Duration::s(proof.seconds));
+    fault_timer_.schedule_after(kFirstFault);
     loop_.run();
   }
   ~Soak() {
@@ -170,7 +170,7 @@
     routers_.push_back(std::move(router));
     configure(*routers_.back());
     Router& at = *routers_.back();
-    for (int c = 0; c < clients; ++c) send_later(at, c, Span::s(1));
+    for (int c = 0; c < clients; ++c) send_later(at, c, Duration::s(1));
   }
   void configure(const Router& router) {  // with the list as it stands now: it may be old when it is read
     std::ofstream(router.path) << R"({"seed":")" << std::hex << (seed_ * 97 + chance_.next()) << std::dec
@@ -212,7 +212,7 @@
     ::waitpid(router.pid, nullptr, 0);
     router.pid = -1;
   }
-  void kill_and_start(Router& router, Span away) {
+  void kill_and_start(Router& router, Duration away) {
     kill(router);
     configure(router);
     router.signalled_at = loop_.now();
@@ -223,56 +223,57 @@
     router.stopping = true;
     router.signalled_at = loop_.now();
     ::kill(router.pid, SIGTERM);
-    after(kKilledAfterStop, [this, &router] { kill_and_start(router, Span::ms(300)); });
+    after(kKilledAfterStop, [this, &router] { kill_and_start(router, Duration::ms(300)); });
   }
 
   // ---- Faults ----
 
   void inject_next_fault() {
-    fault_timer_.in(Span::s(6 + 6 * chance_.unit()));
-    switch (chance_.below(6)) {
+    fault_timer_.schedule_after(Duration::s(6 + 6 * chance_.next_double()));
+    switch (chance_.next_below(6)) {
       case 0:
       case 1:
         return outage_and_kills();
       case 2:
         return rolling_restart();
       case 3:
-        step_clock(chance_.below(2) == 0 ? 3600 : -3600);
-        return drain_all(Span());
+        step_clock(chance_.next_below(2) == 0 ? 3600 : -3600);
+        return drain_all(Duration());
       case 4:
         discovery_->silence_watches();
-        return drain_all(Span::ms(500));
+        return drain_all(Duration::ms(500));
       default:
         discovery_->set_stall_fraction(0.5);
-        drain_all(Span());
-        return after(Span::s(3), [this] { discovery_->set_stall_fraction(0); });
+        drain_all(Duration());
+        return after(Duration::s(3), [this] { discovery_->set_stall_fraction(0); });
     }
   }
   // An outage ends, most routers are killed, and all servers drain while those start anew.
   void outage_and_kills() {
     discovery_->set_available(false);
-    const Span outage = Span::s(3 + 4 * chance_.unit());
+    const Duration outage = Duration::s(3 + 4 * chance_.next_double());
     after(outage, [this] { discovery_->set_available(true); });
-    after(outage + Span::ms(500), [this] {
+    after(outage + Duration::ms(500), [this] {
       for (auto& router : routers_) {
-        if (chance_.unit() < 0.7 && !router->stopping) kill_and_start(*router, Span::s(0.5 + chance_.unit()));
+        if (chance_.next_double() < 0.7 && !router->stopping)
+          kill_and_start(*router, Duration::s(0.5 + chance_.next_double()));
       }
     });
-    drain_all(outage + Span::s(chance_.unit()));
+    drain_all(outage + Duration::s(chance_.next_double()));
   }
   void rolling_restart() {
-    Span wait;
+    Duration wait;
     for (auto& router : routers_) {
       after(wait, [this, &router] {
         for (int i = 0; i < 3 && router->pid > 0; ++i) ::kill(router->pid, SIGHUP);
         stop(*router);
       });
-      wait = wait + Span::ms(700);
+      wait = wait + Duration::ms(700);
     }
-    drain_all(Span::s(1));
+    drain_all(Duration::s(1));
   }
   // Half of the servers, with the life of each: it drains, ends, starts again, and is listed again later.
-  void drain_all(Span wait) {
+  void drain_all(Duration wait) {
     after(wait, [this] {
       std::vector<Server*> draining;
       for (auto& server : servers_) {
@@ -282,14 +283,14 @@
       std::rotate(servers_.begin(), servers_.begin() + kServers / 2, servers_.end());
       for (Server* server : draining) server->drain();
       list(draining, ListedState::kDraining);
-      after(Span::ms(1500), [draining] {
+      after(Duration::ms(1500), [draining] {
         for (Server* server : draining) server->stop();
       });
-      after(Span::s(2), [this, draining] { list(draining, ListedState::kRemoved); });
-      after(Span::s(4), [draining] {
+      after(Duration::s(2), [this, draining] { list(draining, ListedState::kRemoved); });
+      after(Duration::s(4), [draining] {
         for (Server* server : draining) server->start();
       });
-      after(Span::s(10), [this, draining] { list(draining, ListedState::kUp); });
+      after(Duration::s(10), [this, draining] { list(draining, ListedState::kUp); });
     });
   }
   void list(const std::vector<Server*>& servers, ListedState state) {
@@ -306,19 +307,19 @@
     list(all, state);
   }
   void step_clock(int seconds) { std::ofstream(step_file_) << seconds; }
-  void after(Span wait, std::function<void()> what) {
+  void after(Duration wait, std::function<void()> what) {
     timers_.push_back(std::make_unique<Timer>(loop_, std::move(what)));
-    timers_.back()->in(wait);
+    timers_.back()->schedule_after(wait);
   }
 
   // ---- Clients ----
 
-  void send_later(Router& router, int client, Span wait) {
+  void send_later(Router& router, int client, Duration wait) {
     after(wait, [this, &router, client] { send(router, client); });
   }
   void send(Router& router, int c) {
     fakes::Client& client = *router.clients[static_cast<std::size_t>(c)];
-    const bool unsafe = chance_.below(3) == 0;
+    const bool unsafe = chance_.next_below(3) == 0;
     const std::string id = "r" + std::to_string(router.number) + "-" + std::to_string(++ids_);
     const std::string fields = "Host: o\r\nX-Account: shop\r\nX-Correlation-Id: " + id +
                                "\r\nX-Time-Left-Ms: " + std::to_string(static_cast<int>(kTimeLeft.ms())) +
@@ -330,7 +331,7 @@
     ++tally_.sent;
     client.send(request, [this, &router, c, id, unsafe, sent, pid](const fakes::Client::Answer& answer) {
       on_answer(router, pid, id, unsafe, sent, answer);
-      send_later(router, c, Span::ms(answer.status == 200 ? 25 : 100));
+      send_later(router, c, Duration::ms(answer.status == 200 ? 25 : 100));
     });
   }
   void on_answer(const Router& router, pid_t pid, const std::string& id, bool unsafe, Instant sent,
@@ -342,7 +343,7 @@
       const bool stopping =
           router.stopping && loop_.now() - router.signalled_at < kKilledAfterStop + kIdleMayCross;
       if (!answer.request_written || !same_process) return;
-      if (stopping || loop_.now() - sent < Span::ms(5)) return void(++tally_.crossed_a_close);
+      if (stopping || loop_.now() - sent < Duration::ms(5)) return void(++tally_.crossed_a_close);
       ++tally_.lost;
       std::printf("lost: %s after %.0f ms\n", id.c_str(), (loop_.now() - sent).ms());
       return;
--- a/proofs/token_flood.cpp
+++ b/proofs/token_flood.cpp
@@ -35,25 +35,25 @@
                                R"(","iat":1700000000,"exp":)" + expires + "}");
     unsigned_tokens_.push_back(token.substr(0, token.rfind('.') + 1));
     senders.push_back(std::make_unique<Sender>(*this, limits, loop));
-    senders.back()->timer.in(Span::ms(chance_.below(20)));
+    senders.back()->timer.schedule_after(Duration::ms(chance_.next_below(20)));
   }
   Timer stop_check(loop, [&] {
     if (stopping_) return loop.stop();
-    stop_check.in(Span::ms(10));
+    stop_check.schedule_after(Duration::ms(10));
   });
-  stop_check.in(Span());
+  stop_check.schedule_after(Duration());
   loop.run();
 }
 
 std::string TokenFlood::bad_token() {
   std::string noise(tokens::kSignatureBytes, '\0');
-  for (char& byte : noise) byte = static_cast<char>(chance_.below(256));
+  for (char& byte : noise) byte = static_cast<char>(chance_.next_below(256));
   const auto count = static_cast<std::uint32_t>(unsigned_tokens_.size());
-  return unsigned_tokens_[chance_.below(count)] + tokens::encode_base64url(noise);
+  return unsigned_tokens_[chance_.next_below(count)] + tokens::encode_base64url(noise);
 }
 
 void TokenFlood::send(Sender& sender) {
-  sender.timer.in(Span::ms(15 + chance_.below(18)));
+  sender.timer.schedule_after(Duration::ms(15 + chance_.next_below(18)));
   if (sender.client.busy()) return;
   const std::string token = bad_token();
   ++result_.sent;
--- a/src/base/detail_log.hpp
+++ b/src/base/detail_log.hpp
@@ -30,14 +30,14 @@
     if (contains("requests")) on_ |= bit_of(LogTopic::kRequests);
   }
   // Is any topic on?
-  bool on() const { return on_ != 0; }
-  bool on(LogTopic topic) const { return (on_ & bit_of(topic)) != 0; }
+  bool is_enabled() const { return on_ != 0; }
+  bool is_enabled(LogTopic topic) const { return (on_ & bit_of(topic)) != 0; }
 
   // printf-style; a line is cut off at kMaxLineBytes. Lines past kMaxLinesPerSecond are counted, and the
   // count is written once the second is over.
   template <class... Figures>
-  void line(LogTopic topic, Instant now, const char* format, Figures... figures) {
-    if (!on(topic) || !admit(now)) return;
+  void write_line(LogTopic topic, Instant now, const char* format, Figures... figures) {
+    if (!is_enabled(topic) || !admit(now)) return;
     char text[kMaxLineBytes];
     const int length = std::snprintf(text, sizeof text, format, figures...);
     write_({text, static_cast<std::size_t>(std::clamp(length, 0, kMaxLineBytes - 1))});
@@ -50,7 +50,7 @@
   static constexpr std::uint8_t bit_of(LogTopic topic) { return static_cast<std::uint8_t>(topic); }
 
   bool admit(Instant now) {
-    if (now - second_began_ >= Span::s(1)) {
+    if (now - second_began_ >= Duration::s(1)) {
       if (left_out_ > 0) write_("detail: " + std::to_string(left_out_) + " lines left out");
       second_began_ = now;
       written_ = 0;
--- a/src/base/lru_map.hpp
+++ b/src/base/lru_map.hpp
@@ -24,7 +24,7 @@
 
   // Adds a default value as the most recently used entry. The key must not be there yet.
   Index insert(std::uint64_t key) {
-    const Index index = entries_.take();
+    const Index index = entries_.allocate();
     entries_[index].key = key;
     index_of_.put(key, index);
     link_most_recent(index);
@@ -43,7 +43,7 @@
     unlink(index);
     index_of_.erase(entries_[index].key);
     if constexpr (!std::is_trivially_destructible_v<Value>) entries_[index].value = Value{};
-    entries_.give_back(index);
+    entries_.deallocate(index);
   }
 
   Value& operator[](Index index) { return entries_[index].value; }
--- a/src/base/pcg.hpp
+++ b/src/base/pcg.hpp
@@ -14,10 +14,10 @@
     const auto turn = static_cast<std::uint32_t>(old >> 59U);
     return (word >> turn) | (word << ((32U - turn) & 31U));
   }
-  std::uint32_t below(std::uint32_t n) {  // 0 .. n-1; n > 0
+  std::uint32_t next_below(std::uint32_t n) {  // 0 .. n-1; n > 0
     return static_cast<std::uint32_t>((static_cast<std::uint64_t>(next()) * n) >> 32U);
   }
-  double unit() { return next() / 4294967296.0; }
+  double next_double() { return next() / 4294967296.0; }
 
  private:
   static constexpr std::uint64_t kStep = 1442695040888963407ULL;
--- a/src/base/slab.hpp
+++ b/src/base/slab.hpp
@@ -8,7 +8,7 @@
 template <class T>
 class Slab {
  public:
-  std::uint32_t take() {
+  std::uint32_t allocate() {
     if (free_.empty()) {
       all_.emplace_back();
       free_.reserve(all_.capacity());
@@ -19,9 +19,9 @@
     all_[place] = T{};
     return place;
   }
-  void give_back(std::uint32_t place) { free_.push_back(place); }
+  void deallocate(std::uint32_t place) { free_.push_back(place); }
   T& operator[](std::uint32_t place) { return all_[place]; }
-  std::uint32_t places() const { return static_cast<std::uint32_t>(all_.size()); }
+  std::uint32_t slot_count() const { return static_cast<std::uint32_t>(all_.size()); }
 
  private:
   std::vector<T> all_;
--- a/src/base/time.hpp
+++ b/src/base/time.hpp
@@ -6,28 +6,28 @@
 
 namespace ashbeam {
 
-class Span {
+class Duration {
  public:
-  constexpr Span() = default;
-  static constexpr Span us(std::int64_t n) { return Span(n); }
-  static constexpr Span ms(double n) { return Span(static_cast<std::int64_t>(n * 1e3)); }
-  static constexpr Span s(double n) { return Span(static_cast<std::int64_t>(n * 1e6)); }
+  constexpr Duration() = default;
+  static constexpr Duration us(std::int64_t n) { return Duration(n); }
+  static constexpr Duration ms(double n) { return Duration(static_cast<std::int64_t>(n * 1e3)); }
+  static constexpr Duration s(double n) { return Duration(static_cast<std::int64_t>(n * 1e6)); }
   constexpr std::int64_t us() const { return us_; }
   constexpr double ms() const { return static_cast<double>(us_) / 1e3; }
   constexpr double s() const { return static_cast<double>(us_) / 1e6; }
   // NOLINTNEXTLINE(modernize-use-nullptr): a false positive of clang-tidy 14 on defaulted comparisons
-  constexpr auto operator<=>(const Span&) const = default;
-  friend constexpr Span operator+(Span a, Span b) { return Span(a.us_ + b.us_); }
-  friend constexpr Span operator-(Span a, Span b) { return Span(a.us_ - b.us_); }
-  friend constexpr Span operator*(Span a, double k) {
-    return Span(static_cast<std::int64_t>(static_cast<double>(a.us_) * k));
+  constexpr auto operator<=>(const Duration&) const = default;
+  friend constexpr Duration operator+(Duration a, Duration b) { return Duration(a.us_ + b.us_); }
+  friend constexpr Duration operator-(Duration a, Duration b) { return Duration(a.us_ - b.us_); }
+  friend constexpr Duration operator*(Duration a, double k) {
+    return Duration(static_cast<std::int64_t>(static_cast<double>(a.us_) * k));
   }
-  friend constexpr double operator/(Span a, Span b) {
+  friend constexpr double operator/(Duration a, Duration b) {
     return static_cast<double>(a.us_) / static_cast<double>(b.us_);
   }
 
  private:
-  constexpr explicit Span(std::int64_t us) : us_(us) {}
+  constexpr explicit Duration(std::int64_t us) : us_(us) {}
   std::int64_t us_ = 0;
 };
 
@@ -45,9 +45,9 @@
   constexpr std::int64_t us() const { return us_; }
   // NOLINTNEXTLINE(modernize-use-nullptr): a false positive of clang-tidy 14 on defaulted comparisons
   constexpr auto operator<=>(const Instant&) const = default;
-  friend constexpr Instant operator+(Instant a, Span b) { return Instant(a.us_ + b.us()); }
-  friend constexpr Instant operator-(Instant a, Span b) { return Instant(a.us_ - b.us()); }
-  friend constexpr Span operator-(Instant a, Instant b) { return Span::us(a.us_ - b.us_); }
+  friend constexpr Instant operator+(Instant a, Duration b) { return Instant(a.us_ + b.us()); }
+  friend constexpr Instant operator-(Instant a, Duration b) { return Instant(a.us_ - b.us()); }
+  friend constexpr Duration operator-(Instant a, Instant b) { return Duration::us(a.us_ - b.us_); }
 
  private:
   constexpr explicit Instant(std::int64_t us) : us_(us) {}
--- a/src/base/wide_pages.hpp
+++ b/src/base/wide_pages.hpp
@@ -10,11 +10,11 @@
 namespace ashbeam {
 
 template <class T>
-struct WidePages {
+struct HugePageAllocator {
   using value_type = T;
-  WidePages() = default;
+  HugePageAllocator() = default;
   template <class U>
-  explicit WidePages(const WidePages<U>&) {}
+  explicit HugePageAllocator(const HugePageAllocator<U>&) {}
 
   T* allocate(std::size_t count) {
     const std::size_t bytes = count * sizeof(T);
@@ -24,7 +24,7 @@
     return static_cast<T*>(block);
   }
   void deallocate(T* block, std::size_t count) { ::operator delete(block, alignment_of(count * sizeof(T))); }
-  bool operator==(const WidePages&) const = default;
+  bool operator==(const HugePageAllocator&) const = default;
 
  private:
   static constexpr std::size_t kHugePageBytes = std::size_t{2} * 1024 * 1024;
--- a/src/calling/authorizer.cpp
+++ b/src/calling/authorizer.cpp
@@ -12,11 +12,11 @@
 namespace {
 
 constexpr std::size_t kRefusedTokenSlots = 1024;
-constexpr Span kRefusedTokenRetention = Span::s(10);
+constexpr Duration kRefusedTokenRetention = Duration::s(10);
 constexpr std::size_t kKnownSubjectSlots = 4096;
 constexpr double kKnownSubjectVerificationsPerS = 2;
 constexpr double kKnownSubjectVerificationBurst = 4;
-constexpr Span kMinRetryAfter = Span::ms(1);
+constexpr Duration kMinRetryAfter = Duration::ms(1);
 
 KeyRing::Settings key_ring_settings(const CallingSettings& settings) {
   KeyRing::Settings result;
@@ -67,7 +67,7 @@
 }
 
 Refusal Authorizer::authenticate(const Credentials& credentials, ConnectionHistory& history, Instant now,
-                                 Identity& identity, Span& retry_after) {
+                                 Identity& identity, Duration& retry_after) {
   identity.tenant = Identity::kNoTenant;
   identity.principal.clear();
   const auto text = bearer_token(credentials.authorization);
@@ -109,7 +109,7 @@
 
 Refusal Authorizer::authenticate_token(std::string_view text, const Credentials& credentials,
                                        const ConnectionHistory& history, Instant now, Identity& identity,
-                                       Span& retry_after) {
+                                       Duration& retry_after) {
   if (text.empty() || text.size() > tokens::kMaxTokenBytes) return Refusal::kMalformed;
   const tokens::Digest digest = tokens::sha256(text);
   VerifiedToken* token = verified_tokens_.find(digest);
@@ -138,7 +138,7 @@
 // kNone: `token` points to its entry in the cache.
 Refusal Authorizer::verify_new_token(std::string_view text, const tokens::Digest& digest,
                                      const ConnectionHistory& history, Instant now, VerifiedToken*& token,
-                                     Span& retry_after) {
+                                     Duration& retry_after) {
   const Refusal known = refused_tokens_.find(digest, key_ring_.epoch(), now);
   if (known != Refusal::kNone) return known;
   // A verification costs us more than the token costs its sender.
@@ -158,7 +158,7 @@
 }
 
 bool Authorizer::may_verify(std::string_view text, const ConnectionHistory& history, Instant now,
-                            Span& retry_after) {
+                            Duration& retry_after) {
   if (!history.authenticated && unproven_verifications_.try_spend(now)) return true;
   const bool preferred = history.authenticated || names_known_subject(text, now);
   if (preferred && proven_verifications_.try_spend(now)) return true;
@@ -203,7 +203,7 @@
 // ---- Admission ----
 
 Refusal Authorizer::admit(const Identity& identity, unsigned request_class, Instant now, QuotaHold& hold,
-                          Span& retry_after) {
+                          Duration& retry_after) {
   if (identity.tenant == Identity::kNoTenant) return Refusal::kNone;
   const TenantDirectory::Tenant& tenant = (*directory_)[identity.tenant];
   const TenantDirectory::Rule& rule = tenant.rules[identity.rule];
@@ -229,7 +229,7 @@
     // longer.
     const std::int64_t promised_ns = subject_wait_ns > 0 ? subject_bucket.promise_ns(rule.rate, now_ns)
                                                          : usage.bucket.promise_ns(tenant.rate, now_ns);
-    retry_after = Span::us(std::max(promised_ns, tenant_wait_ns) / 1000 + 1);
+    retry_after = Duration::us(std::max(promised_ns, tenant_wait_ns) / 1000 + 1);
     return count(Refusal::kRateLimit);
   }
   subject_bucket.take(rule.rate, now_ns);
--- a/src/calling/authorizer.hpp
+++ b/src/calling/authorizer.hpp
@@ -48,10 +48,10 @@
 
   // kNone: `identity` says who it is. kVerificationsBusy: `retry_after` says when to try again.
   Refusal authenticate(const Credentials& credentials, ConnectionHistory& history, Instant now,
-                       Identity& identity, Span& retry_after);
+                       Identity& identity, Duration& retry_after);
   // kNone: `hold` is to be released. kRateLimit, kInFlightLimit: `retry_after` says when there is capacity.
   Refusal admit(const Identity& identity, unsigned request_class, Instant now, QuotaHold& hold,
-                Span& retry_after);
+                Duration& retry_after);
   void release(const QuotaHold& hold);
 
   KeyRing::Change update_keys(std::span<const tokens::KeyEntry> listed, Instant now) {
@@ -62,8 +62,8 @@
   void update_settings(const CallingSettings& settings, Instant now);
   // Times of tokens, keys and certificates are of the machine's clock, which may be set while we run; rates
   // and waits are of the time handed in.
-  void set_wall_clock_ahead(Span ahead) { wall_clock_ahead_ = ahead; }
-  Span wall_clock_ahead() const { return wall_clock_ahead_; }
+  void set_wall_clock_ahead(Duration ahead) { wall_clock_ahead_ = ahead; }
+  Duration wall_clock_ahead() const { return wall_clock_ahead_; }
 
   const KeyRing& key_ring() const { return key_ring_; }
   std::size_t cached_tokens() const { return verified_tokens_.size(); }
@@ -82,11 +82,12 @@
                                    Identity& identity) const;
   Refusal authenticate_token(std::string_view text, const Credentials& credentials,
                              const ConnectionHistory& history, Instant now, Identity& identity,
-                             Span& retry_after);
+                             Duration& retry_after);
   Refusal verify_new_token(std::string_view text, const tokens::Digest& digest,
                            const ConnectionHistory& history, Instant now, VerifiedToken*& token,
-                           Span& retry_after);
-  bool may_verify(std::string_view text, const ConnectionHistory& history, Instant now, Span& retry_after);
+                           Duration& retry_after);
+  bool may_verify(std::string_view text, const ConnectionHistory& history, Instant now,
+                  Duration& retry_after);
   bool names_known_subject(std::string_view text, Instant now);
   Refusal check_validity(const VerifiedToken& token, const ClientCertificate* certificate, Instant now) const;
   Refusal look_up_tenant(VerifiedToken& token) const;
@@ -95,7 +96,7 @@
   std::unique_ptr<TenantDirectory> directory_;
   std::uint64_t directory_epoch_ = 1;  // grows with each new directory
   std::uint64_t hash_seed_;
-  Span wall_clock_ahead_;
+  Duration wall_clock_ahead_;
   KeyRing key_ring_;
   TokenVerifier verifier_;
   TokenCache verified_tokens_;
--- a/src/calling/budget.hpp
+++ b/src/calling/budget.hpp
@@ -18,7 +18,7 @@
         burst_ns_(burst_units * kNanosecondsPerSecond / units_per_s) {}
 
   bool try_spend(Instant now, double units = 1) {
-    if (wait(now) > Span()) return false;
+    if (wait(now) > Duration()) return false;
     spend(now, units);
     return true;
   }
@@ -28,9 +28,9 @@
     due_ns_ = (due_ns_ > now_ns ? due_ns_ : now_ns) + units * ns_per_unit_;
   }
   // How long until something may be spent; none: now.
-  Span wait(Instant now) const {
+  Duration wait(Instant now) const {
     const double over_ns = due_ns_ - burst_ns_ - nanoseconds(now);
-    return over_ns > 0 ? Span::us(static_cast<std::int64_t>(over_ns / 1e3) + 1) : Span();
+    return over_ns > 0 ? Duration::us(static_cast<std::int64_t>(over_ns / 1e3) + 1) : Duration();
   }
 
  private:
@@ -46,7 +46,7 @@
 class NamedBudgets {
  public:
   NamedBudgets(std::size_t slots, double uses_per_s, double burst_uses)
-      : interval_(Span::us(static_cast<std::int64_t>(1e6 / uses_per_s))),
+      : interval_(Duration::us(static_cast<std::int64_t>(1e6 / uses_per_s))),
         tolerance_(interval_ * (burst_uses - 1)), due_(slots) {}
 
   bool try_use(std::uint64_t hash, Instant now) {
@@ -57,8 +57,8 @@
   }
 
  private:
-  Span interval_;
-  Span tolerance_;
+  Duration interval_;
+  Duration tolerance_;
   std::vector<Instant> due_;
 };
 
--- a/src/calling/handshake_limiter.cpp
+++ b/src/calling/handshake_limiter.cpp
@@ -4,7 +4,7 @@
 
 namespace ashbeam::calling {
 
-HandshakeLimiter::HandshakeLimiter(std::size_t max_in_progress, double cpu_s_per_s, Span max_silence)
+HandshakeLimiter::HandshakeLimiter(std::size_t max_in_progress, double cpu_s_per_s, Duration max_silence)
     : max_in_progress_(max_in_progress), cpu_(cpu_budget(cpu_s_per_s)), max_silence_(max_silence) {}
 
 void HandshakeLimiter::set_limits(std::size_t max_in_progress, double cpu_s_per_s) {
@@ -33,7 +33,7 @@
 }
 
 bool HandshakeLimiter::may_continue(Id id, Instant now) {
-  const bool may = cpu_.wait(now) <= Span();
+  const bool may = cpu_.wait(now) <= Duration();
   if (may) {
     std::erase(waiting_, id);
   } else if (std::find(waiting_.begin(), waiting_.end(), id) == waiting_.end()) {
@@ -48,7 +48,7 @@
 }
 
 HandshakeLimiter::Id HandshakeLimiter::next_waiting(Instant now) {
-  if (waiting_.empty() || cpu_.wait(now) > Span()) return kNone;
+  if (waiting_.empty() || cpu_.wait(now) > Duration()) return kNone;
   const Id id = waiting_.back();
   waiting_.pop_back();
   return id;
--- a/src/calling/handshake_limiter.hpp
+++ b/src/calling/handshake_limiter.hpp
@@ -21,7 +21,7 @@
 
   // `cpu_s_per_s`: seconds of CPU a second, of which a tenth may be used at once. A handshake whose client
   // has been silent for longer than `max_silence` may be evicted.
-  HandshakeLimiter(std::size_t max_in_progress, double cpu_s_per_s, Span max_silence);
+  HandshakeLimiter(std::size_t max_in_progress, double cpu_s_per_s, Duration max_silence);
   void set_limits(std::size_t max_in_progress, double cpu_s_per_s);
 
   struct Started {
@@ -34,10 +34,10 @@
   void finish(Id id);
   // Whether the next step may be computed now.
   bool may_continue(Id id, Instant now);
-  void record_cpu(Span cpu, Instant now) { cpu_.spend(now, cpu.s()); }
+  void record_cpu(Duration cpu, Instant now) { cpu_.spend(now, cpu.s()); }
 
   // How long until a waiting handshake may continue; none: now.
-  Span wait(Instant now) const { return cpu_.wait(now); }
+  Duration wait(Instant now) const { return cpu_.wait(now); }
   // The one that began to wait last goes first: where more wait than can be served, those that are served are
   // still in time, instead of all of them being too late. kNone: none waits, or there is no CPU for it.
   Id next_waiting(Instant now);
@@ -54,7 +54,7 @@
 
   std::size_t max_in_progress_;
   Budget cpu_;  // seconds of CPU
-  Span max_silence_;
+  Duration max_silence_;
   std::vector<Handshake> in_progress_;  // in the order of their start
   std::vector<Id> waiting_;             // for CPU, in the order that they began to
   Id last_id_ = kNone;
--- a/src/calling/key_ring.hpp
+++ b/src/calling/key_ring.hpp
@@ -28,9 +28,9 @@
 class KeyRing {
  public:
   struct Settings {
-    Span overlap;                                  // in which a retiring key still verifies
-    Span leeway;                                   // between the issuer's clock and ours, either way
-    Span revoked_retention = Span::s(7 * 86'400);  // longer than any token lives
+    Duration overlap;                                      // in which a retiring key still verifies
+    Duration leeway;                                       // between the issuer's clock and ours, either way
+    Duration revoked_retention = Duration::s(7 * 86'400);  // longer than any token lives
   };
   // How many keys an update has changed.
   struct Change {
--- a/src/calling/quota.cpp
+++ b/src/calling/quota.cpp
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-Rate Rate::per_router(const Limit& limit, double routers, double peak_factor, Span bank) {
+Rate Rate::per_router(const Limit& limit, double routers, double peak_factor, Duration bank) {
   Rate rate;
   const double parts = std::max(1.0, routers);
   const double speed_up = std::max(1.0, peak_factor);
--- a/src/calling/quota.hpp
+++ b/src/calling/quota.hpp
@@ -36,7 +36,7 @@
   std::uint32_t max_in_flight = 0;  // 0: not limited
 
   // The part of `limit` that one of `routers` routers holds.
-  static Rate per_router(const Limit& limit, double routers, double peak_factor, Span bank);
+  static Rate per_router(const Limit& limit, double routers, double peak_factor, Duration bank);
 };
 
 // The state of one limited tenant or subject: theoretical arrival times, in nanoseconds of Unix time.
--- a/src/calling/settings.hpp
+++ b/src/calling/settings.hpp
@@ -43,9 +43,9 @@
   std::string issuer;
   std::string audience;  // empty: any
   std::string tenant_claim = "tenant";
-  Span leeway = Span::s(30);                  // between the issuer's clock and ours, either way
-  Span overlap = Span::s(60);                 // in which a retiring key still verifies
-  Span max_token_lifetime = Span::s(86'400);  // from a token's issue to its expiry
+  Duration leeway = Duration::s(30);                  // between the issuer's clock and ours, either way
+  Duration overlap = Duration::s(60);                 // in which a retiring key still verifies
+  Duration max_token_lifetime = Duration::s(86'400);  // from a token's issue to its expiry
   double verifications_per_s = 2000;
   std::size_t max_cached_tokens = 8192;
   std::size_t max_subjects = 65'536;
@@ -53,9 +53,9 @@
   // A router's part of a limit: see quota.hpp.
   std::uint32_t router_count = 1;
   std::uint32_t routers_per_subject = 2;
-  Span bank = Span::s(10);
+  Duration bank = Duration::s(10);
   double peak_factor = 4;
-  Span max_request_duration = Span::s(5);  // whatever is in flight has ended by then
+  Duration max_request_duration = Duration::s(5);  // whatever is in flight has ended by then
 
   // The deployment's own names, behind the indices that the router's decisions use. Their tenants have soft
   // quotas (policy/admission); `tenants` below are the operator's, with rights and hard limits.
--- a/src/calling/subject_table.hpp
+++ b/src/calling/subject_table.hpp
@@ -54,7 +54,7 @@
   }
   static std::uint32_t way_to_evict(const Set& set);
 
-  std::vector<Set, WidePages<Set>> sets_;
+  std::vector<Set, HugePageAllocator<Set>> sets_;
   std::vector<Floor> floors_;  // by set; written once the set is full
   std::uint64_t evicted_ = 0;
 };
--- a/src/fakes/certificate_authority.cpp
+++ b/src/fakes/certificate_authority.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-constexpr Span kAuthorityLifetime = Span::s(86400);
+constexpr Duration kAuthorityLifetime = Duration::s(86400);
 constexpr long kValidSinceS = -60;
 constexpr long kNextRevocationListS = 86400;
 constexpr int kSerialBits = 120;
@@ -98,7 +98,7 @@
 }
 
 // `signer`: null for a certificate that signs itself.
-Identity make_identity(const std::string& organisation, const std::string& name, Span lifetime, Role role,
+Identity make_identity(const std::string& organisation, const std::string& name, Duration lifetime, Role role,
                        const Identity* signer) {
   Identity identity;
   identity.key.reset(EVP_EC_gen("P-256"), EVP_PKEY_free);
@@ -127,8 +127,9 @@
 CertificateAuthority::CertificateAuthority(const std::string& name)
     : self_(make_identity("", name, kAuthorityLifetime, Role::kAuthority, nullptr)) {}
 
-Identity CertificateAuthority::issue(const std::string& organisation, const std::string& name, Span lifetime,
-                                     bool server, const CertificateAuthority* intermediate) const {
+Identity CertificateAuthority::issue(const std::string& organisation, const std::string& name,
+                                     Duration lifetime, bool server,
+                                     const CertificateAuthority* intermediate) const {
   const Identity& signer = intermediate ? intermediate->self_ : self_;
   Identity identity =
       make_identity(organisation, name, lifetime, server ? Role::kServer : Role::kClient, &signer);
--- a/src/fakes/certificate_authority.hpp
+++ b/src/fakes/certificate_authority.hpp
@@ -29,8 +29,8 @@
   // Issues a certificate of a client, or of a server, that expires `lifetime` from now (negative: it has
   // expired). With `intermediate`, which has to be one of this authority's, that signs it, and
   // `certificate_pem` has the intermediate's certificate behind the leaf.
-  Identity issue(const std::string& organisation, const std::string& name, Span lifetime, bool server = false,
-                 const CertificateAuthority* intermediate = nullptr) const;
+  Identity issue(const std::string& organisation, const std::string& name, Duration lifetime,
+                 bool server = false, const CertificateAuthority* intermediate = nullptr) const;
   CertificateAuthority intermediate(const std::string& name) const;
 
   const Identity& self() const { return self_; }
--- a/src/fakes/discovery.cpp
+++ b/src/fakes/discovery.cpp
@@ -10,9 +10,9 @@
 namespace {
 
 constexpr int kBacklog = 256;
-constexpr Span kKeepAliveInterval = Span::s(2);
-constexpr Span kQueueTick = Span::ms(10);
-constexpr Span kCallTimeout = Span::s(2);
+constexpr Duration kKeepAliveInterval = Duration::s(2);
+constexpr Duration kQueueTick = Duration::ms(10);
+constexpr Duration kCallTimeout = Duration::s(2);
 
 std::string chunk_of(const std::string& line) {
   char size[16];
@@ -80,7 +80,7 @@
     : loop_(loop), limits_(limits), service_time_(options.service_time), random_(options.seed),
       written_at_(options.router_count), keep_alive_(loop,
                                                      [this] {
-                                                       keep_alive_.in(kKeepAliveInterval);
+                                                       keep_alive_.schedule_after(kKeepAliveInterval);
                                                        for (const auto& watch : watches_) {
                                                          if (watch->is_open()) watch->keep_alive();
                                                        }
@@ -91,8 +91,8 @@
       if (fd >= 0) watches_.push_back(std::make_unique<Watch>(*this, fd, router));
     }));
   }
-  keep_alive_.in(kKeepAliveInterval);
-  if (service_time_ > Span()) queue_tick_.in(kQueueTick);
+  keep_alive_.schedule_after(kKeepAliveInterval);
+  if (service_time_ > Duration()) queue_tick_.schedule_after(kQueueTick);
 }
 
 Discovery::~Discovery() = default;
@@ -149,12 +149,12 @@
 // ---- Calls ----
 
 void Discovery::on_call(Watch& watch) {
-  if (service_time_ > Span()) calls_.push_back({&watch, watch.called_at()});
+  if (service_time_ > Duration()) calls_.push_back({&watch, watch.called_at()});
   else watch.open();
 }
 
 void Discovery::work_off_calls() {
-  queue_tick_.in(kQueueTick);
+  queue_tick_.schedule_after(kQueueTick);
   const Instant now = loop_.now();
   reject_overdue_calls(now);
   if (!available_) {
--- a/src/fakes/discovery.hpp
+++ b/src/fakes/discovery.hpp
@@ -23,7 +23,7 @@
 
 struct DiscoveryOptions {
   std::size_t router_count = 1;  // each has an address of its own
-  Span service_time;             // of a call, one after another; zero: all are answered at once
+  Duration service_time;         // of a call, one after another; zero: all are answered at once
   std::uint64_t seed = 1;        // for which lines stall
 };
 
@@ -65,14 +65,14 @@
 
   void on_call(Watch& watch);
   void write_to_watches(const std::string& line);
-  bool draw_stall() { return stall_fraction_ > random_.unit(); }
+  bool draw_stall() { return stall_fraction_ > random_.next_double(); }
   void work_off_calls();
   void reject_overdue_calls(Instant now);
   void remove(Watch* watch);
 
   EventLoop& loop_;
   const Limits& limits_;
-  Span service_time_;
+  Duration service_time_;
   Pcg random_;
   unsigned revision_ = 1;
   std::map<std::string, ListedEndpoint> endpoints_;  // by uid
--- a/src/fakes/endpoint.cpp
+++ b/src/fakes/endpoint.cpp
@@ -26,7 +26,7 @@
 
  private:
   void on_data() override {
-    if (answer_timer_.armed()) return;
+    if (answer_timer_.is_scheduled()) return;
     std::string_view bytes = connection_.unread();
     const std::size_t had = bytes.size();
     const auto got = requests_.feed(bytes);
@@ -35,7 +35,7 @@
     if (got == http::ParseResult::kInvalid) return endpoint_.remove(this);
     ++endpoint_.request_count_;
     answer_ = endpoint_.handler_(requests_.head(), requests_.raw_body());
-    answer_timer_.in(answer_.delay);
+    answer_timer_.schedule_after(answer_.delay);
   }
   void write_answer() {
     if (answer_.drops_connection) return endpoint_.remove(this);
--- a/src/fakes/endpoint.hpp
+++ b/src/fakes/endpoint.hpp
@@ -17,8 +17,8 @@
 
 struct EndpointAnswer {
   unsigned status = 200;
-  Span delay = Span::ms(1);       // from the request's last byte
-  bool drops_connection = false;  // in place of an answer
+  Duration delay = Duration::ms(1);  // from the request's last byte
+  bool drops_connection = false;     // in place of an answer
   std::string body = "ok\n";
   std::string header_fields = {};  // besides Content-Length, each with its line end
 };
--- a/src/fakes/release_platform.cpp
+++ b/src/fakes/release_platform.cpp
@@ -9,9 +9,9 @@
 namespace {
 
 constexpr int kBacklog = 64;
-constexpr Span kKeepAliveInterval = Span::s(1);
-constexpr Span kRollbackTime = Span::s(1);
-constexpr Span kInitialAge = Span::s(60);  // of the version that is released at the start
+constexpr Duration kKeepAliveInterval = Duration::s(1);
+constexpr Duration kRollbackTime = Duration::s(1);
+constexpr Duration kInitialAge = Duration::s(60);  // of the version that is released at the start
 
 }  // namespace
 
@@ -93,14 +93,14 @@
       on_change_(std::move(on_change)), keep_alive_(loop,
                                                     [this] {
                                                       notify_clients(R"({"jsonrpc":"2.0","method":"ping"})");
-                                                      keep_alive_.in(kKeepAliveInterval);
+                                                      keep_alive_.schedule_after(kKeepAliveInterval);
                                                     }),
       rollback_end_(loop, [this] { change(ReleaseProgress::kWithdrawn, state_.stage); }),
       listener_(loop, "127.0.0.1:0", kBacklog, [this](int fd) {
         if (fd >= 0) clients_.push_back(std::make_unique<Client>(*this, fd));
       }) {
   state_.since = loop.now() - kInitialAge;
-  keep_alive_.in(kKeepAliveInterval);
+  keep_alive_.schedule_after(kKeepAliveInterval);
 }
 
 ReleasePlatform::~ReleasePlatform() = default;
@@ -144,7 +144,7 @@
     else change(ReleaseProgress::kCanary, stage + 1);
   } else if (vote == "abort") {
     change(ReleaseProgress::kRollingBack, stage);
-    rollback_end_.in(kRollbackTime);
+    rollback_end_.schedule_after(kRollbackTime);
   }
 }
 
--- a/src/metadata/metadata_verifier.hpp
+++ b/src/metadata/metadata_verifier.hpp
@@ -33,7 +33,7 @@
 struct RepositorySettings {
   std::string prefix;  // of paths, "/look/updates/"
   std::string root;    // the pinned root's bytes
-  Span lag = Span::s(30);
+  Duration lag = Duration::s(30);
 };
 
 class MetadataVerifier {
--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -46,7 +46,7 @@
   return weight;
 }
 
-void Admission::on_tick(Span elapsed) {
+void Admission::on_tick(Duration elapsed) {
   for (Tenant& tenant : tenants_) {
     tenant.tokens =
         std::min(tenant.tokens + tenant.quota_per_s * elapsed.s(), std::max(tenant.quota_per_s, 1.0));
@@ -55,7 +55,7 @@
 
 bool Admission::admits(const Request& request, const Selection& selection, bool endpoint_is_idle, Instant now,
                        Pcg& random) const {
-  if (endpoint_is_idle && random.unit() < exploration_part_) return true;
+  if (endpoint_is_idle && random.next_double() < exploration_part_) return true;
   return selection.predicted_ms <= request.ms_to_objective(now) * request.patience;
 }
 
--- a/src/policy/admission.hpp
+++ b/src/policy/admission.hpp
@@ -22,7 +22,7 @@
   // Sets the request's weight and patience. `class_mean_ms`: the mean latency of its class.
   void on_request(Request& request, unsigned tenant, double class_mean_ms);
   // Refills the tenants' quotas for the time since the last call.
-  void on_tick(Span elapsed);
+  void on_tick(Duration elapsed);
   // Is the selection likely to answer in time? An idle endpoint gets a few requests all the same, so that its
   // latency stays known.
   bool admits(const Request& request, const Selection& selection, bool endpoint_is_idle, Instant now,
--- a/src/policy/attempt_outcomes.cpp
+++ b/src/policy/attempt_outcomes.cpp
@@ -35,7 +35,7 @@
 }  // namespace
 
 void AttemptOutcomes::on_attempt_end(Request& request, const Attempt& attempt, AttemptResult result,
-                                     Span duration, Instant now) {
+                                     Duration duration, Instant now) {
   Endpoint& endpoint = parts_.endpoints[attempt.endpoint];
   if (says_nothing(result)) return;
   if (attempt.sent_at < endpoint.started_at || attempt.version != endpoint.version) return;
--- a/src/policy/attempt_outcomes.hpp
+++ b/src/policy/attempt_outcomes.hpp
@@ -34,7 +34,7 @@
   };
   explicit AttemptOutcomes(const Parts& parts) : parts_(parts) {}
 
-  void on_attempt_end(Request& request, const Attempt& attempt, AttemptResult result, Span duration,
+  void on_attempt_end(Request& request, const Attempt& attempt, AttemptResult result, Duration duration,
                       Instant now);
   // The request has its final answer; `served`: an endpoint's. Settles an error whose cause was open.
   void on_request_end(Request& request, bool served, Instant now);
--- a/src/policy/call_pacing.hpp
+++ b/src/policy/call_pacing.hpp
@@ -17,18 +17,18 @@
 class CallPacing {
  public:
   // `usual`: the mean wait before the second retry.
-  explicit CallPacing(Span usual) : waits_{kFirst, usual, usual, usual * 2} {}
+  explicit CallPacing(Duration usual) : waits_{kFirst, usual, usual, usual * 2} {}
 
   void succeeded() { failed_ = 0; }
-  Span wait_after_failure(double chance) {
-    const Span mean = waits_[failed_];
+  Duration wait_after_failure(double chance) {
+    const Duration mean = waits_[failed_];
     if (failed_ + 1 < waits_.size()) ++failed_;
     return mean * (0.5 + chance);
   }
 
  private:
-  static constexpr Span kFirst = Span::ms(300);
-  std::array<Span, 4> waits_;
+  static constexpr Duration kFirst = Duration::ms(300);
+  std::array<Duration, 4> waits_;
   std::size_t failed_ = 0;
 };
 
--- a/src/policy/endpoint_lease.hpp
+++ b/src/policy/endpoint_lease.hpp
@@ -16,9 +16,10 @@
 namespace ashbeam::policy {
 
 struct EndpointLeaseSettings {
-  Span notified_within = Span::s(6);  // after discovery had a change it counts as notified, at the latest
-  Span drain_grace;                   // after that nothing new goes to the endpoint
-  Span send_delay;                    // from the decision for an attempt to its first byte, at the most
+  Duration notified_within =
+      Duration::s(6);    // after discovery had a change it counts as notified, at the latest
+  Duration drain_grace;  // after that nothing new goes to the endpoint
+  Duration send_delay;   // from the decision for an attempt to its first byte, at the most
 };
 
 enum class LeaseState : std::uint8_t {
@@ -56,7 +57,7 @@
   Instant confirmed_at() const { return confirmed_at_; }
 
  private:
-  Span grace_left() const { return terms_.drain_grace - terms_.send_delay; }
+  Duration grace_left() const { return terms_.drain_grace - terms_.send_delay; }
 
   EndpointLeaseSettings terms_;
   Instant confirmed_at_;                 // far past: never
--- a/src/policy/endpoint_monitor.cpp
+++ b/src/policy/endpoint_monitor.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 // An endpoint with attempts in flight that is silent for the longer of these counts as failed once.
-constexpr Span kMinSilence = Span::ms(800);
+constexpr Duration kMinSilence = Duration::ms(800);
 constexpr double kUsualSilenceFactor = 4;
 
 // With fewer endpoints of its role ready than this, one has no peers.
@@ -23,7 +23,7 @@
   parts_.balancer.clear_jittered();
   in_service_ = {};
   ready_capacity_ = 0;
-  const Span window = std::max(settings.exposure_window, settings.slow_start_window);
+  const Duration window = std::max(settings.exposure_window, settings.slow_start_window);
   const double arrivals = parts_.arrivals.sum_of_classes_since(now - window + settings.clock_tick);
   EndpointIndex index = 0;
   for (Endpoint& endpoint : parts_.endpoints) {
@@ -57,8 +57,8 @@
 }
 
 void EndpointMonitor::count_silence(EndpointIndex index, Endpoint& endpoint, Instant now) {
-  const Span silence = now - std::max(endpoint.last_heard_at, endpoint.unanswered_since);
-  const Span usual = Span::ms(parts_.latency.usual_silence_ms(endpoint, now));
+  const Duration silence = now - std::max(endpoint.last_heard_at, endpoint.unanswered_since);
+  const Duration usual = Duration::ms(parts_.latency.usual_silence_ms(endpoint, now));
   if (silence <= std::max(kMinSilence, usual * kUsualSilenceFactor)) return;
   endpoint.last_heard_at = now;
   add_outcome(index, 1, now);
--- a/src/policy/endpoint_start.hpp
+++ b/src/policy/endpoint_start.hpp
@@ -10,15 +10,15 @@
 namespace ashbeam::policy {
 
 // The list may tell of a start this much later than it happened.
-inline constexpr Span kLongestListLag = Span::s(10);
+inline constexpr Duration kLongestListLag = Duration::s(10);
 
 // `known_since`: when the list was last confirmed without this start; far past where it never was. Zero
 // `boot_ms` says that the endpoint started long ago.
-inline Instant endpoint_start(double boot_ms, Instant now, Span wall_ahead, Instant known_since) {
+inline Instant endpoint_start(double boot_ms, Instant now, Duration wall_ahead, Instant known_since) {
   if (boot_ms <= 0) return Instant();
-  const Span age = now + wall_ahead - Instant::at_ms(boot_ms);
-  const Span oldest = now - known_since + kLongestListLag;
-  const bool fits = age >= Span() && (known_since == Instant() || age <= oldest);
+  const Duration age = now + wall_ahead - Instant::at_ms(boot_ms);
+  const Duration oldest = now - known_since + kLongestListLag;
+  const bool fits = age >= Duration() && (known_since == Instant() || age <= oldest);
   return fits ? now - age : now;
 }
 
--- a/src/policy/endpoint_table.cpp
+++ b/src/policy/endpoint_table.cpp
@@ -21,7 +21,7 @@
     endpoint.slow_start.attempts = std::move(former.slow_start.attempts);
     endpoint.outcomes_by_class.resize(class_count_ + 1);
     endpoint.last_heard_at = now;
-    endpoint.slow_start.jitter = random.unit();
+    endpoint.slow_start.jitter = random.next_double();
   }
   endpoint.named_in_update = true;
   endpoint.state = update.state;
--- a/src/policy/exposure_ramp.cpp
+++ b/src/policy/exposure_ramp.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr double kWeightStep = 0.2;
-constexpr Span kQuietBeforeStep = Span::s(1);
+constexpr Duration kQuietBeforeStep = Duration::s(1);
 
 }  // namespace
 
--- a/src/policy/exposure_ramp.hpp
+++ b/src/policy/exposure_ramp.hpp
@@ -32,7 +32,7 @@
   double weight() const { return weight_; }
   TrafficSplit split() const { return {weight_, stopped_}; }
   // How long the weight has been full, with no regression since.
-  Span full_for(Instant now) const { return now - full_since_; }
+  Duration full_for(Instant now) const { return now - full_since_; }
   bool full() const { return weight_ >= 1; }
   // Since when there has been a regression; far past: there is none.
   Instant regression_since() const { return regression_since_; }
--- a/src/policy/latency_comparison.cpp
+++ b/src/policy/latency_comparison.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 // Latencies this old are still compared.
-constexpr Span kRecent = Span::s(10);
+constexpr Duration kRecent = Duration::s(10);
 constexpr std::ptrdiff_t kMinStableLatencies = static_cast<std::ptrdiff_t>(kMinOutcomes / 2);
 
 // How much more often than its half an endpoint's latencies are above the factor, times two.
--- a/src/policy/latency_estimator.cpp
+++ b/src/policy/latency_estimator.cpp
@@ -20,7 +20,7 @@
 // One latency counts as at most so many times the estimate that it goes into.
 constexpr double kMaxOutlierRatio = 10;
 
-constexpr Span kUnheardAfter = Span::s(1);
+constexpr Duration kUnheardAfter = Duration::s(1);
 constexpr double kUnheardDecay = 0.995;  // a tick
 
 }  // namespace
--- a/src/policy/latency_estimator.hpp
+++ b/src/policy/latency_estimator.hpp
@@ -66,7 +66,7 @@
   const DecayingMean& recent() const { return recent_; }
 
  private:
-  static constexpr Span kEstimateLifetime = Span::s(2);
+  static constexpr Duration kEstimateLifetime = Duration::s(2);
   static constexpr double kOwnLoad = 1;  // a request's own, in requests in flight
 
   const LatencyEstimate& peers_of(const Endpoint& endpoint) const {
--- a/src/policy/load_balancer.cpp
+++ b/src/policy/load_balancer.cpp
@@ -127,7 +127,7 @@
 std::size_t LoadBalancer::draw(const std::vector<Candidate>& candidates) {
   double total = 0;
   for (const Candidate& candidate : candidates) total += candidate.weight;
-  double left = random_.unit() * total;
+  double left = random_.next_double() * total;
   std::size_t i = 0;
   while (i + 1 < candidates.size()) {
     left -= candidates[i].weight;
@@ -147,7 +147,7 @@
 
 // A sticky key decides in place of a random number, so that the same keys go to the canary each time.
 double LoadBalancer::role_draw(const Request& request) {
-  if (!in_.sticky_keys.applies_to(request)) return random_.unit();
+  if (!in_.sticky_keys.applies_to(request)) return random_.next_double();
   const std::uint64_t key = request.sticky_key;
   const std::uint64_t mixed = (key ^ (key >> 32U)) * kKeyMultiplier;
   return static_cast<double>(mixed >> kKeyShift) / kKeyRange / kKeySpread;
--- a/src/policy/outlier_detector.cpp
+++ b/src/policy/outlier_detector.cpp
@@ -18,7 +18,7 @@
 constexpr double kMinScore = -2;
 constexpr double kScoreAfterEjection = kEjectionScore - 2.5;  // one more failure ejects it again
 
-constexpr Span kMaxEjectionTime = Span::s(8);
+constexpr Duration kMaxEjectionTime = Duration::s(8);
 // The ejection time is jittered between these factors.
 constexpr double kMinEjectionFactor = 0.8;
 constexpr double kEjectionFactorRange = 0.4;
@@ -36,7 +36,7 @@
   outlier.score = kScoreAfterEjection;
   outlier.ejected = true;
   outlier.ejected_until =
-      now + outlier.ejection_time * (kMinEjectionFactor + kEjectionFactorRange * random_.unit());
+      now + outlier.ejection_time * (kMinEjectionFactor + kEjectionFactorRange * random_.next_double());
   outlier.ejection_time = std::min(outlier.ejection_time * 2, kMaxEjectionTime);
   log_.write("endpoint %u ejected for %.1f s: release %u, failure rate of its peers %.3f", index,
              (outlier.ejected_until - now).s(), endpoint.version, peers.failure_rate);
--- a/src/policy/outlier_state.hpp
+++ b/src/policy/outlier_state.hpp
@@ -5,12 +5,12 @@
 namespace ashbeam::policy {
 
 struct OutlierState {
-  static constexpr Span kFirstEjectionTime = Span::s(1);
+  static constexpr Duration kFirstEjectionTime = Duration::s(1);
 
   double score = 0;  // log-likelihood ratio of an outlier against a good endpoint
   bool ejected = false;
   Instant ejected_until;
-  Span ejection_time = kFirstEjectionTime;  // of the next ejection
+  Duration ejection_time = kFirstEjectionTime;  // of the next ejection
 };
 
 }  // namespace ashbeam::policy
--- a/src/policy/promotion.cpp
+++ b/src/policy/promotion.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-constexpr Span kQuietAtFullWeight = Span::s(2);
-constexpr Span kNewestCanaryAge = Span::s(3);
-constexpr Span kStageMargin = Span::s(1);  // the stage is announced some time after the endpoints
-constexpr Span kLongestWaitForEndpoints = Span::s(11);
+constexpr Duration kQuietAtFullWeight = Duration::s(2);
+constexpr Duration kNewestCanaryAge = Duration::s(3);
+constexpr Duration kStageMargin = Duration::s(1);  // the stage is announced some time after the endpoints
+constexpr Duration kLongestWaitForEndpoints = Duration::s(11);
 
 // Of the stage's endpoints, the part that has to be there, less a rounding of half an endpoint.
 constexpr double kEndpointsPart = 0.85;
@@ -31,10 +31,10 @@
                       Instant now) {
   if (!ramp.full() || ramp.full_for(now) < kQuietAtFullWeight * pace || endpoints.canary_ready() == 0)
     return false;
-  const Span in_stage = now - release.stage_since();
+  const Duration in_stage = now - release.stage_since();
   // The last stage is never hurried: all load follows, and a version that is bad under load would jam.
   const bool last_stage = release.stage() + 1 >= settings.stage_fractions.size();
-  const Span min_age = kNewestCanaryAge * (last_stage ? 1.0 : pace);
+  const Duration min_age = kNewestCanaryAge * (last_stage ? 1.0 : pace);
   if (in_stage < min_age + kStageMargin * pace || now - endpoints.newest_canary_start() < min_age)
     return false;
   return stage_is_filled(settings, release.stage(), in_service) || in_stage > kLongestWaitForEndpoints * pace;
--- a/src/policy/regression_detector.cpp
+++ b/src/policy/regression_detector.cpp
@@ -22,7 +22,7 @@
 constexpr double kFleetSlowdown = 1.8;
 constexpr double kLastingFleetSlowdown = 2.3;
 constexpr double kLastingFleetExponentPerJudgesLog = 0.75;
-constexpr Span kLasting = Span::s(3);
+constexpr Duration kLasting = Duration::s(3);
 // After its release there is nothing beside the version to compare with: only so many times as much counts.
 constexpr double kReleasedYardstickFactor = 2;
 // Latencies that it takes to know what was usual before the release.
@@ -30,7 +30,7 @@
 
 // What explains slowness of all: an outside fault, for so long, or less than this part of the capacity
 // before.
-constexpr Span kOutsideFaultLasts = Span::s(8);
+constexpr Duration kOutsideFaultLasts = Duration::s(8);
 constexpr double kMinCapacityPart = 0.85;
 
 double judges_log(const RouterSettings& settings) {
--- a/src/policy/release_controller.cpp
+++ b/src/policy/release_controller.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 
-constexpr Span kJudgementInterval = Span::ms(250);
+constexpr Duration kJudgementInterval = Duration::ms(250);
 
 // With a bake time shorter than this waits are as much shorter, down to the least pace.
-constexpr Span kFullPaceBakeTime = Span::s(2);
+constexpr Duration kFullPaceBakeTime = Duration::s(2);
 constexpr double kMinPace = 0.3;
 
 double pace_of(const RouterSettings& settings) {
--- a/src/policy/request_router.cpp
+++ b/src/policy/request_router.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-constexpr Span kTick = Span::ms(20);
-constexpr Span kMaxEndpointPollInterval = Span::s(3);
+constexpr Duration kTick = Duration::ms(20);
+constexpr Duration kMaxEndpointPollInterval = Duration::s(3);
 // The final answer is given this long before the client's deadline, so that it arrives in time.
-constexpr Span kAnswerMargin = Span::ms(26);
+constexpr Duration kAnswerMargin = Duration::ms(26);
 
 // Tokens of schedule_wakeup().
 constexpr std::uint64_t kTickToken = 1;
@@ -75,7 +75,7 @@
 
 // The list as it was stands for as long as its lease runs.
 void RequestRouter::on_endpoint_watch_failed() {
-  actions_.schedule_wakeup(endpoint_watch_pacing_.wait_after_failure(random_.unit()), kWatchToken);
+  actions_.schedule_wakeup(endpoint_watch_pacing_.wait_after_failure(random_.next_double()), kWatchToken);
 }
 
 void RequestRouter::set_endpoint_list_validity(const EndpointListValidity& validity) {
@@ -106,7 +106,7 @@
 
 void RequestRouter::on_request(const RequestArrival& arrival) {
   if (arrival.request_class >= settings_.request_classes.size()) return actions_.fail(arrival.request);
-  const std::uint32_t slot = requests_.take();
+  const std::uint32_t slot = requests_.allocate();
   request_slots_.put(arrival.request, slot);
   Request& request = requests_[slot];
   request.id = arrival.request;
@@ -168,9 +168,9 @@
   if (request.attempt_count >= guards_.max_attempts()) return;
   if (!settings_.may_hedge && !settings_.may_cancel) return;
   const double objective_ms = request_class.latency_objective.ms();
-  const Span delay =
-      Span::ms(std::clamp(kHedgeAfterPredictions * selection.predicted_ms, kMinHedgeDelayPart * objective_ms,
-                          kMaxHedgeDelayPart * objective_ms));
+  const Duration delay =
+      Duration::ms(std::clamp(kHedgeAfterPredictions * selection.predicted_ms,
+                              kMinHedgeDelayPart * objective_ms, kMaxHedgeDelayPart * objective_ms));
   if (now_ + delay + kTick < request.deadline) request.schedule(NextStep::kHedge, now_ + delay);
 }
 
@@ -190,7 +190,7 @@
 // An attempt has ended without an answer for the client.
 void RequestRouter::after_attempt(Request& request, AttemptResult result) {
   if (request.any_attempt_in_flight()) return;
-  const Span least_left = Span::ms(latency_.class_mean_ms(request.request_class) * kRetryWorthMeans);
+  const Duration least_left = Duration::ms(latency_.class_mean_ms(request.request_class) * kRetryWorthMeans);
   const bool time_left = now_ + least_left < request.deadline;
   const bool attempts_left = request.attempt_count < guards_.max_attempts();
   if (result == AttemptResult::kLocalFailure && time_left && attempts_left) {
@@ -228,7 +228,7 @@
   const std::uint32_t slot = request_slots_.find(request.id);
   request_slots_.erase(request.id);
   request.live = false;
-  requests_.give_back(slot);
+  requests_.deallocate(slot);
 }
 
 void RequestRouter::on_attempt_end(const AttemptEnd& end) {
@@ -262,9 +262,9 @@
   return slot == IndexMap::kNone ? nullptr : &requests_[slot];
 }
 
-Span RequestRouter::draw_retry_after() {
-  const Span drawn = Span::ms(kMinRetryAfterMs + kRetryAfterRangeMs * random_.unit());
-  return settings_.may_send_retry_after ? std::min(settings_.max_retry_after, drawn) : Span();
+Duration RequestRouter::draw_retry_after() {
+  const Duration drawn = Duration::ms(kMinRetryAfterMs + kRetryAfterRangeMs * random_.next_double());
+  return settings_.may_send_retry_after ? std::min(settings_.max_retry_after, drawn) : Duration();
 }
 
 // ---- Time ----
@@ -278,7 +278,7 @@
   actions_.schedule_wakeup(kTick, kTickToken);
   admission_.on_tick(kTick);
   monitor_.scan(now_);
-  for (std::uint32_t slot = 0; slot < requests_.places(); ++slot) {
+  for (std::uint32_t slot = 0; slot < requests_.slot_count(); ++slot) {
     Request& request = requests_[slot];
     if (request.live && !request.answered && request.next_step_at <= now_) take_due_step(request);
   }
--- a/src/policy/request_router.hpp
+++ b/src/policy/request_router.hpp
@@ -80,7 +80,7 @@
   std::optional<Selection> choose(const Request& request) {
     return balancer_.choose(request, controller_.split(), now_);
   }
-  Span draw_retry_after();
+  Duration draw_retry_after();
 
   const RouterSettings settings_;
   RouterActions& actions_;
--- a/src/policy/router_policy.hpp
+++ b/src/policy/router_policy.hpp
@@ -50,7 +50,7 @@
   unsigned attempt = 0;  // counted from 0 for each request
   EndpointIndex endpoint = 0;
   AttemptResult result = AttemptResult::kOk;
-  Span duration;
+  Duration duration;
   bool answered_client = false;  // the client has its final answer by it
 };
 
@@ -60,7 +60,7 @@
   unsigned stage = 0;
   ReleasePhase phase = ReleasePhase::kReleased;
   double exposure_cap = 0;  // part of requests that may go to the canary, 0 to 1
-  Span age;                 // since it came to stand so
+  Duration age;             // since it came to stand so
 };
 
 // Outcomes that the platform has counted over all routers.
@@ -74,7 +74,7 @@
 // A client found an endpoint's answer wrong.
 struct DisputedAnswer {
   EndpointIndex endpoint = 0;
-  Span since_sent;  // since the attempt was sent
+  Duration since_sent;  // since the attempt was sent
 };
 
 // What the router does. Each call takes effect at the time of the event that is being handled.
@@ -84,13 +84,13 @@
   // Sends the request's next attempt to the endpoint. It may last until the client's deadline.
   virtual void send_attempt(RequestId request, EndpointIndex endpoint) = 0;
   // Answers that the request was not run and may be sent again, by `retry_after` if that is not zero.
-  virtual void reject(RequestId request, Span retry_after) = 0;
+  virtual void reject(RequestId request, Duration retry_after) = 0;
   // Answers that the request has failed; it may have run.
   virtual void fail(RequestId request) = 0;
   // Gives up an attempt that is in flight; on_attempt_end() tells what became of it.
   virtual void cancel_attempt(RequestId request, unsigned attempt) = 0;
   // Calls on_wakeup() with `token` once, after `delay`; replaces an earlier call with the same token.
-  virtual void schedule_wakeup(Span delay, std::uint64_t token) = 0;
+  virtual void schedule_wakeup(Duration delay, std::uint64_t token) = 0;
   // Opens a watch on the endpoint list unless one stands.
   virtual void watch_endpoints() = 0;
   // Sends the platform this router's vote on a release.
--- a/src/policy/router_settings.hpp
+++ b/src/policy/router_settings.hpp
@@ -13,9 +13,9 @@
 struct RequestClass {
   Idempotency idempotency = Idempotency::kIdempotent;
   IdempotencyScope scope = IdempotencyScope::kAll;  // of a keyed class
-  Span latency_objective;                           // an answer within it is in time
-  Span client_timeout;
-  Span key_retention;               // how long endpoints know the key of a keyed request
+  Duration latency_objective;                       // an answer within it is in time
+  Duration client_timeout;
+  Duration key_retention;           // how long endpoints know the key of a keyed request
   double priority_weight = 1;       // what an answer in time is worth
   double late_priority_weight = 0;  // what a late one is worth
 };
@@ -39,17 +39,17 @@
   bool may_hedge = false;             // two attempts of a request in flight at a time
   std::uint32_t max_attempts = 1;     // of a request
   bool may_send_retry_after = false;
-  Span max_retry_after;
+  Duration max_retry_after;
 
   // Endpoints.
-  Span drain_grace;              // after the notice of a drain nothing new may go to the endpoint
-  Span endpoint_poll_interval;   // how often the list is to be asked for at least
-  Span slow_start_window;        // over which attempts to an endpoint that warms up are counted
-  Span slow_start_duration;      // from its start until it is warm
-  Span clock_tick;               // by which the counts at two ends of a connection may differ
-  double overload_multiple = 2;  // of what an endpoint can do in a window: pushes it over
-  double initial_capacity = 1;   // of a warm one's, just started
-  double cross_zone_cost = 0;    // of a request sent to another zone, in parts of its weight
+  Duration drain_grace;             // after the notice of a drain nothing new may go to the endpoint
+  Duration endpoint_poll_interval;  // how often the list is to be asked for at least
+  Duration slow_start_window;       // over which attempts to an endpoint that warms up are counted
+  Duration slow_start_duration;     // from its start until it is warm
+  Duration clock_tick;              // by which the counts at two ends of a connection may differ
+  double overload_multiple = 2;     // of what an endpoint can do in a window: pushes it over
+  double initial_capacity = 1;      // of a warm one's, just started
+  double cross_zone_cost = 0;       // of a request sent to another zone, in parts of its weight
   double health_check_cost = 0;
 
   // Releases.
@@ -61,13 +61,13 @@
   bool rolling_update = false;               // canary endpoints replace stable ones
   std::uint32_t idempotent_only_stages = 0;  // the first so many stages take idempotent requests alone
   double exposure_allowance = 0;             // attempts beside the cap
-  Span exposure_window;
-  Span bake_time;  // the least time in a stage
+  Duration exposure_window;
+  Duration bake_time;  // the least time in a stage
 
   // Votes and evidence.
-  Span vote_ttl;
-  Span sample_interval;                  // between outcome samples
-  Span vote_answer_timeout;              // of the platform
+  Duration vote_ttl;
+  Duration sample_interval;              // between outcome samples
+  Duration vote_answer_timeout;          // of the platform
   std::uint32_t abort_votes_needed = 1;  // routers that must stand for 'abort'
   double platform_calls_per_s = 1;       // from all routers together
   double dispute_report_fraction = 0;    // part of wrong answers that is reported
--- a/src/policy/slow_start.hpp
+++ b/src/policy/slow_start.hpp
@@ -83,7 +83,7 @@
   UsualAttempts usual_attempts(unsigned machine_type) const;
 
  private:
-  static constexpr Span kWarmMargin = Span::ms(300);
+  static constexpr Duration kWarmMargin = Duration::ms(300);
 
   struct MachineType {
     double attempts = 0;   // to warm stable endpoints, in the scan at hand
--- a/src/policy/surge_detector.cpp
+++ b/src/policy/surge_detector.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr double kSurgeFactor = 1.8;  // of the usual arrivals
-constexpr Span kGoesOnWithin = Span::s(1);
+constexpr Duration kGoesOnWithin = Duration::s(1);
 constexpr double kUsualArrivalsWeight = 0.03;
 
 }  // namespace
--- a/src/policy/vote_scheduler.cpp
+++ b/src/policy/vote_scheduler.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-constexpr double kRenewAfterPart = 0.7;     // of a vote's time to live
-constexpr double kPromoteRoundPart = 0.75;  // of the time for one call of each router
-constexpr Span kTakenAtOnce = Span::s(1);   // what the platform takes within it needs no spreading
+constexpr double kRenewAfterPart = 0.7;            // of a vote's time to live
+constexpr double kPromoteRoundPart = 0.75;         // of the time for one call of each router
+constexpr Duration kTakenAtOnce = Duration::s(1);  // what the platform takes within it needs no spreading
 
 // Random waits, in rounds: least and range.
 constexpr double kAfterSendLeast = 0.5;
@@ -17,8 +17,8 @@
 constexpr double kAfterRefusalLeast = 0.25;
 constexpr double kAfterRefusalRange = 0.75;
 
-Span round(double calls, const RouterSettings& settings) {
-  return Span::s(calls / std::max(settings.platform_calls_per_s, 1.0));
+Duration round(double calls, const RouterSettings& settings) {
+  return Duration::s(calls / std::max(settings.platform_calls_per_s, 1.0));
 }
 
 }  // namespace
@@ -32,8 +32,8 @@
   if (renewal && now - sent_at_ < vote_ttl_ * kRenewAfterPart) return VoteDecision::kWait;
   if (!renewal && ballot != wanted_) {
     wanted_ = ballot;
-    const Span round = ballot.vote == Vote::kPromote ? call_round_ * kPromoteRoundPart : abort_round_;
-    next_at_ = now + std::max(Span(), round - kTakenAtOnce) * random_.unit();
+    const Duration round = ballot.vote == Vote::kPromote ? call_round_ * kPromoteRoundPart : abort_round_;
+    next_at_ = now + std::max(Duration(), round - kTakenAtOnce) * random_.next_double();
   }
   if (now < next_at_) return VoteDecision::kWait;
   standing_ = ballot.vote;
@@ -54,8 +54,8 @@
   return standing_ == ballot.vote && (ballot.vote == Vote::kAbort || standing_stage_ == ballot.stage);
 }
 
-Span VoteScheduler::random_wait(double least, double range) {
-  return call_round_ * (least + range * random_.unit());
+Duration VoteScheduler::random_wait(double least, double range) {
+  return call_round_ * (least + range * random_.next_double());
 }
 
 }  // namespace ashbeam::policy
--- a/src/policy/vote_scheduler.hpp
+++ b/src/policy/vote_scheduler.hpp
@@ -39,12 +39,12 @@
  private:
   bool stands(const Ballot& ballot) const;
   // A random wait between `least` and `least + range` times the time for one call of each router.
-  Span random_wait(double least, double range);
+  Duration random_wait(double least, double range);
 
   Pcg& random_;
-  Span vote_ttl_;
-  Span call_round_;   // in which the platform takes one call of each router
-  Span abort_round_;  // in which it takes as many as abort votes are needed
+  Duration vote_ttl_;
+  Duration call_round_;   // in which the platform takes one call of each router
+  Duration abort_round_;  // in which it takes as many as abort votes are needed
   Vote standing_ = Vote::kAbstain;
   unsigned standing_stage_ = 0;
   Ballot wanted_;  // the last ballot that had to wait for its turn
--- a/src/program/access_config_loader.cpp
+++ b/src/program/access_config_loader.cpp
@@ -10,9 +10,9 @@
 
 namespace {
 
-constexpr Span kMaxPollInterval = Span::s(1);
-constexpr Span kWallClockTolerance = Span::s(1);
-constexpr Span kHangingLoad = Span::s(5);
+constexpr Duration kMaxPollInterval = Duration::s(1);
+constexpr Duration kWallClockTolerance = Duration::s(1);
+constexpr Duration kHangingLoad = Duration::s(5);
 
 }  // namespace
 
@@ -70,7 +70,7 @@
   service_.set_authorizer(std::make_unique<calling::Authorizer>(config_.calling->settings, seed, loop_.now()),
                           config_.calling->forward_tokens);
   apply_key_sets(loaded.keys);
-  poll_timer_.in(Span());
+  poll_timer_.schedule_after(Duration());
 }
 
 void AccessConfigLoader::install_metadata_verifier() {
@@ -102,8 +102,8 @@
 
 void AccessConfigLoader::poll() {
   const std::string& folder = config_.calling->key_folder;
-  const Span interval = config_.calling->key_poll_interval;
-  poll_timer_.in(std::min(interval, kMaxPollInterval));
+  const Duration interval = config_.calling->key_poll_interval;
+  poll_timer_.schedule_after(std::min(interval, kMaxPollInterval));
   check_wall_clock();
   const Instant now = loop_.now();
   warn_if_load_hangs(now);
@@ -115,8 +115,8 @@
 }
 
 void AccessConfigLoader::check_wall_clock() {
-  const Span ahead = loop_.wall_clock_offset();
-  const Span before = service_.authorizer()->wall_clock_ahead();
+  const Duration ahead = loop_.wall_clock_offset();
+  const Duration before = service_.authorizer()->wall_clock_ahead();
   if (ahead > before + kWallClockTolerance || ahead < before - kWallClockTolerance) {
     const std::int64_t change_ms = (ahead - before).us() / 1000;
     log_("calling: the machine's clock was set by " + std::to_string(change_ms) + " ms");
--- a/src/program/demo.cpp
+++ b/src/program/demo.cpp
@@ -42,10 +42,10 @@
 constexpr unsigned kCanaryEndpoints[] = {1, 3, kEndpoints};  // by stage
 
 constexpr double kRequestsPerS = 240;
-constexpr Span kLoadTick = Span::ms(5);
-constexpr Span kSignalPollInterval = Span::ms(50);
-constexpr Span kFirstRelease = Span::s(1.5);
-constexpr Span kBetweenReleases = Span::s(2);
+constexpr Duration kLoadTick = Duration::ms(5);
+constexpr Duration kSignalPollInterval = Duration::ms(50);
+constexpr Duration kFirstRelease = Duration::s(1.5);
+constexpr Duration kBetweenReleases = Duration::s(2);
 
 // As an operator of the platform would write them.
 constexpr const char* kConfiguration = R"({"seed":"7","release_api":{"address":"127.0.0.1:1"},"settings":{
@@ -91,15 +91,15 @@
     for (unsigned i = 0; i < kClients; ++i) {
       clients_.push_back(std::make_unique<fakes::Client>(loop_, limits_, address()));
     }
-    if (ends_by_itself_) end_timer_.in(Span::s(options.seconds));
+    if (ends_by_itself_) end_timer_.schedule_after(Duration::s(options.seconds));
   }
 
   // Returns the program's exit code.
   int run() {
     print_introduction();
-    load_timer_.in(Span());
-    signal_timer_.in(Span());
-    release_timer_.in(kFirstRelease);
+    load_timer_.schedule_after(Duration());
+    signal_timer_.schedule_after(Duration());
+    release_timer_.schedule_after(kFirstRelease);
     loop_.run();
     std::printf("demo: %u answers 200, %u others; release %u %s, release %u %s\n", answers_200_,
                 other_answers_, kBadVersion, outcome_text(bad_outcome_), kGoodVersion,
@@ -179,8 +179,8 @@
   fakes::EndpointAnswer answer(unsigned endpoint, const http::Head& head) {
     const unsigned version = versions_[endpoint];
     fakes::EndpointAnswer answer;
-    answer.delay = Span::ms(8 + random_.below(12));
-    if (version == kBadVersion && random_.below(3) == 0) answer.status = 500;
+    answer.delay = Duration::ms(8 + random_.next_below(12));
+    if (version == kBadVersion && random_.next_below(3) == 0) answer.status = 500;
     answer.body = "endpoint " + std::to_string(endpoint) + " release " + std::to_string(version) + " for " +
                   std::string(head.find("X-Caller").value_or("nobody known")) + "\n";
     return answer;
@@ -210,7 +210,7 @@
         state.progress == ReleaseProgress::kWithdrawn || state.progress == ReleaseProgress::kReleased;
     if (!is_over) return;
     (state.version == kBadVersion ? bad_outcome_ : good_outcome_) = state.progress;
-    release_timer_.in(kBetweenReleases);
+    release_timer_.schedule_after(kBetweenReleases);
   }
 
   void start_next_release() {
@@ -222,10 +222,10 @@
   // ---- Clients ----
 
   void send_requests() {
-    load_timer_.in(kLoadTick);
+    load_timer_.schedule_after(kLoadTick);
     const double chance = kRequestsPerS * kLoadTick.s() / kClients * 2;  // some clients are busy
     for (const auto& client : clients_) {
-      if (client->busy() || random_.unit() > chance) continue;
+      if (client->busy() || random_.next_double() > chance) continue;
       client->send(draw_request(), [this](const fakes::Client::Answer& answer) {
         ++(answer.status == 200 ? answers_200_ : other_answers_);
       });
@@ -237,7 +237,7 @@
     const std::string id = "demo-" + std::to_string(++last_request_id_);
     const std::string fields = " HTTP/1.1\r\nHost: demo\r\nX-Account: shop\r\nX-Correlation-Id: " + id +
                                "\r\nX-Time-Left-Ms: 1500\r\n";
-    const unsigned draw = random_.below(10);
+    const unsigned draw = random_.next_below(10);
     if (draw < 7) return "GET /look/1" + fields + "\r\n";
     if (draw < 9) return "POST /book" + fields + "Idempotency-Key: " + id + "\r\nContent-Length: 2\r\n\r\nhi";
     return "POST /pay" + fields + "Content-Length: 2\r\n\r\nhi";
@@ -245,7 +245,7 @@
 
   void check_signals() {
     if (stop_requested != 0) return loop_.stop();
-    signal_timer_.in(kSignalPollInterval);
+    signal_timer_.schedule_after(kSignalPollInterval);
   }
 
   EventLoop loop_;
--- a/src/program/keys_command.cpp
+++ b/src/program/keys_command.cpp
@@ -107,7 +107,7 @@
   std::vector<tokens::KeyEntry> entries_;
 };
 
-Span parse_span(const std::string& text) {
+Duration parse_span(const std::string& text) {
   const auto span = records::parse_span(text);
   if (!span) throw std::runtime_error("wanted a span like 10m, found " + records::quoted(text));
   return *span;
--- a/src/program/operator_config.hpp
+++ b/src/program/operator_config.hpp
@@ -20,7 +20,7 @@
 struct CallingConfig {
   calling::CallingSettings settings;
   std::string key_folder;  // of key sets; empty: no tokens
-  Span key_poll_interval;
+  Duration key_poll_interval;
   bool forward_tokens = false;
 };
 
--- a/src/program/router_limits.cpp
+++ b/src/program/router_limits.cpp
@@ -11,20 +11,20 @@
 // A connection to an endpoint is given up before the endpoint closes it as idle.
 constexpr double kEndpointIdleFraction = 0.8;
 
-constexpr Span kShutdownMargin = Span::ms(250);
+constexpr Duration kShutdownMargin = Duration::ms(250);
 
 // The platform kills a process so long after the stop signal at the earliest.
-constexpr Span kMaxKillWait = Span::s(3);
-constexpr Span kKillMargin = Span::ms(700);
+constexpr Duration kMaxKillWait = Duration::s(3);
+constexpr Duration kKillMargin = Duration::ms(700);
 
 // The first poll of the endpoint list is delayed by a random part of this, so that routers that start
 // together do not fill discovery's queue; a router that is the only one is not delayed.
 constexpr double kInitialPollFraction = 0.4;  // of the interval in which each router polls once
-constexpr Span kMaxInitialPollDelay = Span::s(4);
+constexpr Duration kMaxInitialPollDelay = Duration::s(4);
 constexpr double kManyRouters = 10;  // from so many on the delay is full
 
-Span max_initial_poll_delay(const RouterSettings& router) {
-  const Span full = std::min(router.endpoint_poll_interval * kInitialPollFraction, kMaxInitialPollDelay);
+Duration max_initial_poll_delay(const RouterSettings& router) {
+  const Duration full = std::min(router.endpoint_poll_interval * kInitialPollFraction, kMaxInitialPollDelay);
   return full * std::min(1.0, (router.router_count - 1) / kManyRouters);
 }
 
@@ -41,15 +41,15 @@
   limits.endpoint_idle_timeout =
       std::min(limits.endpoint_idle_timeout, wire.endpoint_idle_timeout * kEndpointIdleFraction);
   limits.platform_answer_timeout = router.vote_answer_timeout;
-  Span longest_client_timeout;
+  Duration longest_client_timeout;
   for (const RequestClass& request_class : router.request_classes) {
-    const Span client_timeout = request_class.client_timeout;
-    const Span shutdown = client_timeout + limits.shutdown_accept_time + kShutdownMargin;
+    const Duration client_timeout = request_class.client_timeout;
+    const Duration shutdown = client_timeout + limits.shutdown_accept_period + kShutdownMargin;
     limits.shutdown_timeout = std::max(limits.shutdown_timeout, shutdown);
     longest_client_timeout = std::max(longest_client_timeout, client_timeout);
   }
   limits.max_initial_poll_delay = max_initial_poll_delay(router);
-  limits.earliest_kill = std::min(longest_client_timeout, kMaxKillWait) + kKillMargin;
+  limits.min_kill_delay = std::min(longest_client_timeout, kMaxKillWait) + kKillMargin;
   return limits;
 }
 
--- a/src/program/serve.cpp
+++ b/src/program/serve.cpp
@@ -28,7 +28,7 @@
 // Topics of detailed log lines from the start, see DetailLog; SIGUSR1 switches all of them on and off in
 // service.
 constexpr const char* kDetailLogVariable = "ASHBEAM_LOG";
-constexpr Span kSignalPollInterval = Span::ms(20);
+constexpr Duration kSignalPollInterval = Duration::ms(20);
 constexpr std::size_t kMinSockets = 64;
 
 // Set by signal handlers, cleared by the event loop.
@@ -102,14 +102,15 @@
     spdlog::info("{} serves at {}: {} request classes, router {} of {}", configuration_.site.name,
                  configuration_.site.listen_address, router_settings_.request_classes.size(),
                  router_settings_.router_index, router_settings_.router_count);
-    signal_timer_.in(Span());
+    signal_timer_.schedule_after(Duration());
     loop_.run();
     spdlog::info("stopped");
   }
 
  private:
   void handle_signals() {
-    signal_timer_.in(kSignalPollInterval);  // first: what follows may throw, and the next signal still counts
+    signal_timer_.schedule_after(
+        kSignalPollInterval);  // first: what follows may throw, and the next signal still counts
     if (take_request(stop_requested)) stop();
     if (take_request(detail_log_requested)) toggle_detail_log();
     if (take_request(reload_requested)) reload();
@@ -122,8 +123,8 @@
 
   void toggle_detail_log() {
     DetailLog& detail = service_.detail_log();
-    detail.enable(detail.on() ? "" : "all");
-    spdlog::info("detailed lines {}", detail.on() ? "on" : "off");
+    detail.enable(detail.is_enabled() ? "" : "all");
+    spdlog::info("detailed lines {}", detail.is_enabled() ? "on" : "off");
   }
 
   void reload() {
--- a/src/records/value.cpp
+++ b/src/records/value.cpp
@@ -35,9 +35,9 @@
   return kNothing;
 }
 
-Span Value::span() const { return parse_span(text).value_or(Span()); }
+Duration Value::span() const { return parse_span(text).value_or(Duration()); }
 
-std::optional<Span> parse_span(std::string_view text) {
+std::optional<Duration> parse_span(std::string_view text) {
   double count = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), count);
   const double unit = unit_us(text.substr(static_cast<std::size_t>(end - text.data())));
@@ -45,7 +45,7 @@
   const double us = count * unit;
   const bool in_range = count >= 0 && us <= kMaxSpanUs;  // false for a NaN
   if (!in_range) return std::nullopt;
-  return Span::us(std::llround(us));
+  return Duration::us(std::llround(us));
 }
 
 std::string describe(const Value& value) {
--- a/src/records/value.hpp
+++ b/src/records/value.hpp
@@ -29,7 +29,7 @@
   const Value& operator[](std::string_view name) const;
   bool given() const { return kind != Kind::kNone; }
   // Of a checked span's text; zero where it is none.
-  Span span() const;
+  Duration span() const;
 };
 
 struct NamedValue {
@@ -38,7 +38,7 @@
 };
 
 // "250ms", "5s", "1.5m", "24h"; nothing where the text is no span, or longer than 1,000 days.
-std::optional<Span> parse_span(std::string_view text);
+std::optional<Duration> parse_span(std::string_view text);
 
 // The value as problems name it.
 std::string describe(const Value& value);
--- a/src/routing/client_connection.cpp
+++ b/src/routing/client_connection.cpp
@@ -13,12 +13,13 @@
       connection_(owner.loop_, owner.limits_, *this, accepted, std::move(tls)),
       requests_(http::Side::kRequests, owner.limits_.max_head_bytes, owner.limits_.max_body_bytes),
       timer_(owner.loop_, [this] { on_timer(); }) {
-  timer_.in(connection_.handshaking() ? owner_.handshake_timeout_() : owner_.limits_.first_request_timeout);
+  timer_.schedule_after(connection_.handshaking() ? owner_.handshake_timeout_()
+                                                  : owner_.limits_.first_request_timeout);
 }
 
 void ClientConnection::on_connected() {
   state_since_ = owner_.loop_.now();
-  timer_.in(owner_.limits_.first_request_timeout);
+  timer_.schedule_after(owner_.limits_.first_request_timeout);
 }
 
 void ClientConnection::on_data() {
@@ -44,12 +45,12 @@
   if (got == http::ParseResult::kIncomplete) {
     if (!had_begun && requests_.started()) {
       state_since_ = owner_.loop_.now();
-      if (answered_once_) timer_.in(owner_.limits_.request_read_timeout);
+      if (answered_once_) timer_.schedule_after(owner_.limits_.request_read_timeout);
     }
-    if (!timer_.armed()) wait_for_next_request();  // nothing but blank lines came early
+    if (!timer_.is_scheduled()) wait_for_next_request();  // nothing but blank lines came early
     return;
   }
-  timer_.off();
+  timer_.cancel();
   state_ = State::kAwaitingAnswer;
   if (got == http::ParseResult::kComplete) {
     close_after_answer_ = close_after_answer_ || requests_.closes_connection();
@@ -76,7 +77,7 @@
   bytes.append(http::reason_phrase(status)).append("\r\n").append(fields);
   if (close_after_answer_) bytes += "Connection: close\r\n";
   bytes.append("\r\n").append(body);
-  timer_.in(owner_.limits_.answer_write_timeout);
+  timer_.schedule_after(owner_.limits_.answer_write_timeout);
   connection_.write(bytes);
   if (!connection_.may_have_unwritten_output()) on_answer_written();
 }
@@ -86,18 +87,18 @@
 }
 
 void ClientConnection::on_answer_written() {
-  timer_.off();
+  timer_.cancel();
   state_since_ = owner_.loop_.now();
   if (close_after_answer_) return linger();
   answered_once_ = true;
   requests_.start_next();
   if (answered_client_error_) {  // slows down a client that repeats a bad request at once
     state_ = State::kDelayed;
-    return timer_.in(owner_.limits_.bad_request_pause);
+    return timer_.schedule_after(owner_.limits_.bad_request_delay);
   }
   state_ = State::kReading;
   if (connection_.unread().empty()) return wait_for_next_request();
-  timer_.at(state_since_);  // what came early is read after the callback at hand
+  timer_.schedule_at(state_since_);  // what came early is read after the callback at hand
 }
 
 void ClientConnection::close_idle() {
@@ -111,14 +112,14 @@
 void ClientConnection::linger() {
   state_ = State::kLingering;
   connection_.shutdown_write();
-  timer_.in(owner_.limits_.lingering_close_timeout);
+  timer_.schedule_after(owner_.limits_.lingering_close_timeout);
   connection_.discard_input();
 }
 
 void ClientConnection::wait_for_next_request() {
   const Limits& limits = owner_.limits_;
-  const Span timeout = owner_.crowded() ? limits.crowded_client_idle_timeout : limits.client_idle_timeout;
-  timer_.at(state_since_ + timeout);
+  const Duration timeout = owner_.crowded() ? limits.crowded_client_idle_timeout : limits.client_idle_timeout;
+  timer_.schedule_at(state_since_ + timeout);
 }
 
 void ClientConnection::on_closed() {
@@ -140,7 +141,8 @@
   }
   if (state_ == State::kAwaitingAnswer) return owner_.callbacks_.on_answer_overdue(*this);
   if (state_ != State::kReading) return owner_.remove(this);
-  if (!connection_.is_idle()) return timer_.in(owner_.limits_.min_idle_before_close);  // a request is coming
+  if (!connection_.is_idle())
+    return timer_.schedule_after(owner_.limits_.min_idle_before_close);  // a request is coming
   close_idle();
 }
 
--- a/src/routing/client_connection.hpp
+++ b/src/routing/client_connection.hpp
@@ -30,7 +30,7 @@
   // The same with the status' reason phrase as its body.
   void answer_plain(unsigned status, std::string_view fields = {});
   // The owner is notified if the request at hand has no answer by then.
-  void set_answer_deadline(Instant when) { timer_.at(when); }
+  void set_answer_deadline(Instant when) { timer_.schedule_at(when); }
   // The connection ends after the answer to the request at hand.
   void close_after_answer() { close_after_answer_ = true; }
   // What the connection's handshake has proven, as things stand now; nothing on a plain one.
--- a/src/routing/client_connections.cpp
+++ b/src/routing/client_connections.cpp
@@ -13,7 +13,7 @@
       listener_(loop, address, limits.accept_backlog, [this](int fd) { on_accept(fd, false); }) {}
 
 void ClientConnections::listen_with_tls(const std::string& address, MakeTlsStream make_tls,
-                                        std::function<Span()> handshake_timeout) {
+                                        std::function<Duration()> handshake_timeout) {
   make_tls_ = std::move(make_tls);
   handshake_timeout_ = std::move(handshake_timeout);
   tls_listener_ = std::make_unique<Listener>(loop_, address, limits_.accept_backlog,
@@ -55,7 +55,7 @@
 
 void ClientConnections::pause_accepting() {
   pause_listeners(true);
-  room_timer_.in(limits_.new_connection_grace);
+  room_timer_.schedule_after(limits_.new_connection_grace_period);
 }
 
 bool ClientConnections::may_be_evicted(const ClientConnection& connection, Instant now) const {
@@ -63,7 +63,7 @@
   const bool reading = connection.state_ == State::kReading;
   const bool lingering = connection.state_ == State::kLingering;
   if (!lingering && !reading && connection.state_ != State::kDelayed) return false;
-  Span spared = limits_.new_connection_grace;
+  Duration spared = limits_.new_connection_grace_period;
   if (connection.kept_alive()) {
     spared = connection.request_begun() ? limits_.partial_request_timeout : limits_.min_idle_before_close;
   }
@@ -111,7 +111,7 @@
 }
 
 void ClientConnections::remove(ClientConnection* connection) {
-  connection->timer_.off();
+  connection->timer_.cancel();
   if (connection->closed_idle_ && connection->connection_.has_discarded_input()) ++closed_idle_with_request_;
   connection->connection_.close();
   const std::size_t slot = connection->slot_;
@@ -131,7 +131,7 @@
     listener->pause(false);
     none_waiting = listener->accept_all_waiting() && none_waiting;
   }
-  if (!none_waiting || loop_.now() - last_accepted_ < limits_.shutdown_quiet_time) return false;
+  if (!none_waiting || loop_.now() - last_accepted_ < limits_.shutdown_quiet_period) return false;
   listener_.close();
   if (tls_listener_) tls_listener_->close();
   return true;
--- a/src/routing/client_connections.hpp
+++ b/src/routing/client_connections.hpp
@@ -36,7 +36,7 @@
 
   // A second listener, behind TLS. A handshake has to end within `handshake_timeout`.
   void listen_with_tls(const std::string& address, MakeTlsStream make_tls,
-                       std::function<Span()> handshake_timeout);
+                       std::function<Duration()> handshake_timeout);
   std::uint16_t port() const { return listener_.port(); }
   std::uint16_t tls_port() const { return tls_listener_ ? tls_listener_->port() : 0; }
 
@@ -96,7 +96,7 @@
   Timer room_timer_;
   Listener listener_;
   MakeTlsStream make_tls_;
-  std::function<Span()> handshake_timeout_;
+  std::function<Duration()> handshake_timeout_;
   std::unique_ptr<Listener> tls_listener_;
 };
 
--- a/src/routing/discovery_client.cpp
+++ b/src/routing/discovery_client.cpp
@@ -39,7 +39,7 @@
                                  DetailLog& detail_log, Observer& observer)
     : loop_(loop), limits_(limits), address_(std::move(address)), detail_log_(detail_log),
       observer_(observer), head_(http::Side::kAnswers, limits.max_head_bytes),
-      body_(std::numeric_limits<std::size_t>::max()), lines_(limits.max_list_line_bytes),
+      body_(std::numeric_limits<std::size_t>::max()), lines_(limits.max_discovery_line_bytes),
       silence_timer_(loop, [this] { on_silence(); }),
       stall_timer_(loop, [this] { replace(WatchEndReason::kStalled); }) {}
 
@@ -61,8 +61,8 @@
   stale_list_seen_ = false;
   revision_ = list->revision;
   has_list_ = true;
-  detail_log_.line(LogTopic::kDiscovery, loop_.now(), "discovery: version %llu%s",
-                   static_cast<unsigned long long>(revision_), list->complete ? ", complete" : "");
+  detail_log_.write_line(LogTopic::kDiscovery, loop_.now(), "discovery: version %llu%s",
+                         static_cast<unsigned long long>(revision_), list->complete ? ", complete" : "");
   observer_.on_endpoint_list(*list);
   return true;
 }
@@ -95,7 +95,7 @@
   begin_call(limits_.discovery_call_timeout);
 }
 
-void DiscoveryClient::begin_call(Span first_line_timeout) {
+void DiscoveryClient::begin_call(Duration first_line_timeout) {
   head_.clear();
   lines_.clear();
   in_body_ = false;
@@ -103,27 +103,27 @@
   ++call_number_;
   call_bytes_ = 0;
   call_began_at_ = loop_.now();
-  detail_log_.line(LogTopic::kDiscovery, call_began_at_,
-                   "discovery: call %llu to %s begins, has version %llu", call_number(), address_.c_str(),
-                   static_cast<unsigned long long>(has_list_ ? revision_ : 0));
+  detail_log_.write_line(LogTopic::kDiscovery, call_began_at_,
+                         "discovery: call %llu to %s begins, has version %llu", call_number(),
+                         address_.c_str(), static_cast<unsigned long long>(has_list_ ? revision_ : 0));
   Connection::Owner& owner = *this;
   connection_ = std::make_unique<Connection>(loop_, limits_, owner, address_);
   std::string request = "GET /registry/instances?follow=1";
   if (has_list_) request += "&since=" + std::to_string(revision_);
   connection_->write(request + " HTTP/1.1\r\nHost: " + address_ + "\r\n\r\n");
-  silence_timer_.in(first_line_timeout);
+  silence_timer_.schedule_after(first_line_timeout);
 }
 
 // Only a complete line is a sign of life: a list that trickles in and never ends says nothing.
 bool DiscoveryClient::on_line(std::string_view line) {
   if (!line.empty() || !established_)
-    detail_log_.line(LogTopic::kDiscovery, loop_.now(),
-                     "discovery: call %llu line of %zu bytes, after %.1f ms", call_number(), line.size(),
-                     call_ms());
+    detail_log_.write_line(LogTopic::kDiscovery, loop_.now(),
+                           "discovery: call %llu line of %zu bytes, after %.1f ms", call_number(),
+                           line.size(), call_ms());
   if (!line.empty() && !apply_line(line)) return false;
   established_ = true;
   replacements_ = 0;
-  silence_timer_.in(limits_.watch_silence_timeout);
+  silence_timer_.schedule_after(limits_.watch_silence_timeout);
   observer_.on_list_confirmed();
   return true;
 }
@@ -150,9 +150,9 @@
 }
 
 void DiscoveryClient::watch_for_stall() {
-  if (!line_begun()) return stall_timer_.off();
+  if (!line_begun()) return stall_timer_.cancel();
   observer_.on_line_begun();
-  stall_timer_.in(limits_.watch_stall_timeout);
+  stall_timer_.schedule_after(limits_.watch_stall_timeout);
 }
 
 void DiscoveryClient::on_closed() {
@@ -162,8 +162,8 @@
 }
 
 void DiscoveryClient::on_connected() {
-  detail_log_.line(LogTopic::kDiscovery, loop_.now(), "discovery: call %llu connected, after %.1f ms",
-                   call_number(), call_ms());
+  detail_log_.write_line(LogTopic::kDiscovery, loop_.now(), "discovery: call %llu connected, after %.1f ms",
+                         call_number(), call_ms());
 }
 
 void DiscoveryClient::on_data() {
@@ -171,9 +171,9 @@
   const std::size_t unread = bytes.size();
   call_bytes_ += unread;
   if (!established_)
-    detail_log_.line(LogTopic::kDiscovery, loop_.now(),
-                     "discovery: call %llu bytes %zu, %llu in all, after %.1f ms", call_number(), unread,
-                     static_cast<unsigned long long>(call_bytes_), call_ms());
+    detail_log_.write_line(LogTopic::kDiscovery, loop_.now(),
+                           "discovery: call %llu bytes %zu, %llu in all, after %.1f ms", call_number(),
+                           unread, static_cast<unsigned long long>(call_bytes_), call_ms());
   if (!in_body_ && !read_head(bytes)) return;
   observer_.on_line_begun();
   raw_body_.clear();
@@ -220,12 +220,12 @@
 }
 
 void DiscoveryClient::close_call(WatchEndReason reason) {
-  silence_timer_.off();
-  stall_timer_.off();
+  silence_timer_.cancel();
+  stall_timer_.cancel();
   if (!connection_) return;
-  detail_log_.line(LogTopic::kDiscovery, loop_.now(),
-                   "discovery: call %llu closed: %s, after %.1f ms, %llu bytes, %s", call_number(),
-                   name_of(reason), call_ms(), static_cast<unsigned long long>(call_bytes_), progress());
+  detail_log_.write_line(
+      LogTopic::kDiscovery, loop_.now(), "discovery: call %llu closed: %s, after %.1f ms, %llu bytes, %s",
+      call_number(), name_of(reason), call_ms(), static_cast<unsigned long long>(call_bytes_), progress());
   connection_->close();
   loop_.destroy_later(std::move(connection_));
 }
--- a/src/routing/discovery_client.hpp
+++ b/src/routing/discovery_client.hpp
@@ -74,7 +74,7 @@
   void on_data() override;
   void on_closed() override;
 
-  void begin_call(Span first_line_timeout);
+  void begin_call(Duration first_line_timeout);
   bool read_head(std::string_view& bytes);
   bool on_line(std::string_view line);
   bool is_stale(const EndpointList& list) const { return has_list_ && list.revision < revision_; }
--- a/src/routing/endpoint_list_lease.cpp
+++ b/src/routing/endpoint_list_lease.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 // What was confirmed longer ago than this never was.
-constexpr Span kMaxAge = Span::s(1e6);
+constexpr Duration kMaxAge = Duration::s(1e6);
 
 }  // namespace
 
@@ -52,7 +52,7 @@
 
 void EndpointListLease::log_state(const char* reason) const {
   if (logged_state_ == policy::LeaseState::kFresh) return context_.log("endpoint list: fresh");
-  const Span age = context_.loop.now() - lease_.confirmed_at();
+  const Duration age = context_.loop.now() - lease_.confirmed_at();
   const std::string confirmed = age < kMaxAge ? std::to_string(age.us() / 1000) + " ms ago" : "never";
   context_.log(std::string("endpoint list: ") + policy::name_of(logged_state_) + ", " + reason +
                ", last confirmed " + confirmed);
@@ -64,14 +64,14 @@
   validity.none_after = lease_.pending_until();
   context_.policy.at_now().set_endpoint_list_validity(validity);
   if (validity.all_until > context_.loop.now()) {
-    expiry_timer_.at(validity.all_until);
+    expiry_timer_.schedule_at(validity.all_until);
   } else {
-    expiry_timer_.off();
+    expiry_timer_.cancel();
   }
 }
 
 policy::EndpointLeaseSettings endpoint_lease_settings(const Limits& limits, const RouterSettings& settings,
-                                                      Span connect_timeout) {
+                                                      Duration connect_timeout) {
   policy::EndpointLeaseSettings lease;
   if (settings.must_watch_endpoints)
     lease.notified_within = std::min(lease.notified_within, settings.endpoint_poll_interval);
--- a/src/routing/endpoint_list_lease.hpp
+++ b/src/routing/endpoint_list_lease.hpp
@@ -40,6 +40,6 @@
 
 // The settings of the lease; `connect_timeout` is how long an attempt may wait for its connection.
 policy::EndpointLeaseSettings endpoint_lease_settings(const Limits& limits, const RouterSettings& settings,
-                                                      Span connect_timeout);
+                                                      Duration connect_timeout);
 
 }  // namespace ashbeam
--- a/src/routing/endpoint_pools.cpp
+++ b/src/routing/endpoint_pools.cpp
@@ -45,7 +45,7 @@
 
   // No callback comes after this.
   void close() {
-    timer_.off();
+    timer_.cancel();
     connection_.close();
   }
 
@@ -54,12 +54,12 @@
     until_ = until;
     answers_.start_next();
     if (!connection_.connecting()) {
-      timer_.at(until);
+      timer_.schedule_at(until);
       connection_.write(make_bytes(until));
       return;
     }
     make_bytes_ = std::move(make_bytes);
-    timer_.at(std::min(until, pools_.loop_.now() + pools_.connect_timeout_));
+    timer_.schedule_at(std::min(until, pools_.loop_.now() + pools_.connect_timeout_));
   }
 
   // Ends the attempt, from a callback of the connection.
@@ -83,7 +83,7 @@
   void on_connected() override {
     opened_at_ = pools_.loop_.now();
     if (!in_flight()) return;
-    timer_.at(until_);
+    timer_.schedule_at(until_);
     connection_.write(std::exchange(make_bytes_, nullptr)(until_));
   }
 
@@ -125,9 +125,9 @@
     keep = keep && written();
     idle_since_ = pools_.loop_.now();
     if (keep) {
-      timer_.at(idle_since_ + pools_.limits_.endpoint_idle_timeout);
+      timer_.schedule_at(idle_since_ + pools_.limits_.endpoint_idle_timeout);
     } else {
-      timer_.off();
+      timer_.cancel();
     }
     on_end(result, &answers_);
     if (keep && reusable_) {
@@ -156,7 +156,7 @@
   bool reusable_ = true;
 };
 
-EndpointPools::EndpointPools(EventLoop& loop, const Limits& limits, Span connect_timeout)
+EndpointPools::EndpointPools(EventLoop& loop, const Limits& limits, Duration connect_timeout)
     : loop_(loop), limits_(limits), connect_timeout_(connect_timeout) {}
 
 EndpointPools::~EndpointPools() = default;
@@ -186,8 +186,8 @@
 // An answer may have more bytes right behind it, which would be taken for the next answer: a connection
 // settles before it is used again. Where many connections to one endpoint settle at a time, each would cost a
 // new one: there the time is short, unless the endpoint has sent unsolicited bytes lately.
-Span EndpointPools::settle_time(const Pool& pool) const {
-  const bool suspect = loop_.now() - pool.unsolicited_at < limits_.unsolicited_bytes_memory;
+Duration EndpointPools::settle_time(const Pool& pool) const {
+  const bool suspect = loop_.now() - pool.unsolicited_at < limits_.unsolicited_bytes_retention;
   const bool busy = pool.idle.size() >= limits_.max_settling_connections;
   return busy && !suspect ? limits_.busy_endpoint_settle_time : limits_.endpoint_settle_time;
 }
--- a/src/routing/endpoint_pools.hpp
+++ b/src/routing/endpoint_pools.hpp
@@ -33,7 +33,7 @@
   using MakeBytes = std::function<std::string(Instant until)>;
 
   // `connect_timeout` bounds how long an attempt waits to be written.
-  EndpointPools(EventLoop& loop, const Limits& limits, Span connect_timeout);
+  EndpointPools(EventLoop& loop, const Limits& limits, Duration connect_timeout);
   ~EndpointPools();
   EndpointPools(const EndpointPools&) = delete;
   EndpointPools& operator=(const EndpointPools&) = delete;
@@ -48,7 +48,7 @@
   bool cancel_if_unsent(PooledConnection* connection);
   // Far in the future where it has not opened.
   static Instant opened_at(const PooledConnection* connection);
-  Span connect_timeout() const { return connect_timeout_; }
+  Duration connect_timeout() const { return connect_timeout_; }
 
  private:
   struct Pool {
@@ -57,7 +57,7 @@
     Instant unsolicited_at;               // when the endpoint last sent bytes that answer nothing
   };
 
-  Span settle_time(const Pool& pool) const;
+  Duration settle_time(const Pool& pool) const;
   PooledConnection* take_idle(EndpointIndex endpoint);
   PooledConnection* open_new(EndpointIndex endpoint);
   bool make_room();
@@ -65,7 +65,7 @@
 
   EventLoop& loop_;
   const Limits& limits_;
-  Span connect_timeout_;
+  Duration connect_timeout_;
   std::vector<Pool> pools_;  // by EndpointIndex
   std::vector<std::unique_ptr<PooledConnection>> connections_;
 };
--- a/src/routing/endpoint_watch.cpp
+++ b/src/routing/endpoint_watch.cpp
@@ -17,7 +17,7 @@
 
 void EndpointWatch::start(std::uint64_t seed) {
   started_ = true;
-  first_call_timer_.in(context_.limits.max_initial_poll_delay * Pcg(seed).unit());
+  first_call_timer_.schedule_after(context_.limits.max_initial_poll_delay * Pcg(seed).next_double());
 }
 
 // After the callback at hand, since the decisions may ask for it in an event that the discovery client
--- a/src/routing/graceful_shutdown.cpp
+++ b/src/routing/graceful_shutdown.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr Span kCheckInterval = Span::ms(20);
+constexpr Duration kCheckInterval = Duration::ms(20);
 
 }  // namespace
 
@@ -23,24 +23,24 @@
   begun_at_ = context_.loop.now();
   done_ = std::move(done);
   clients_.begin_shutdown();
-  check_timer_.in(context_.limits.shutdown_accept_time);
+  check_timer_.schedule_after(context_.limits.shutdown_accept_period);
 }
 
 Instant GracefulShutdown::bound_deadline(Instant deadline) const {
   if (!begun_) return deadline;
-  return std::min(deadline, begun_at_ + context_.limits.earliest_kill - context_.limits.kill_margin);
+  return std::min(deadline, begun_at_ + context_.limits.min_kill_delay - context_.limits.kill_margin);
 }
 
 void GracefulShutdown::check() {
   const bool closed = clients_.close_listeners();
   clients_.close_idle();
-  const Span since_begin = context_.loop.now() - begun_at_;
-  const Span timeout = context_.limits.shutdown_timeout;
+  const Duration since_begin = context_.loop.now() - begun_at_;
+  const Duration timeout = context_.limits.shutdown_timeout;
   // Whoever still waits gets an answer, and a moment to read it.
   if (since_begin > timeout) requests_.fail_all_unanswered();
   const bool over = closed && requests_.empty() && clients_.empty();
   const bool timed_out = since_begin > timeout + context_.limits.min_idle_before_close;
-  if (!over && !timed_out) return check_timer_.in(kCheckInterval);
+  if (!over && !timed_out) return check_timer_.schedule_after(kCheckInterval);
   finish();
 }
 
--- a/src/routing/local_failure_log.hpp
+++ b/src/routing/local_failure_log.hpp
@@ -14,11 +14,11 @@
 
   void on_failure() {
     if (failures_++ == 0) context_.log("attempts fail on this machine: no connection can be made");
-    over_timer_.in(kOverAfter);
+    over_timer_.schedule_after(kOverAfter);
   }
 
  private:
-  static constexpr Span kOverAfter = Span::s(1);  // without a failure
+  static constexpr Duration kOverAfter = Duration::s(1);  // without a failure
 
   void on_over() {
     context_.log("attempts no longer fail on this machine: " + std::to_string(failures_) + " did");
--- a/src/routing/metadata_check.cpp
+++ b/src/routing/metadata_check.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-constexpr Span kLogInterval = Span::s(1);
+constexpr Duration kLogInterval = Duration::s(1);
 constexpr std::size_t kMaxLoggedFileBytes = 80;
 constexpr unsigned kNotFoundStatus = 404;
 
--- a/src/routing/readiness.hpp
+++ b/src/routing/readiness.hpp
@@ -11,7 +11,7 @@
   explicit Readiness(RouterContext& context)
       : context_(context), wait_timer_(context.loop, [this] { on_wait_over(); }) {}
 
-  void start() { wait_timer_.in(context_.limits.ready_without_list_after); }
+  void start() { wait_timer_.schedule_after(context_.limits.ready_without_list_timeout); }
   void on_list_confirmed() {
     if (!ready_) set_ready();
   }
@@ -23,7 +23,7 @@
     set_ready();
   }
   void set_ready() {
-    wait_timer_.off();
+    wait_timer_.cancel();
     ready_ = true;
   }
 
--- a/src/routing/release_client.cpp
+++ b/src/routing/release_client.cpp
@@ -12,7 +12,8 @@
                              Callbacks callbacks)
     : loop_(loop), limits_(limits), address_(std::move(address)), random_(seed),
       callbacks_(std::move(callbacks)), lines_(limits.max_platform_line_bytes),
-      backoff_(limits.platform_retry_min), silence_timer_(loop, [this] { on_lost(LossReason::kSilent); }),
+      backoff_(limits.min_platform_retry_delay),
+      silence_timer_(loop, [this] { on_lost(LossReason::kSilent); }),
       reconnect_timer_(loop, [this] { open(); }), answer_timer_(loop, [this] { give_up_overdue_calls(); }) {}
 
 const char* ReleaseClient::name_of(LossReason reason) {
@@ -33,19 +34,19 @@
   Connection::Owner& owner = *this;
   connection_ = std::make_unique<Connection>(loop_, limits_, owner, address_);
   call(kSubscribeMethod, "", CallKind::kSubscribe);
-  silence_timer_.in(limits_.platform_connect_timeout);
+  silence_timer_.schedule_after(limits_.platform_connect_timeout);
 }
 
 void ReleaseClient::on_connected() {
   connected_ = true;
-  silence_timer_.in(limits_.platform_silence_timeout);
+  silence_timer_.schedule_after(limits_.platform_silence_timeout);
 }
 
 void ReleaseClient::call(const char* method, const std::string& params, CallKind kind) {
   const bool is_vote = kind == CallKind::kVote;
   calls_.push_back({next_call_id_, is_vote, loop_.now() + limits_.platform_answer_timeout});
   connection_->write(json_rpc_request(next_call_id_++, method, params));
-  if (is_vote && !answer_timer_.armed()) answer_timer_.at(calls_.back().deadline);
+  if (is_vote && !answer_timer_.is_scheduled()) answer_timer_.schedule_at(calls_.back().deadline);
 }
 
 void ReleaseClient::vote(ReleaseVersion version, unsigned stage, Vote vote) {
@@ -68,13 +69,13 @@
     call.awaits_outcome = false;
     callbacks_.on_vote_outcome(VoteOutcome::kUnknown, nullptr);
   }
-  if (next_deadline < Instant::never()) answer_timer_.at(next_deadline);
+  if (next_deadline < Instant::never()) answer_timer_.schedule_at(next_deadline);
   finish_if_retired();
 }
 
 void ReleaseClient::retire(std::function<void()> on_retired) {
   on_retired_ = std::move(on_retired);
-  reconnect_timer_.off();
+  reconnect_timer_.cancel();
   finish_if_retired();
 }
 
@@ -97,7 +98,8 @@
 bool ReleaseClient::on_line(std::string_view line) {
   const auto message = Json::parse(line);
   if (!message || !message->is_object()) return false;
-  silence_timer_.in(limits_.platform_silence_timeout);  // bytes that never end a line are no sign of life
+  silence_timer_.schedule_after(
+      limits_.platform_silence_timeout);  // bytes that never end a line are no sign of life
   on_established();
   const std::string method = message->text("method");
   if (method.empty()) return on_answer(*message);
@@ -107,7 +109,7 @@
     const bool retired = on_retired_ != nullptr;
     if (!retired && !callbacks_.on_notification(method, *params)) return false;
   }
-  backoff_ = limits_.platform_retry_min;
+  backoff_ = limits_.min_platform_retry_delay;
   return true;
 }
 
@@ -143,8 +145,8 @@
 }
 
 void ReleaseClient::close() {
-  silence_timer_.off();
-  answer_timer_.off();
+  silence_timer_.cancel();
+  answer_timer_.cancel();
   if (!connection_) return;
   connection_->close();
   loop_.destroy_later(std::move(connection_));
@@ -160,8 +162,8 @@
     if (call.awaits_outcome) callbacks_.on_vote_outcome(outcome, nullptr);
   }
   if (on_retired_) return finish_if_retired();
-  reconnect_timer_.in(backoff_ * (0.5 + random_.unit()));
-  backoff_ = std::min(backoff_ * 2, limits_.platform_retry_max);
+  reconnect_timer_.schedule_after(backoff_ * (0.5 + random_.next_double()));
+  backoff_ = std::min(backoff_ * 2, limits_.max_platform_retry_delay);
 }
 
 }  // namespace ashbeam
--- a/src/routing/release_client.hpp
+++ b/src/routing/release_client.hpp
@@ -78,7 +78,7 @@
   std::uint64_t next_call_id_ = 1;
   bool connected_ = false;
   unsigned failed_tries_ = 0;  // since it was lost
-  Span backoff_;
+  Duration backoff_;
   std::function<void()> on_retired_;  // set once it is retired
   Timer silence_timer_;
   Timer reconnect_timer_;
--- a/src/routing/release_messages.cpp
+++ b/src/routing/release_messages.cpp
@@ -39,7 +39,7 @@
 }
 
 // How long ago it happened.
-Span lag_of(const Json& message) { return Span::ms(std::max(0.0, message.number("lag_ms", 0))); }
+Duration lag_of(const Json& message) { return Duration::ms(std::max(0.0, message.number("lag_ms", 0))); }
 
 }  // namespace
 
--- a/src/routing/release_messages.hpp
+++ b/src/routing/release_messages.hpp
@@ -31,7 +31,7 @@
 // A client found an answer wrong; the endpoint by its name in the endpoint list.
 struct DisputeMessage {
   std::string endpoint;
-  Span since_sent;
+  Duration since_sent;
 };
 
 std::optional<ReleaseState> decode_release_state(const Json& message);
--- a/src/routing/request_authorization.cpp
+++ b/src/routing/request_authorization.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr Span kLogInterval = Span::s(1);
+constexpr Duration kLogInterval = Duration::s(1);
 
 std::string challenge_line(calling::Refusal reason) {
   if (reason == calling::Refusal::kNoCredentials) return "WWW-Authenticate: Bearer\r\n";
@@ -33,7 +33,7 @@
   const TlsStream::PeerProof proof = client.proof(now);
   if (proof.refused) {
     client.close_after_answer();
-    refuse(client, calling::Refusal::kCertificate, Span());
+    refuse(client, calling::Refusal::kCertificate, Duration());
     return nullptr;
   }
   if (!authorizer_) return &identity_;
@@ -42,7 +42,7 @@
   asked.ambiguous = head.count("Authorization") > 1 || head.count(header::kTenant) > 1;
   asked.account = head.find(header::kTenant).value_or("");
   asked.certificate = proof.certificate;
-  Span retry_after;
+  Duration retry_after;
   const calling::Refusal reason =
       authorizer_->authenticate(asked, client.history, context_.loop.now(), identity_, retry_after);
   if (reason == calling::Refusal::kNone) return &identity_;
@@ -53,7 +53,7 @@
 bool RequestAuthorization::admit(ClientConnection& client, const calling::Identity& identity,
                                  unsigned request_class, calling::QuotaHold& hold) {
   if (!authorizer_) return true;
-  Span retry_after;
+  Duration retry_after;
   const calling::Refusal reason =
       authorizer_->admit(identity, request_class, context_.loop.now(), hold, retry_after);
   if (reason == calling::Refusal::kNone) return true;
@@ -65,14 +65,14 @@
   if (authorizer_) authorizer_->release(hold);
 }
 
-void RequestAuthorization::refuse(ClientConnection& client, calling::Refusal reason, Span retry_after) {
-  if (authorizer_ && !log_timer_.armed()) log_timer_.in(kLogInterval);
+void RequestAuthorization::refuse(ClientConnection& client, calling::Refusal reason, Duration retry_after) {
+  if (authorizer_ && !log_timer_.is_scheduled()) log_timer_.schedule_after(kLogInterval);
   const std::string refused_line = header::line(header::kRefusalReason, calling::name_of(reason));
   const unsigned status = calling::http_status_of(reason);
   if (status == 403) return client.answer_plain(status, refused_line);
   if (status == 401) return client.answer_plain(status, challenge_line(reason));
   // A millisecond more than the wait, which is cut to whole ones.
-  const Span rounded_up = Span::us((retry_after.us() / 1000 + 1) * 1000);
+  const Duration rounded_up = Duration::us((retry_after.us() / 1000 + 1) * 1000);
   client.answer_plain(429, retry_after_line(rounded_up) + refused_line);
 }
 
--- a/src/routing/request_authorization.hpp
+++ b/src/routing/request_authorization.hpp
@@ -37,7 +37,7 @@
  private:
   static constexpr auto kReasons = calling::kRefusalCount;
 
-  void refuse(ClientConnection& client, calling::Refusal reason, Span retry_after);
+  void refuse(ClientConnection& client, calling::Refusal reason, Duration retry_after);
   void log_refusals();
 
   RouterContext& context_;
--- a/src/routing/request_lifecycle.cpp
+++ b/src/routing/request_lifecycle.cpp
@@ -35,7 +35,7 @@
 // ---- Accepted ----
 
 RequestId RequestLifecycle::accept(ClientConnection& client, AcceptedRequest accepted) {
-  const RequestId id = requests_.take();
+  const RequestId id = requests_.allocate();
   Request& request = requests_[id];
   ++count_;
   request.accepted = std::move(accepted);
@@ -76,11 +76,11 @@
 }
 
 void RequestLifecycle::log_attempt_begin(RequestId id, unsigned attempt, EndpointIndex endpoint,
-                                         Span time_left) {
-  context_.detail_log.line(LogTopic::kRequests, context_.loop.now(),
-                           "request %u attempt %u to endpoint %u at %s, release %.0f, waits %.0f ms at most",
-                           id, attempt, endpoint, registry_.address(endpoint).c_str(),
-                           registry_.version(endpoint), time_left.ms());
+                                         Duration time_left) {
+  context_.detail_log.write_line(
+      LogTopic::kRequests, context_.loop.now(),
+      "request %u attempt %u to endpoint %u at %s, release %.0f, waits %.0f ms at most", id, attempt,
+      endpoint, registry_.address(endpoint).c_str(), registry_.version(endpoint), time_left.ms());
 }
 
 void RequestLifecycle::cancel_attempt(RequestId id, unsigned attempt) {
@@ -94,13 +94,13 @@
                                       const http::MessageParser* answer) {
   const Attempt ended = take_ended(id, attempt);
   const EndpointIndex endpoint = ended.endpoint;
-  const Span duration = context_.loop.now() - ended.sent_at;
+  const Duration duration = context_.loop.now() - ended.sent_at;
   if (result == AttemptResult::kLocalFailure) local_failures_.on_failure();
   if (result == AttemptResult::kOk)
     lease_.on_endpoint_answered(endpoint, ended.sent_at, EndpointPools::opened_at(ended.connection));
-  context_.detail_log.line(LogTopic::kRequests, context_.loop.now(),
-                           "request %u attempt %u to endpoint %u ended: %s, after %.1f ms", id, attempt,
-                           endpoint, name_of(result), duration.ms());
+  context_.detail_log.write_line(LogTopic::kRequests, context_.loop.now(),
+                                 "request %u attempt %u to endpoint %u ended: %s, after %.1f ms", id, attempt,
+                                 endpoint, name_of(result), duration.ms());
   const CheckedAnswer checked = check_metadata(requests_[id], endpoint, result, answer);
   const bool ok = checked.result == AttemptResult::kOk;
   const bool answered_client = ok && answer_client(id, checked.status, *answer);
@@ -143,7 +143,7 @@
 // A sticky key must not go back to an older version: an attempt there that still waits for its connection
 // when a newer version answers would arrive after that answer. It has never run, and is decided anew.
 void RequestLifecycle::cancel_unsent_to_older(std::uint64_t sticky_key, double version) {
-  for (RequestId id = 0; id < requests_.places(); ++id) {
+  for (RequestId id = 0; id < requests_.slot_count(); ++id) {
     Request& request = requests_[id];
     if (!request.in_use || request.accepted.sticky_key != sticky_key) continue;
     for (Attempt& attempt : request.attempts) {
@@ -156,8 +156,8 @@
 
 // ---- Final answers ----
 
-void RequestLifecycle::reject(RequestId id, Span retry_after) {
-  const std::string fields = retry_after > Span() ? retry_after_line(retry_after) : std::string();
+void RequestLifecycle::reject(RequestId id, Duration retry_after) {
+  const std::string fields = retry_after > Duration() ? retry_after_line(retry_after) : std::string();
   const MetadataRequest* const metadata = requests_[id].accepted.metadata.get();
   // A file that no endpoint had in a good form is no lack of capacity.
   if (metadata && !metadata->refusal.empty())
@@ -173,9 +173,9 @@
 
 // The request is released after the callback at hand: the decisions may still name it in that.
 void RequestLifecycle::answer_without_attempt(RequestId id, unsigned status, std::string_view fields) {
-  context_.detail_log.line(LogTopic::kRequests, context_.loop.now(),
-                           "request %u answered %u without an endpoint's answer, endpoint list %s", id,
-                           status, policy::name_of(lease_.state()));
+  context_.detail_log.write_line(LogTopic::kRequests, context_.loop.now(),
+                                 "request %u answered %u without an endpoint's answer, endpoint list %s", id,
+                                 status, policy::name_of(lease_.state()));
   if (ClientConnection* const client = take_client(id)) client->answer_plain(status, fields);
   context_.loop.post([this, id] { release_if_over(id); });
 }
@@ -191,7 +191,8 @@
 void RequestLifecycle::on_client_closed(ClientConnection& client) {
   if (!client.request) return;
   const RequestId id = *client.request;
-  context_.detail_log.line(LogTopic::kRequests, context_.loop.now(), "request %u: its client closed", id);
+  context_.detail_log.write_line(LogTopic::kRequests, context_.loop.now(), "request %u: its client closed",
+                                 id);
   take_client(id);
   disconnect(id);
 }
@@ -201,7 +202,7 @@
 }
 
 void RequestLifecycle::fail_all_unanswered() {
-  for (RequestId id = 0; id < requests_.places(); ++id) {
+  for (RequestId id = 0; id < requests_.slot_count(); ++id) {
     if (requests_[id].in_use && requests_[id].client) fail_overdue(id);
   }
 }
@@ -224,7 +225,7 @@
   --count_;
   authorization_.release(request.accepted.admission);
   request = Request{};
-  requests_.give_back(id);
+  requests_.deallocate(id);
 }
 
 }  // namespace ashbeam
--- a/src/routing/request_lifecycle.hpp
+++ b/src/routing/request_lifecycle.hpp
@@ -45,7 +45,7 @@
   // See RouterActions for these.
   void send_attempt(RequestId id, EndpointIndex endpoint);
   void cancel_attempt(RequestId id, unsigned attempt);
-  void reject(RequestId id, Span retry_after);
+  void reject(RequestId id, Duration retry_after);
   void fail(RequestId id);
 
   // The client of a request has gone; nothing happens where it has no request at hand.
@@ -79,7 +79,7 @@
   std::string attempt_bytes(RequestId id, Instant until);
   void on_attempt_end(RequestId id, unsigned attempt, AttemptResult result,
                       const http::MessageParser* answer);
-  void log_attempt_begin(RequestId id, unsigned attempt, EndpointIndex endpoint, Span time_left);
+  void log_attempt_begin(RequestId id, unsigned attempt, EndpointIndex endpoint, Duration time_left);
   // The attempt as it was, with its connection; it is not in flight any more.
   Attempt take_ended(RequestId id, unsigned attempt);
   CheckedAnswer check_metadata(Request& request, EndpointIndex endpoint, AttemptResult result,
--- a/src/routing/request_parser.cpp
+++ b/src/routing/request_parser.cpp
@@ -72,7 +72,7 @@
   if (idempotent && !request.raw_body().empty()) return RequestError{400, {}};
   RequestParameters parameters;
   parameters.request_class = static_cast<unsigned>(rule - rules.begin());
-  parameters.time_left = Span::ms(std::min(static_cast<double>(*time_left_ms), kMaxTimeLeftMs));
+  parameters.time_left = Duration::ms(std::min(static_cast<double>(*time_left_ms), kMaxTimeLeftMs));
   return parameters;
 }
 
--- a/src/routing/request_parser.hpp
+++ b/src/routing/request_parser.hpp
@@ -24,7 +24,7 @@
 
 struct RequestParameters {
   unsigned request_class = 0;  // index in the rules
-  Span time_left;              // until the client stops waiting
+  Duration time_left;          // until the client stops waiting
 };
 
 struct RequestError {
--- a/src/routing/retry_after.hpp
+++ b/src/routing/retry_after.hpp
@@ -8,7 +8,7 @@
 
 namespace ashbeam {
 
-inline std::string retry_after_line(Span retry_after) {
+inline std::string retry_after_line(Duration retry_after) {
   char line[48];
   std::snprintf(line, sizeof line, "Retry-After: %.3f\r\n", retry_after.s());
   return line;
--- a/src/routing/service.cpp
+++ b/src/routing/service.cpp
@@ -19,9 +19,9 @@
 
 // An attempt may wait for its connection, and reaches its endpoint that much later: a repeat must still come
 // while the endpoint remembers the key.
-RouterSettings with_connect_time(RouterSettings settings, Span connect_timeout) {
+RouterSettings with_connect_time(RouterSettings settings, Duration connect_timeout) {
   for (RequestClass& request_class : settings.request_classes)
-    request_class.key_retention = std::max(Span(), request_class.key_retention - connect_timeout);
+    request_class.key_retention = std::max(Duration(), request_class.key_retention - connect_timeout);
   return settings;
 }
 
@@ -34,7 +34,7 @@
   return rules;
 }
 
-Span connect_timeout(const Limits& limits, const RouterSettings& settings) {
+Duration connect_timeout(const Limits& limits, const RouterSettings& settings) {
   return std::min(limits.connect_timeout, settings.drain_grace * 0.5);
 }
 
@@ -62,7 +62,8 @@
                 instance.seed),
       authorization_(context_), metadata_(context_),
       requests_(context_, pools_, registry_, lease_, authorization_, metadata_),
-      shutdown_(context_, clients_, requests_), wakeups_(context_), recent_ids_(limits.max_remembered_ids) {
+      shutdown_(context_, clients_, requests_), wakeups_(context_),
+      recent_ids_(limits.max_remembered_request_ids) {
   context_.policy.attach(
       make_router_policy(with_connect_time(settings, pools_.connect_timeout()), instance.seed, *this));
 }
@@ -183,11 +184,11 @@
 
 void Service::log_accepted(const RequestArrival& arrival, const http::Head& head, Instant now) {
   DetailLog& log = context_.detail_log;
-  if (!log.on(LogTopic::kRequests)) return;
+  if (!log.is_enabled(LogTopic::kRequests)) return;
   const std::string_view id = head.find(header::kRequestId).value_or("");
-  log.line(LogTopic::kRequests, now, "request %u accepted: id %.*s class %u, time left %.0f ms",
-           arrival.request, static_cast<int>(id.size()), id.data(), arrival.request_class,
-           (arrival.deadline - now).ms());
+  log.write_line(LogTopic::kRequests, now, "request %u accepted: id %.*s class %u, time left %.0f ms",
+                 arrival.request, static_cast<int>(id.size()), id.data(), arrival.request_class,
+                 (arrival.deadline - now).ms());
 }
 
 }  // namespace ashbeam
--- a/src/routing/service.hpp
+++ b/src/routing/service.hpp
@@ -71,10 +71,10 @@
  private:
   // RouterActions.
   void send_attempt(RequestId id, EndpointIndex endpoint) override { requests_.send_attempt(id, endpoint); }
-  void reject(RequestId id, Span retry_after) override { requests_.reject(id, retry_after); }
+  void reject(RequestId id, Duration retry_after) override { requests_.reject(id, retry_after); }
   void fail(RequestId id) override { requests_.fail(id); }
   void cancel_attempt(RequestId id, unsigned attempt) override { requests_.cancel_attempt(id, attempt); }
-  void schedule_wakeup(Span delay, std::uint64_t token) override { wakeups_.schedule(delay, token); }
+  void schedule_wakeup(Duration delay, std::uint64_t token) override { wakeups_.schedule(delay, token); }
   void watch_endpoints() override { endpoint_watch_.watch(); }
   void cast_vote(ReleaseVersion version, unsigned stage, Vote vote) override;
   void log(std::string_view line) override { context_.log(line); }
--- a/src/routing/wakeup_timers.hpp
+++ b/src/routing/wakeup_timers.hpp
@@ -13,13 +13,13 @@
   explicit WakeupTimers(RouterContext& context) : context_(context) {}
 
   // See RouterActions::schedule_wakeup().
-  void schedule(Span delay, std::uint64_t token) {
+  void schedule(Duration delay, std::uint64_t token) {
     auto& timer = timers_[token];
     if (!timer) {
       timer = std::make_unique<Timer>(context_.loop,
                                       [this, token] { context_.policy.at_now().on_wakeup(token); });
     }
-    timer->in(delay);
+    timer->schedule_after(delay);
   }
 
  private:
--- a/src/simhost/events.cpp
+++ b/src/simhost/events.cpp
@@ -126,7 +126,7 @@
   event.end.attempt = reader.u8();
   event.address = reader.address();
   event.end.result = attempt_result(reader.u16(), reader);
-  event.end.duration = Span::ms(reader.f64());
+  event.end.duration = Duration::ms(reader.f64());
   event.end.answered_client = reader.u8() != 0;
   skip_load_report(reader);
   return event;
@@ -155,7 +155,7 @@
   const bool answers_vote = reader.u8() != 0;
   const VoteOutcome outcome = vote_outcome(reader.u16(), reader);
   event.state.exposure_cap = static_cast<double>(reader.f32());
-  event.state.age = Span::ms(reader.f64());
+  event.state.age = Duration::ms(reader.f64());
   event.state.phase = release_phase(phase, reader);
   if (answers_vote && outcome != VoteOutcome::kAccepted) return VoteRefusedEvent{outcome};
   return event;
@@ -176,7 +176,7 @@
   DisputedAnswerEvent event;
   event.address = reader.address();
   reader.u8();  // request class
-  event.since_sent = Span::ms(reader.f64());
+  event.since_sent = Duration::ms(reader.f64());
   return event;
 }
 
--- a/src/simhost/events.hpp
+++ b/src/simhost/events.hpp
@@ -59,7 +59,7 @@
 
 struct DisputedAnswerEvent {
   WireAddress address = 0;
-  Span since_sent;
+  Duration since_sent;
 };
 
 // Connections, load reports and gossip, by which nothing is decided.
--- a/src/simhost/router_instance.cpp
+++ b/src/simhost/router_instance.cpp
@@ -105,7 +105,7 @@
   record.f64(kUntilClientDeadline);
 }
 
-void RouterInstance::reject(RequestId request, Span retry_after) {
+void RouterInstance::reject(RequestId request, Duration retry_after) {
   Writer& record = action(ActionCode::kReject);
   record.u32(request);
   record.f64(retry_after.ms());
@@ -119,7 +119,7 @@
   record.u8(static_cast<std::uint8_t>(attempt));
 }
 
-void RouterInstance::schedule_wakeup(Span delay, std::uint64_t token) {
+void RouterInstance::schedule_wakeup(Duration delay, std::uint64_t token) {
   Writer& record = action(ActionCode::kScheduleWakeup);
   record.f64(delay.ms());
   record.u64(token);
--- a/src/simhost/router_instance.hpp
+++ b/src/simhost/router_instance.hpp
@@ -38,10 +38,10 @@
   void handle(const DisputedAnswerEvent& event, Instant now);
 
   void send_attempt(RequestId request, EndpointIndex endpoint) override;
-  void reject(RequestId request, Span retry_after) override;
+  void reject(RequestId request, Duration retry_after) override;
   void fail(RequestId request) override;
   void cancel_attempt(RequestId request, unsigned attempt) override;
-  void schedule_wakeup(Span delay, std::uint64_t token) override;
+  void schedule_wakeup(Duration delay, std::uint64_t token) override;
   void watch_endpoints() override;
   void cast_vote(ReleaseVersion version, unsigned stage, Vote vote) override;
   void log(std::string_view line) override;
--- a/src/terms/settings_map.hpp
+++ b/src/terms/settings_map.hpp
@@ -44,8 +44,10 @@
     return static_cast<std::uint32_t>(number(key, default_value));
   }
   // Values in milliseconds.
-  Span span(std::string_view key) const { return Span::ms(number(key)); }
-  Span span(std::string_view key, double default_ms) const { return Span::ms(number(key, default_ms)); }
+  Duration span(std::string_view key) const { return Duration::ms(number(key)); }
+  Duration span(std::string_view key, double default_ms) const {
+    return Duration::ms(number(key, default_ms));
+  }
   // False where the key is missing.
   bool flag(std::string_view key) const { return text(key, "false") == "true"; }
   // The items of a comma-separated list; empty where the key is missing.
--- a/src/terms/wire_settings.hpp
+++ b/src/terms/wire_settings.hpp
@@ -15,8 +15,8 @@
   std::vector<std::string> zones;
   std::vector<std::string> machine_types;
   std::vector<std::string> load_report_columns;
-  Span connect_timeout;
-  Span endpoint_idle_timeout;
+  Duration connect_timeout;
+  Duration endpoint_idle_timeout;
 };
 
 // Throws SettingsError where a name is missing or a time is malformed.
--- a/src/transport/event_loop.cpp
+++ b/src/transport/event_loop.cpp
@@ -91,9 +91,9 @@
   return Instant::at_us(read_clock_us<std::chrono::steady_clock>() + unix_minus_steady_us_);
 }
 
-Span EventLoop::wall_clock_offset() const {
-  return Span::us(read_clock_us<std::chrono::system_clock>() - read_clock_us<std::chrono::steady_clock>() -
-                  unix_minus_steady_us_);
+Duration EventLoop::wall_clock_offset() const {
+  return Duration::us(read_clock_us<std::chrono::system_clock>() -
+                      read_clock_us<std::chrono::steady_clock>() - unix_minus_steady_us_);
 }
 
 // ---- Posted functions ----
@@ -145,7 +145,7 @@
   const TimerOrder last{now(), next_timer_number_};
   while (!timers_.empty() && timers_.begin()->first <= last) {
     Timer* const timer = timers_.begin()->second;
-    timer->off();
+    timer->cancel();
     run_guarded(timer->callback_);
   }
 }
@@ -157,7 +157,7 @@
   if (!posted_.empty()) {
     wait_us = 0;
   } else if (!timers_.empty()) {
-    const Span until_due = timers_.begin()->first.due - now();
+    const Duration until_due = timers_.begin()->first.due - now();
     wait_us = std::clamp<std::int64_t>(until_due.us(), 0, kMaxPollTimeoutUs);
   }
   const std::int64_t milliseconds = (wait_us + kMicrosecondsPerMillisecond - 1) / kMicrosecondsPerMillisecond;
@@ -166,17 +166,17 @@
 
 // ---- Timers ----
 
-void Timer::at(Instant due) {
-  off();
+void Timer::schedule_at(Instant due) {
+  cancel();
   order_ = {due, loop_.next_timer_number_++};
-  armed_ = true;
+  scheduled_ = true;
   const auto position = loop_.timers_.emplace(order_, this).first;
   if (position == loop_.timers_.begin()) loop_.update_poll_timeout();
 }
 
-void Timer::off() {
-  if (armed_) loop_.timers_.erase(order_);
-  armed_ = false;
+void Timer::cancel() {
+  if (scheduled_) loop_.timers_.erase(order_);
+  scheduled_ = false;
 }
 
 }  // namespace ashbeam
--- a/src/transport/event_loop.hpp
+++ b/src/transport/event_loop.hpp
@@ -28,7 +28,7 @@
   // The machine's clock in Unix time, read once at start and carried on by the steady clock: never goes back.
   Instant now() const;
   // How far the machine's clock is ahead of now(): it was set since the start, or the machine was suspended.
-  Span wall_clock_offset() const;
+  Duration wall_clock_offset() const;
 
   void run() override { Poco::Net::SocketReactor::run(); }
   void stop() { Poco::Net::SocketReactor::stop(); }
@@ -82,15 +82,15 @@
 class Timer {
  public:
   Timer(EventLoop& loop, std::function<void()> callback) : loop_(loop), callback_(std::move(callback)) {}
-  ~Timer() { off(); }
+  ~Timer() { cancel(); }
   Timer(const Timer&) = delete;
   Timer& operator=(const Timer&) = delete;
 
   // Each of these replaces the time that was set before.
-  void at(Instant due);
-  void in(Span delay) { at(loop_.now() + delay); }
-  void off();
-  bool armed() const { return armed_; }
+  void schedule_at(Instant due);
+  void schedule_after(Duration delay) { schedule_at(loop_.now() + delay); }
+  void cancel();
+  bool is_scheduled() const { return scheduled_; }
 
  private:
   friend class EventLoop;
@@ -98,7 +98,7 @@
   EventLoop& loop_;
   std::function<void()> callback_;
   EventLoop::TimerOrder order_;  // where armed
-  bool armed_ = false;
+  bool scheduled_ = false;
 };
 
 }  // namespace ashbeam
--- a/src/transport/handshake_scheduler.cpp
+++ b/src/transport/handshake_scheduler.cpp
@@ -9,8 +9,8 @@
 namespace {
 
 // A handshake that has waited less for its client's bytes is not evicted.
-constexpr Span kMinSilenceBeforeEviction = Span::ms(100);
-constexpr Span kMinDeferral = Span::ms(1);
+constexpr Duration kMinSilenceBeforeEviction = Duration::ms(100);
+constexpr Duration kMinDeferral = Duration::ms(1);
 
 }  // namespace
 
@@ -39,7 +39,7 @@
   return may;
 }
 
-void HandshakeScheduler::add_cpu_time(Span cpu_time) { limiter_.record_cpu(cpu_time, loop_.now()); }
+void HandshakeScheduler::add_cpu_time(Duration cpu_time) { limiter_.record_cpu(cpu_time, loop_.now()); }
 
 void HandshakeScheduler::finish(Id id) {
   streams_.erase(id);
@@ -57,8 +57,8 @@
 }
 
 void HandshakeScheduler::schedule_resumption() {
-  if (!limiter_.any_waiting() || resumption_.armed()) return;
-  resumption_.in(std::max(kMinDeferral, limiter_.wait(loop_.now())));
+  if (!limiter_.any_waiting() || resumption_.is_scheduled()) return;
+  resumption_.schedule_after(std::max(kMinDeferral, limiter_.wait(loop_.now())));
 }
 
 }  // namespace ashbeam
--- a/src/transport/handshake_scheduler.hpp
+++ b/src/transport/handshake_scheduler.hpp
@@ -31,7 +31,7 @@
   // `stream` must outlive its handshake: until `finish`.
   void attach(Id id, TlsServerStream& stream) { streams_.emplace(id, &stream); }
   bool may_proceed(Id id);
-  void add_cpu_time(Span cpu_time);
+  void add_cpu_time(Duration cpu_time);
   void finish(Id id);
   std::size_t in_progress() const { return limiter_.in_progress(); }
 
--- a/src/transport/rate_limited_log.hpp
+++ b/src/transport/rate_limited_log.hpp
@@ -22,7 +22,7 @@
   void line(const std::string& text, Instant now) {
     if (!texts_.contains(text) && texts_.size() >= kMaxTexts) return;
     Text& state = texts_[text];
-    if (now - state.last_written < Span::s(1)) {
+    if (now - state.last_written < Duration::s(1)) {
       ++state.left_out;
       return;
     }
--- a/src/transport/session_tickets.hpp
+++ b/src/transport/session_tickets.hpp
@@ -28,7 +28,7 @@
   // How things stand at the call.
   struct Conditions {
     Instant now;
-    Span key_lifetime;
+    Duration key_lifetime;
     std::uint64_t trust_epoch = 0;
   };
 
--- a/src/transport/tls_acceptor.hpp
+++ b/src/transport/tls_acceptor.hpp
@@ -42,7 +42,7 @@
   // A stream for an accepted socket, which the caller goes on owning. Null: there is no room for another
   // handshake, and the connection is to be closed.
   std::unique_ptr<TlsStream> accept(int fd);
-  Span handshake_timeout() const { return settings_.handshake_timeout; }
+  Duration handshake_timeout() const { return settings_.handshake_timeout; }
   std::size_t handshakes_in_progress() const { return scheduler_.in_progress(); }
   const Counts& counts() const { return counts_; }
   std::uint64_t trust_epoch() const { return trust_epoch_; }
--- a/src/transport/tls_server_stream.cpp
+++ b/src/transport/tls_server_stream.cpp
@@ -16,10 +16,10 @@
 constexpr unsigned char kAlertNoRenegotiation = 100;  // RFC 5246, section 7.2
 constexpr std::size_t kAlertBytes = 2;                // its level and its description
 
-Span thread_cpu_time() {
+Duration thread_cpu_time() {
   timespec time{};
   ::clock_gettime(CLOCK_THREAD_CPUTIME_ID, &time);
-  return Span::us(static_cast<std::int64_t>(time.tv_sec) * 1'000'000 + time.tv_nsec / 1000);
+  return Duration::us(static_cast<std::int64_t>(time.tv_sec) * 1'000'000 + time.tv_nsec / 1000);
 }
 
 }  // namespace
@@ -48,7 +48,7 @@
 
 TlsStream::HandshakeStep TlsServerStream::continue_handshake() {
   ERR_clear_error();
-  const Span cpu_time_before = thread_cpu_time();
+  const Duration cpu_time_before = thread_cpu_time();
   const int result = SSL_do_handshake(ssl_.get());
   acceptor_.scheduler_.add_cpu_time(thread_cpu_time() - cpu_time_before);
   if (result == 1) return complete_handshake();
--- a/src/transport/tls_settings.hpp
+++ b/src/transport/tls_settings.hpp
@@ -18,10 +18,10 @@
   std::string crl;      // path of a PEM file with CRLs; empty: none
   std::string revoked;  // path of a list, see revoked_certificates.hpp; empty: none
   bool tls13_only = false;
-  std::size_t max_handshakes = 64;         // in progress at once
-  Span handshake_timeout = Span::s(2);     // from the connection to the handshake's end
-  double handshake_cpu_per_second = 0.25;  // seconds of CPU
-  Span ticket_key_lifetime = Span::s(3600);
+  std::size_t max_handshakes = 64;              // in progress at once
+  Duration handshake_timeout = Duration::s(2);  // from the connection to the handshake's end
+  double handshake_cpu_per_second = 0.25;       // seconds of CPU
+  Duration ticket_key_lifetime = Duration::s(3600);
   bool operator==(const TlsSettings&) const = default;
 };
 
--- a/tests/access_config_loader_test.cpp
+++ b/tests/access_config_loader_test.cpp
@@ -59,8 +59,8 @@
   }
   unsigned ask(const TokenSigner& signer) {
     Stream c = connect_client();
-    c.send(
-        get(1500, "Authorization: Bearer " + signer.token("shop", "r", loop_.now(), Span::s(60)) + "\r\n"));
+    c.send(get(1500,
+               "Authorization: Bearer " + signer.token("shop", "r", loop_.now(), Duration::s(60)) + "\r\n"));
     Stream h = take_attempt(100);
     if (h.fd >= 0 && !h.read_message().empty()) h.send(kOkAnswer);
     return status_of(c.read_message());
@@ -262,7 +262,7 @@
     });
     usleep(20000);
   }
-  EXPECT_LT(loop.now() - begin, Span::s(2));
+  EXPECT_LT(loop.now() - begin, Duration::s(2));
   never.set_value();
   usleep(20000);
 }
--- a/tests/authorizer_test.cpp
+++ b/tests/authorizer_test.cpp
@@ -27,11 +27,11 @@
     Credentials credentials;
     credentials.authorization = field;
     credentials.certificate = certificate;
-    Span retry_after;
+    Duration retry_after;
     identity = {};
     return authorizer.authenticate(credentials, history, now, identity, retry_after);
   }
-  std::string token(const std::string& more_members = "", Span lifetime = Span::s(60)) const {
+  std::string token(const std::string& more_members = "", Duration lifetime = Duration::s(60)) const {
     return signer.token("shop", "r", now, lifetime, more_members);
   }
 };
@@ -86,7 +86,7 @@
                    R"({"aud":"ashbeam","sub":"r","tenant":"else","iat":1700000000,"exp":1700000060})"),
        Refusal::kUnknownTenant},
       {fixture.token(R"(,"nbf":1700000040)"), Refusal::kNotYetValid},
-      {fixture.token("", Span::s(86401)), Refusal::kLifetimeTooLong},
+      {fixture.token("", Duration::s(86401)), Refusal::kLifetimeTooLong},
       {fixture.token(R"(,"cnf":{"jkt":"x"})"), Refusal::kMalformed},
       {fixture.token(R"(,"cnf":{"x5t#S256":")" + tokens::encode_base64url(std::string(32, 'p')) + "\"}"),
        Refusal::kCertificateBinding},
@@ -118,10 +118,10 @@
   for (const bool ahead : {false, true}) {
     for (const bool wide : {false, true}) {
       AuthorizerFixture fixture;
-      fixture.settings.leeway = wide ? Span::s(130) : Span::s(30);
+      fixture.settings.leeway = wide ? Duration::s(130) : Duration::s(30);
       fixture.authorizer.update_settings(fixture.settings, fixture.now);
       const std::string token =
-          fixture.signer.token("shop", "r", fixture.now + Span::s(ahead ? 120 : -120), Span::s(60));
+          fixture.signer.token("shop", "r", fixture.now + Duration::s(ahead ? 120 : -120), Duration::s(60));
       const Refusal refusal = fixture.authenticate(token);
       EXPECT_EQ(name_of(refusal), wide ? "none" : ahead ? "early" : "expired");
     }
@@ -132,11 +132,12 @@
   AuthorizerFixture fixture;
   const std::string token = fixture.token();
   EXPECT_EQ(fixture.authenticate(token), Refusal::kNone);
-  fixture.authorizer.set_wall_clock_ahead(Span::s(300));  // the machine stood still for so long
+  fixture.authorizer.set_wall_clock_ahead(Duration::s(300));  // the machine stood still for so long
   EXPECT_EQ(fixture.authenticate(token), Refusal::kExpired);
-  const std::string fresh = fixture.signer.token("shop", "r", fixture.now + Span::s(300), Span::s(60));
+  const std::string fresh =
+      fixture.signer.token("shop", "r", fixture.now + Duration::s(300), Duration::s(60));
   EXPECT_EQ(fixture.authenticate(fresh), Refusal::kNone);
-  fixture.authorizer.set_wall_clock_ahead(Span());
+  fixture.authorizer.set_wall_clock_ahead(Duration());
   EXPECT_EQ(fixture.authenticate(fresh), Refusal::kNotYetValid);
 }
 
@@ -145,10 +146,11 @@
   const TokenSigner twin("k1", tokens::Algorithm::kEs256);
   fixture.authorizer.update_keys(std::vector{fixture.signer.entry(), twin.entry()}, fixture.now);
   EXPECT_EQ(fixture.authenticate(fixture.token()), Refusal::kNone);
-  EXPECT_EQ(fixture.authenticate(twin.token("shop", "r", fixture.now, Span::s(60))), Refusal::kNone);
-  EXPECT_EQ(fixture.authenticate(
-                TokenSigner("k1", tokens::Algorithm::kEs256).token("shop", "r", fixture.now, Span::s(60))),
-            Refusal::kSignature);
+  EXPECT_EQ(fixture.authenticate(twin.token("shop", "r", fixture.now, Duration::s(60))), Refusal::kNone);
+  EXPECT_EQ(
+      fixture.authenticate(
+          TokenSigner("k1", tokens::Algorithm::kEs256).token("shop", "r", fixture.now, Duration::s(60))),
+      Refusal::kSignature);
 }
 
 TEST(Authorizer, ATokenIsBoundToItsCertificateAndTenantsDoNotMix) {
@@ -157,7 +159,7 @@
   other.name = "other";
   fixture.settings.tenants.push_back(other);
   fixture.authorizer.update_settings(fixture.settings, fixture.now);
-  ClientCertificate mine{"shop", "r", {}, kBegin - Span::s(9), kBegin + Span::s(99)};
+  ClientCertificate mine{"shop", "r", {}, kBegin - Duration::s(9), kBegin + Duration::s(99)};
   ClientCertificate theirs = mine;
   ClientCertificate elsewhere = mine;
   mine.sha256.fill('p');
@@ -174,16 +176,16 @@
 
 TEST(Authorizer, ACertificateAloneProvesAPrincipal) {
   AuthorizerFixture fixture;
-  ClientCertificate certificate{"shop", "van 3", {}, kBegin - Span::s(9), kBegin + Span::s(9)};
+  ClientCertificate certificate{"shop", "van 3", {}, kBegin - Duration::s(9), kBegin + Duration::s(9)};
   Credentials credentials;
   credentials.certificate = &certificate;
-  Span retry_after;
+  Duration retry_after;
   Identity identity;
   EXPECT_EQ(fixture.authorizer.authenticate(credentials, fixture.history, fixture.now, identity, retry_after),
             Refusal::kNone);
   EXPECT_EQ(identity.principal, "shop/van%203");
-  EXPECT_EQ(fixture.authorizer.authenticate(credentials, fixture.history, fixture.now + Span::s(10), identity,
-                                            retry_after),
+  EXPECT_EQ(fixture.authorizer.authenticate(credentials, fixture.history, fixture.now + Duration::s(10),
+                                            identity, retry_after),
             Refusal::kCertificate);
   certificate.organisation = "nobody";
   EXPECT_EQ(fixture.authorizer.authenticate(credentials, fixture.history, fixture.now, identity, retry_after),
@@ -196,7 +198,7 @@
   fixture.authorizer.update_settings(fixture.settings, fixture.now);
   const std::string token = fixture.token();
   QuotaHold admission;
-  Span retry_after;
+  Duration retry_after;
   const auto admit = [&](unsigned request_class) {
     EXPECT_EQ(fixture.authenticate(token), Refusal::kNone);
     return fixture.authorizer.admit(fixture.identity, request_class, fixture.now, admission, retry_after);
@@ -227,12 +229,12 @@
   unsigned bad = 0;
   EXPECT_EQ(fixture.authenticate(fixture.token()), Refusal::kNone);
   QuotaHold admission;
-  Span retry_after;
+  Duration retry_after;
   EXPECT_EQ(fixture.authorizer.admit(fixture.identity, 0, fixture.now, admission, retry_after),
             Refusal::kNone);
   const TokenSigner forger("k1", tokens::Algorithm::kEs256);
   for (int i = 0; i < 4000; ++i) {
-    fixture.now = fixture.now + Span::us(50);  // ten times what may be verified
+    fixture.now = fixture.now + Duration::us(50);  // ten times what may be verified
     Credentials credentials;
     Identity identity;
     unproven = {};
@@ -243,7 +245,7 @@
     const Refusal refusal =
         fixture.authorizer.authenticate(credentials, unproven, fixture.now, identity, retry_after);
     ++(refusal == Refusal::kVerificationsBusy ? busy : bad);
-    EXPECT_TRUE(refusal != Refusal::kVerificationsBusy || retry_after > Span());
+    EXPECT_TRUE(refusal != Refusal::kVerificationsBusy || retry_after > Duration());
     if (i % 400 == 399) {
       fixture.history.authenticated = true;
       EXPECT_EQ(fixture.authenticate(fixture.token(",\"m\":" + std::to_string(i))), Refusal::kNone)
@@ -271,14 +273,14 @@
   unsigned admitted_again = 0;
   ConnectionHistory history{true};
   for (int i = 0; i < 10000; ++i) {
-    fixture.now = fixture.now + Span::us(100);
+    fixture.now = fixture.now + Duration::us(100);
     const std::string field =
-        "Bearer " + fixture.signer.token("shop", "s" + std::to_string(i), fixture.now, Span::s(60));
+        "Bearer " + fixture.signer.token("shop", "s" + std::to_string(i), fixture.now, Duration::s(60));
     Credentials credentials;
     credentials.authorization = field;
     Identity identity;
     QuotaHold admission;
-    Span retry_after;
+    Duration retry_after;
     ASSERT_EQ(authorizer.authenticate(credentials, history, fixture.now, identity, retry_after),
               Refusal::kNone);
     const auto admit_and_release = [&] {
--- a/tests/calling_helpers.hpp
+++ b/tests/calling_helpers.hpp
@@ -23,7 +23,7 @@
     return entry;
   }
   // `more_members` of the claims, each with its comma before it.
-  std::string token(const std::string& tenant, const std::string& subject, Instant now, Span lifetime,
+  std::string token(const std::string& tenant, const std::string& subject, Instant now, Duration lifetime,
                     const std::string& more_members = "") const {
     const auto unix_s = [](Instant at) {
       return std::to_string(static_cast<long long>(std::floor(static_cast<double>(at.us()) / 1e6)));
--- a/tests/client_connections_test.cpp
+++ b/tests/client_connections_test.cpp
@@ -8,8 +8,8 @@
 class ClientConnectionsTest : public RouterTest {};
 
 TEST_F(ClientConnectionsTest, SilentAndPartialRequestsAreClosedSoonAndIdleConnectionsLater) {
-  limits_.first_request_timeout = limits_.request_read_timeout = Span::ms(200);
-  limits_.client_idle_timeout = Span::ms(500);
+  limits_.first_request_timeout = limits_.request_read_timeout = Duration::ms(200);
+  limits_.client_idle_timeout = Duration::ms(500);
   start_router(all_endpoints());
   Stream silent = connect_client(), half = connect_client(), blank = connect_client(),
          kept = connect_client(), later = connect_client(), odd = connect_client();
@@ -51,7 +51,7 @@
   for (int i = 0; i < 50; ++i) many += "GET /nowhere HTTP/1.1\r\n\r\n";
   client.send(many);
   int answers = 0;
-  for (const Instant until = loop_.now() + Span::ms(450); loop_.now() < until;)
+  for (const Instant until = loop_.now() + Duration::ms(450); loop_.now() < until;)
     answers += status_of(client.read_message(50)) == 404;
   EXPECT_TRUE(answers >= 3 && answers <= 5) << answers;
 }
@@ -91,7 +91,7 @@
   }
   const Instant asked = loop_.now();
   EXPECT_EQ(status_of(answer_to(kHealthCheck)), 200U);  // behind all of them
-  EXPECT_LT(loop_.now() - asked, Span::s(1));
+  EXPECT_LT(loop_.now() - asked, Duration::s(1));
 }
 
 // None is closed between its requests, which the next could cross: past the limit each answer is the last
@@ -168,7 +168,7 @@
 
 // An idle connection that is ended is ended in order: what crosses it is read and dropped, and nothing reset.
 TEST_F(ClientConnectionsTest, ARequestThatCrossesAnIdleCloseMeetsAnEndAndNoReset) {
-  limits_.client_idle_timeout = Span::ms(100);
+  limits_.client_idle_timeout = Duration::ms(100);
   start_router(all_endpoints());
   Stream client = connect_client();
   client.send(kHealthCheck);
