--- a/tests/endpoint_lease_test.cpp
+++ b/tests/endpoint_lease_test.cpp
@@ -13,10 +13,10 @@
 namespace {
 
 // Of the lease's delay, 50 ms are for a first byte on its way from discovery.
-constexpr Span kGrace = Span::s(1), kSendDelay = Span::ms(450), kNotifiedWithin = Span::s(6);
-constexpr Span kLongestOnItsWay = Span::ms(50);
+constexpr Duration kGrace = Duration::s(1), kSendDelay = Duration::ms(450), kNotifiedWithin = Duration::s(6);
+constexpr Duration kLongestOnItsWay = Duration::ms(50);
 EndpointLeaseSettings default_settings() { return {kNotifiedWithin, kGrace, kSendDelay}; }
-Instant at(double seconds) { return Instant::at_us(0) + Span::s(seconds); }
+Instant at(double seconds) { return Instant::at_us(0) + Duration::s(seconds); }
 
 TEST(EndpointLease, AListThatNothingConfirmedIsExpiredFromTheStart) {
   EndpointLease lease(default_settings());
@@ -74,12 +74,13 @@
  public:
   explicit History(Pcg& chance) : chance_(chance) {
     for (Instant t = at(0); t < at(kLength);) {
-      Process process{t, t + Span::s(1 + 12 * chance_.unit()), {}};
-      process.ends = process.drains + Span::s(1.5 + chance_.unit());
+      Process process{t, t + Duration::s(1 + 12 * chance_.next_double()), {}};
+      process.ends = process.drains + Duration::s(1.5 + chance_.next_double());
       processes_.push_back(process);
-      t = process.ends + Span::s(1.2 + chance_.unit());
+      t = process.ends + Duration::s(1.2 + chance_.next_double());
     }
-    for (Instant t = at(0); t < at(kLength);) t = watch(t) + Span::s(25 * chance_.unit() * chance_.unit());
+    for (Instant t = at(0); t < at(kLength);)
+      t = watch(t) + Duration::s(25 * chance_.next_double() * chance_.next_double());
   }
   const std::vector<Line>& lines() const { return lines_; }
   const Process* accepting(Instant t) const {
@@ -109,14 +110,14 @@
  private:
   // One watch: a line at each change and every 2 s, until it ends. Returns when.
   Instant watch(Instant from) {
-    const Instant until = from + Span::s(10 * chance_.unit());
+    const Instant until = from + Duration::s(10 * chance_.next_double());
     for (Instant t = from; t < until;) {
-      const bool stalls = chance_.unit() < 0.05;
-      const Instant first_byte = t + Span::ms(20 * chance_.unit());
-      lines_.push_back(
-          {t, first_byte, stalls ? Instant::never() : first_byte + Span::ms(300 * chance_.unit())});
-      if (stalls) return first_byte + Span::s(2.5);
-      Instant next = t + Span::s(2);
+      const bool stalls = chance_.next_double() < 0.05;
+      const Instant first_byte = t + Duration::ms(20 * chance_.next_double());
+      lines_.push_back({t, first_byte,
+                        stalls ? Instant::never() : first_byte + Duration::ms(300 * chance_.next_double())});
+      if (stalls) return first_byte + Duration::s(2.5);
+      Instant next = t + Duration::s(2);
       for (const Process& p : processes_) {
         if (p.drains > t) next = std::min(next, p.drains);
         if (p.begins > t) next = std::min(next, p.begins);
@@ -147,12 +148,12 @@
   for (int i = 0; i < kHistories; ++i) {
     const History history(chance);
     for (int look = 0; look < kLooks; ++look) {
-      const Instant now = at(History::kLength * chance.unit());
+      const Instant now = at(History::kLength * chance.next_double());
       const EndpointLease lease = lease_at(history, now);
       Instant until = lease.valid_until();
       // An answer to an earlier request, on a connection that was open before.
-      const Instant opened = now - Span::s(12 * chance.unit());
-      const Instant sent = opened + (now - opened) * chance.unit();
+      const Instant opened = now - Duration::s(12 * chance.next_double());
+      const Instant sent = opened + (now - opened) * chance.next_double();
       const Process* const process = history.accepting(opened);
       const bool answered = process && sent < process->drains;
       if (answered && lease.vouches(opened)) {
--- a/tests/endpoint_pools_test.cpp
+++ b/tests/endpoint_pools_test.cpp
@@ -76,8 +76,8 @@
 }
 
 TEST_F(EndpointPoolsTest, AnAttemptThatWaitsForItsConnectionIsNotWrittenToADrainingEndpoint) {
-  limits_.connect_timeout = Span::s(5);
-  settings_.drain_grace = Span::s(20);
+  limits_.connect_timeout = Duration::s(5);
+  settings_.drain_grace = Duration::s(20);
   const FullListener full;
   start_router(endpoint_list(endpoint_entry(0, "up", 1, full.address()), 41, true));
   Stream watch = discovery_.accept(), client = connect_client();
@@ -94,7 +94,7 @@
 }
 
 TEST_F(EndpointPoolsTest, MoreThanAnAnswerIsNeverTakenForTheNext) {
-  limits_.endpoint_settle_time = Span::ms(100);
+  limits_.endpoint_settle_time = Duration::ms(100);
   start_router(endpoint_list(endpoint_entry(0), 41, true));
   Stream client = connect_client();
   client.send(get());
@@ -113,8 +113,8 @@
 
 TEST_F(EndpointPoolsTest, WhereManyConnectionsSettleTheTimeIsShortUntilUnsolicitedBytesCome) {
   settings_.may_cancel = false;
-  limits_.endpoint_settle_time = Span::s(2);
-  limits_.busy_endpoint_settle_time = Span();
+  limits_.endpoint_settle_time = Duration::s(2);
+  limits_.busy_endpoint_settle_time = Duration();
   limits_.max_settling_connections = 4;
   start_router(endpoint_list(endpoint_entry(0), 41, true));
   EXPECT_EQ(new_connections_of(2), 2);
--- a/tests/endpoint_registry_test.cpp
+++ b/tests/endpoint_registry_test.cpp
@@ -14,7 +14,7 @@
 }
 
 TEST_F(EndpointRegistryTest, IndicesOfRemovedEndpointsAreReusedOnceNothingNamesThem) {
-  limits_.removed_endpoint_retention = Span();
+  limits_.removed_endpoint_retention = Duration();
   start_router(endpoint_list(endpoint_entry(0), 41, true));
   Stream watch = discovery_.accept(), client = connect_client();
   watch.send("HTTP/1.1 200 OK\r\n\r\n");
@@ -44,7 +44,7 @@
 // A retry must stay in the first attempt's zone: a zone that the settings do not name is none of theirs.
 TEST_F(EndpointRegistryTest, AZoneThatTheSettingsDoNotNameIsNeverTakenForAnother) {
   settings_.request_classes[1].scope = IdempotencyScope::kZone;
-  settings_.request_classes[1].key_retention = Span::s(5);
+  settings_.request_classes[1].key_retention = Duration::s(5);
   start_router(endpoint_list(placed(endpoint_entry(0), "a", "m") + "," + placed(endpoint_entry(1), "x", "n") +
                                  "," + placed(endpoint_entry(2), "y", "n"),
                              41, true));
--- a/tests/endpoint_watch_test.cpp
+++ b/tests/endpoint_watch_test.cpp
@@ -19,8 +19,8 @@
 }
 
 TEST_F(EndpointWatchTest, AFailedWatchIsOpenedAgain) {
-  limits_.watch_silence_timeout = limits_.discovery_call_timeout = Span::ms(150);
-  settings_.endpoint_poll_interval = Span::s(1);  // the longest wait is 2 s then
+  limits_.watch_silence_timeout = limits_.discovery_call_timeout = Duration::ms(150);
+  settings_.endpoint_poll_interval = Duration::s(1);  // the longest wait is 2 s then
   start_router(all_endpoints());
   const std::string good = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
   for (const std::string& answer : {status_line("503"), std::string("nonsense\r\n\r\n"), good + "0\r\n\r\n",
@@ -33,15 +33,15 @@
 }
 
 TEST_F(EndpointWatchTest, ASilentWatchIsReplacedAtOnceAndOnceMoreIfThatOneIsSilent) {
-  limits_.watch_silence_timeout = Span::ms(200);
-  limits_.replacement_watch_timeout = Span::ms(150);
+  limits_.watch_silence_timeout = Duration::ms(200);
+  limits_.replacement_watch_timeout = Duration::ms(150);
   start_router(all_endpoints());
   Stream watch = discovery_.accept();
   watch.send(kWatchHead + "\n");
   const Instant from = loop_.now();
   EXPECT_FALSE(watch.read_message().empty());
   Stream second = discovery_.accept(), third = discovery_.accept();
-  EXPECT_LT(loop_.now() - from, Span::ms(600));  // nothing but the two silences
+  EXPECT_LT(loop_.now() - from, Duration::ms(600));  // nothing but the two silences
   EXPECT_FALSE(second.read_message().empty());
   EXPECT_TRUE(watch.closed_by_peer(0) && second.closed_by_peer(0));
   EXPECT_FALSE(third.read_message().empty());
@@ -58,7 +58,7 @@
 }
 
 TEST_F(EndpointWatchTest, ALineThatTricklesInAndNeverEndsIsNoSignOfLife) {
-  limits_.watch_silence_timeout = Span::ms(200);
+  limits_.watch_silence_timeout = Duration::ms(200);
   start_router(all_endpoints());
   Stream watch = discovery_.accept();
   watch.send(kWatchHead + "\n");
@@ -82,7 +82,7 @@
 }
 
 TEST_F(EndpointWatchTest, AWatchThatBeginsWithAnOlderListIsOpenedOnceMoreAndThenBelieved) {
-  settings_.endpoint_poll_interval = Span::ms(200);
+  settings_.endpoint_poll_interval = Duration::ms(200);
   start_router(all_endpoints());
   const std::string complete = endpoint_list(endpoint_entry(1), 7, true) + "\n";
   Stream first = discovery_.accept();
@@ -116,7 +116,7 @@
 }
 
 TEST_F(EndpointWatchTest, ItIsReadyOnceDiscoveryHasConfirmedTheList) {
-  limits_.ready_without_list_after = Span::s(30);
+  limits_.ready_without_list_timeout = Duration::s(30);
   start_router(all_endpoints());
   EXPECT_EQ(status_of(answer_to(kHealthCheck)), 503U);
   Stream watch = discovery_.accept();
@@ -131,22 +131,22 @@
   for (const unsigned routers : {1U, 51U, 300U}) {
     settings_.router_count = routers;
     const Limits limits = limits_for(1024, wire_settings_, settings_);
-    EXPECT_EQ(limits.max_initial_poll_delay, routers == 1 ? Span() : Span::s(4));
-    EXPECT_LT(limits.max_initial_poll_delay, limits.ready_without_list_after);
+    EXPECT_EQ(limits.max_initial_poll_delay, routers == 1 ? Duration() : Duration::s(4));
+    EXPECT_LT(limits.max_initial_poll_delay, limits.ready_without_list_timeout);
   }
-  limits_.max_initial_poll_delay = Span::s(1);
-  limits_.ready_without_list_after = Span::s(30);
-  const Span wait = limits_.max_initial_poll_delay * Pcg(7).unit();
+  limits_.max_initial_poll_delay = Duration::s(1);
+  limits_.ready_without_list_timeout = Duration::s(30);
+  const Duration wait = limits_.max_initial_poll_delay * Pcg(7).next_double();
   start_router(all_endpoints());
   const Instant from = loop_.now();
   Stream watch = discovery_.accept(2000);
   EXPECT_FALSE(watch.read_message().empty());
-  EXPECT_GE(loop_.now() - from, wait - Span::ms(20));
-  EXPECT_LT(loop_.now() - from, wait + Span::ms(500));
+  EXPECT_GE(loop_.now() - from, wait - Duration::ms(20));
+  EXPECT_LT(loop_.now() - from, wait + Duration::ms(500));
 }
 
 TEST_F(EndpointWatchTest, ItIsReadyAfterAWhileWithoutAList) {
-  limits_.ready_without_list_after = Span::ms(300);
+  limits_.ready_without_list_timeout = Duration::ms(300);
   start_router(all_endpoints());
   Stream watch = discovery_.accept();
   EXPECT_EQ(status_of(answer_to(kHealthCheck)), 503U);
--- a/tests/former_repository_test.cpp
+++ b/tests/former_repository_test.cpp
@@ -102,7 +102,7 @@
 }
 
 TEST(FormerRepository, PassesTheVerifierInTheOrderOfAClient) {
-  MetadataVerifier verifier({{"/look/u/", former_file("1.root.json"), Span::s(30)}}, 10);
+  MetadataVerifier verifier({{"/look/u/", former_file("1.root.json"), Duration::s(30)}}, 10);
   for (const char* name : {"1.root.json", "2.root.json", "timestamp.json", "2.snapshot.json",
                            "2.targets.json", "1.several.json", "1.agreeing.json", "1.hashed.json"}) {
     const Refusal refusal = verifier.check(0, name, former_file(name), 1, kNow);
--- a/tests/graceful_shutdown_test.cpp
+++ b/tests/graceful_shutdown_test.cpp
@@ -8,7 +8,7 @@
 class GracefulShutdownTest : public RouterTest {};
 
 TEST_F(GracefulShutdownTest, ItAnswersWhatStillComesAndEnds) {
-  limits_.shutdown_accept_time = Span::ms(150);
+  limits_.shutdown_accept_period = Duration::ms(150);
   start_router(endpoint_list(endpoint_entry(0), 41, true));
   Stream idle = connect_client(), busy = connect_client();
   idle.send(kHealthCheck);
@@ -48,7 +48,7 @@
 }
 
 TEST_F(GracefulShutdownTest, ARequestInPiecesAcrossTheSignalIsAnswered) {
-  limits_.shutdown_accept_time = Span::ms(60);
+  limits_.shutdown_accept_period = Duration::ms(60);
   start_router(all_endpoints());
   Stream first = connect_client(), kept = connect_client();
   kept.send(kHealthCheck);
@@ -78,7 +78,7 @@
 }
 
 TEST_F(GracefulShutdownTest, ConnectionsNotYetAcceptedAtTheSignalAreAnswered) {
-  limits_.shutdown_accept_time = Span::ms(60);
+  limits_.shutdown_accept_period = Duration::ms(60);
   limits_.max_client_connections = 2;
   start_router(endpoint_list(endpoint_entry(0), 41, true));
   Stream a = connect_client(), b = connect_client();
@@ -109,7 +109,7 @@
 }
 
 TEST_F(GracefulShutdownTest, ItEndsOnceItsLastAnswerHasBeenReadAndNotBefore) {
-  limits_.shutdown_accept_time = Span::ms(60);
+  limits_.shutdown_accept_period = Duration::ms(60);
   start_router(endpoint_list(endpoint_entry(0), 41, true));
   Stream client = connect_client();
   client.send(get(2000));
@@ -130,8 +130,8 @@
 }
 
 TEST_F(GracefulShutdownTest, RequestsStillOpenAtTheTimeoutAreAnsweredBeforeItEnds) {
-  limits_.shutdown_accept_time = Span::ms(60);
-  limits_.shutdown_timeout = Span::ms(300);
+  limits_.shutdown_accept_period = Duration::ms(60);
+  limits_.shutdown_timeout = Duration::ms(300);
   start_router(endpoint_list(endpoint_entry(0), 41, true));
   Stream client = connect_client();
   client.send(get(60000));
@@ -144,8 +144,8 @@
 }
 
 TEST_F(GracefulShutdownTest, RequestsAfterTheSignalAreAnsweredBeforeTheProcessMayBeKilled) {
-  limits_.shutdown_accept_time = Span::ms(200);
-  limits_.earliest_kill = Span::ms(700);
+  limits_.shutdown_accept_period = Duration::ms(200);
+  limits_.min_kill_delay = Duration::ms(700);
   start_router(endpoint_list(endpoint_entry(0), 41, true));
   begin_shutdown();
   const Instant signalled = loop_.now();
@@ -154,7 +154,7 @@
   Stream attempt = take_attempt();  // it never answers
   ASSERT_FALSE(attempt.read_message().empty());
   EXPECT_NE(status_of(client.read_message(3000)), 0U);
-  EXPECT_LT(loop_.now() - signalled, Span::ms(700));
+  EXPECT_LT(loop_.now() - signalled, Duration::ms(700));
 }
 
 }  // namespace
--- a/tests/handshake_limiter_test.cpp
+++ b/tests/handshake_limiter_test.cpp
@@ -10,17 +10,17 @@
 
 const Instant kBegin = Instant::at_us(1'700'000'000'000'000);
 
-Instant at_ms(double ms) { return kBegin + Span::ms(ms); }
+Instant at_ms(double ms) { return kBegin + Duration::ms(ms); }
 
 TEST(HandshakeLimiter, EvictsTheSilentAndServesTheNewestFirst) {
-  HandshakeLimiter limiter(2, 0.1, Span::ms(100));
+  HandshakeLimiter limiter(2, 0.1, Duration::ms(100));
   const auto first = limiter.start(kBegin);
   const auto second = limiter.start(kBegin);
   EXPECT_EQ(limiter.start(at_ms(50)).id, HandshakeLimiter::kNone);  // neither has been silent for long
   EXPECT_TRUE(limiter.may_continue(second.id, at_ms(60)));
   const auto third = limiter.start(at_ms(120));
   EXPECT_EQ(third.evicted, first.id);
-  limiter.record_cpu(Span::ms(60), at_ms(120));
+  limiter.record_cpu(Duration::ms(60), at_ms(120));
   EXPECT_FALSE(limiter.may_continue(second.id, at_ms(121)));
   EXPECT_FALSE(limiter.may_continue(third.id, at_ms(122)));
   EXPECT_EQ(limiter.next_waiting(at_ms(123)), HandshakeLimiter::kNone);
--- a/tests/key_ring_test.cpp
+++ b/tests/key_ring_test.cpp
@@ -29,7 +29,7 @@
     bool revoked;
   };
   std::vector<Update> history;
-  Refusal check(Instant issued, Instant now, Span overlap, Span leeway) const {
+  Refusal check(Instant issued, Instant now, Duration overlap, Duration leeway) const {
     bool ever_listed = false;
     bool listed = false;
     bool revoked = false;
@@ -58,25 +58,25 @@
     signers.emplace_back("k" + std::to_string(i % 3), tokens::Algorithm::kEdDsa);  // names shared
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     Pcg chance(seed);
-    const Span overlap = Span::s(1 + chance.below(10));
-    const Span leeway = Span::ms(chance.below(1500));
+    const Duration overlap = Duration::s(1 + chance.next_below(10));
+    const Duration leeway = Duration::ms(chance.next_below(1500));
     KeyRing ring({overlap, leeway});
     std::vector<PlainKey> plain(signers.size());
     Instant now = kBegin;
     for (int step = 0; step < 60; ++step) {
-      now = now + Span::ms(chance.below(3000));
+      now = now + Duration::ms(chance.next_below(3000));
       std::vector<tokens::KeyEntry> set;
       for (std::size_t i = 0; i < signers.size(); ++i) {
-        const bool listed = chance.below(3) > 0;
-        const bool revoked = listed && chance.below(60) == 0;
+        const bool listed = chance.next_below(3) > 0;
+        const bool revoked = listed && chance.next_below(60) == 0;
         if (listed) set.push_back(revoked ? revoked_entry(signers[i]) : signers[i].entry());
         plain[i].history.push_back({now, listed, revoked});
       }
       ring.update(set, now);
       for (int query = 0; query < 10; ++query) {
-        const std::size_t i = chance.below(static_cast<std::uint32_t>(signers.size()));
-        const Instant at = now + Span::ms(chance.below(12000));
-        const Instant issued = at - Span::ms(chance.below(12000));
+        const std::size_t i = chance.next_below(static_cast<std::uint32_t>(signers.size()));
+        const Instant at = now + Duration::ms(chance.next_below(12000));
+        const Instant issued = at - Duration::ms(chance.next_below(12000));
         Refusal refusal = Refusal::kKeyRetired;
         ring.try_candidates(signers[i].kid, tokens::Algorithm::kEdDsa, [&](KeyRef key) {
           if (ring.key(key).thumbprint() != signers[i].key.thumbprint()) return false;
@@ -90,11 +90,11 @@
 }
 
 TEST(KeyRing, ThreeSetsWithinOneOverlapAndBack) {
-  KeyRing ring({Span::s(60), Span::s(1)});
+  KeyRing ring({Duration::s(60), Duration::s(1)});
   const TokenSigner a("a", tokens::Algorithm::kEdDsa), b("b", tokens::Algorithm::kEdDsa),
       c("c", tokens::Algorithm::kEdDsa);
   const auto update = [&](const TokenSigner& signer, double at_s) {
-    ring.update(std::vector{signer.entry()}, kBegin + Span::s(at_s));
+    ring.update(std::vector{signer.entry()}, kBegin + Duration::s(at_s));
   };
   update(a, 0);
   update(b, 10);
@@ -102,7 +102,7 @@
   const auto check = [&](const TokenSigner& signer, double issued_s, double at_s) {
     Refusal refusal = Refusal::kUnknownKey;
     ring.try_candidates(signer.kid, tokens::Algorithm::kEdDsa, [&](KeyRef key) {
-      refusal = ring.check(key, kBegin + Span::s(issued_s), kBegin + Span::s(at_s));
+      refusal = ring.check(key, kBegin + Duration::s(issued_s), kBegin + Duration::s(at_s));
       return true;
     });
     return refusal;
@@ -118,26 +118,26 @@
 }
 
 TEST(KeyRing, ARevokedKeyStaysRevokedWhateverItIsCalledLater) {
-  KeyRing ring({Span::s(60), Span::s(1)});
+  KeyRing ring({Duration::s(60), Duration::s(1)});
   const TokenSigner a("a", tokens::Algorithm::kEdDsa);
   TokenSigner renamed = a;
   renamed.kid = "b";
   ring.update(std::vector{a.entry()}, kBegin);
-  ring.update(std::vector{revoked_entry(a)}, kBegin + Span::s(1));
-  ring.update({}, kBegin + Span::s(2));
-  ring.update(std::vector{a.entry(), renamed.entry()}, kBegin + Span::s(3));
+  ring.update(std::vector{revoked_entry(a)}, kBegin + Duration::s(1));
+  ring.update({}, kBegin + Duration::s(2));
+  ring.update(std::vector{a.entry(), renamed.entry()}, kBegin + Duration::s(3));
   for (const char* kid : {"a", "b"}) {
     EXPECT_TRUE(ring.try_candidates(kid, tokens::Algorithm::kEdDsa, [&](KeyRef key) {
-      return ring.check(key, kBegin, kBegin + Span::s(4)) == Refusal::kKeyRevoked;
+      return ring.check(key, kBegin, kBegin + Duration::s(4)) == Refusal::kKeyRevoked;
     })) << kid;
   }
 }
 
 TEST(KeyRing, IsBoundedAndDropsTheLongestRetired) {
-  KeyRing ring({Span::s(1e6), Span::s(1)});
+  KeyRing ring({Duration::s(1e6), Duration::s(1)});
   for (unsigned i = 0; i < 400; ++i) {
     const TokenSigner signer("k" + std::to_string(i), tokens::Algorithm::kEdDsa);
-    ring.update(std::vector{signer.entry()}, kBegin + Span::s(i));
+    ring.update(std::vector{signer.entry()}, kBegin + Duration::s(i));
   }
   EXPECT_EQ(ring.size(), KeyRing::kMaxKeys);
   EXPECT_TRUE(ring.has_kid("k399") && ring.has_kid("k200") && !ring.has_kid("k100"));
--- a/tests/local_failures_test.cpp
+++ b/tests/local_failures_test.cpp
@@ -26,9 +26,9 @@
       const std::size_t before = router.actions.attempts.size();
       router.request(request_class);
       ASSERT_EQ(router.actions.attempts.size(), before + 1);
-      router.end_attempt(router.actions.attempts.back(), AttemptResult::kLocalFailure, Span());
+      router.end_attempt(router.actions.attempts.back(), AttemptResult::kLocalFailure, Duration());
       for (int tick = 0; tick < 5; ++tick) {
-        router.now = router.now + Span::ms(20);
+        router.now = router.now + Duration::ms(20);
         router.policy->set_time(router.now);
         router.policy->on_wakeup(1);
       }
@@ -42,10 +42,12 @@
 
 TEST(Failures, OneThatLastsIsAnsweredInTimeAfterAFewAttempts) {
   SimulatedRouter router(default_settings());
-  router.serve = [](ReleaseVersion, EndpointIndex) { return Outcome{AttemptResult::kLocalFailure, Span()}; };
-  router.run(Span::s(10), 20);
+  router.serve = [](ReleaseVersion, EndpointIndex) {
+    return Outcome{AttemptResult::kLocalFailure, Duration()};
+  };
+  router.run(Duration::s(10), 20);
   router.serve = [](ReleaseVersion, EndpointIndex) { return Outcome{}; };
-  router.run(Span::s(2), 20);
+  router.run(Duration::s(2), 20);
   EXPECT_GE(router.actions.rejected.size(), 190U);
   EXPECT_TRUE(router.actions.failed.empty());
   EXPECT_LE(router.actions.attempts.size(), 200U * default_settings().max_attempts + 50U);
--- a/tests/lru_map_test.cpp
+++ b/tests/lru_map_test.cpp
@@ -51,7 +51,7 @@
   std::vector<int> plain;  // the most recently used one last
   Pcg random(5);
   for (int step = 0; step < 20'000; ++step) {
-    const int key = static_cast<int>(random.below(200));
+    const int key = static_cast<int>(random.next_below(200));
     const auto index = map.find(static_cast<std::uint64_t>(key));
     const auto listed = std::find(plain.begin(), plain.end(), key);
     ASSERT_EQ(index != LruMap<int>::kNone, listed != plain.end()) << step;
@@ -59,7 +59,7 @@
     if (index == LruMap<int>::kNone) {
       map[map.insert(static_cast<std::uint64_t>(key))] = key;
       plain.push_back(key);
-    } else if (random.below(3) == 0) {
+    } else if (random.next_below(3) == 0) {
       map.erase(index);
     } else {
       map.touch(index);
--- a/tests/metadata_date_test.cpp
+++ b/tests/metadata_date_test.cpp
@@ -10,7 +10,8 @@
 TEST(MetadataDates, ThereAndBack) {
   Pcg random(3);
   for (int i = 0; i < 2000; ++i) {
-    const Instant when = Instant::at_us(static_cast<std::int64_t>(random.below(4'000'000'000U)) * 1'000'000);
+    const Instant when =
+        Instant::at_us(static_cast<std::int64_t>(random.next_below(4'000'000'000U)) * 1'000'000);
     ASSERT_EQ(parse_date(format_date(when)), when) << format_date(when);
   }
   EXPECT_EQ(format_date(Instant::at_us(951'782'400'000'000)), "2000-02-29T00:00:00Z");
--- a/tests/metadata_fixtures.hpp
+++ b/tests/metadata_fixtures.hpp
@@ -10,7 +10,7 @@
 namespace ashbeam::metadata {
 
 const Instant kNow = Instant::at_us(1'800'000'000'000'000);
-const Instant kLater = kNow + Span::s(86400);
+const Instant kLater = kNow + Duration::s(86400);
 
 inline SigningKey new_key() { return SigningKey::generate(SigningKey::Kind::kEd25519); }
 inline Publisher::RoleKeys one_new_key() { return {{new_key()}, 1}; }
--- a/tests/metadata_router_test.cpp
+++ b/tests/metadata_router_test.cpp
@@ -12,11 +12,11 @@
 
 class MetadataRouterTest : public RouterTest {
  protected:
-  Publisher repository_{loop_.now() + Span::s(86400)};
+  Publisher repository_{loop_.now() + Duration::s(86400)};
   void open() {
     before_start_ = [this] {
       service_->set_metadata_verifier(std::make_unique<MetadataVerifier>(
-          std::vector<RepositorySettings>{{"/look/u/", repository_.root(), Span()}}, 100));
+          std::vector<RepositorySettings>{{"/look/u/", repository_.root(), Duration()}}, 100));
     };
     start_router(all_endpoints());
   }
--- a/tests/metadata_verifier_test.cpp
+++ b/tests/metadata_verifier_test.cpp
@@ -17,7 +17,7 @@
   std::unique_ptr<MetadataVerifier> verifier;
   Instant now = kNow;
 
-  explicit VerifiedRepository(Span lag = Span::s(30), std::size_t max_clients = 100) {
+  explicit VerifiedRepository(Duration lag = Duration::s(30), std::size_t max_clients = 100) {
     verifier = std::make_unique<MetadataVerifier>(
         std::vector<RepositorySettings>{{"/look/u/", repository.root(), lag}}, max_clients);
   }
@@ -32,7 +32,7 @@
 };
 
 TEST(MetadataVerifier, FindsTheRepositoryOfTheLongestPrefix) {
-  const Publisher publisher(kNow + Span::s(9));
+  const Publisher publisher(kNow + Duration::s(9));
   const MetadataVerifier verifier({{"/look/", publisher.root(), {}}, {"/look/u/", publisher.root(), {}}}, 10);
   std::string_view file;
   EXPECT_EQ(verifier.repository_of("/look/u/timestamp.json", file), 1U);
@@ -57,11 +57,11 @@
   EXPECT_EQ(served.check("2.snapshot.json", served.repository.snapshot(), 1), "");
   EXPECT_EQ(served.check("2.snapshot.json", old_snapshot, 1), "mismatch");  // good, and not in this place
   EXPECT_EQ(served.check("2.targets.json", old_targets, 1), "mismatch");
-  served.now = served.now + Span::s(31);
+  served.now = served.now + Duration::s(31);
   EXPECT_EQ(served.check("timestamp.json", old, 2), "rollback");
   EXPECT_EQ(served.check("timestamp.json", old, 3), "rollback");
   EXPECT_EQ(served.check("1.snapshot.json", old_snapshot, 2), "mismatch");
-  served.now = kNow + Span::s(90000);
+  served.now = kNow + Duration::s(90000);
   EXPECT_EQ(served.check_timestamp(2), "expired");  // the same bytes that were accepted before
 }
 
@@ -69,7 +69,7 @@
   VerifiedRepository served;
   EXPECT_EQ(served.check("1.snapshot.json", served.repository.snapshot()), "");
   EXPECT_EQ(served.check("2.snapshot.json", served.repository.snapshot()), "mismatch");
-  const Publisher stranger(kNow + Span::s(86400));
+  const Publisher stranger(kNow + Duration::s(86400));
   EXPECT_EQ(served.check("1.snapshot.json", stranger.snapshot()), "threshold");
   EXPECT_EQ(served.check("1.snapshot.json", served.repository.snapshot().substr(0, 200)), "unreadable");
   EXPECT_EQ(served.check("1.part.json", served.repository.targets()), "out-of-order");
@@ -101,7 +101,7 @@
 }
 
 TEST(MetadataVerifier, ClientsAreBoundedAndEvictionNeverLetsARollbackThrough) {
-  VerifiedRepository served(Span::s(3600), 16);
+  VerifiedRepository served(Duration::s(3600), 16);
   const std::string old = served.repository.timestamp();
   EXPECT_EQ(served.check_timestamp(1), "");
   served.repository.publish_next();
--- a/tests/policy/call_pacing_test.cpp
+++ b/tests/policy/call_pacing_test.cpp
@@ -11,14 +11,14 @@
 // timed out as well. The list is not sent to past its validity meanwhile.
 TEST(CallPacing, FailedCallsAreRepeatedWithBackoffUntilAListComes) {
   RouterSettings settings = default_settings();
-  settings.endpoint_poll_interval = Span::s(20);
+  settings.endpoint_poll_interval = Duration::s(20);
   settings.must_watch_endpoints = true;
   SimulatedRouter router(settings);
   for (unsigned i = 0; i < 40; ++i) {
     router.policy->on_endpoint_watch_failed();
     router.policy->on_wakeup(2);
     EXPECT_EQ(router.actions.watches, i + 2U);
-    const Span mean = i < 1 ? Span::ms(300) : i < 3 ? Span::s(3) : Span::s(6);
+    const Duration mean = i < 1 ? Duration::ms(300) : i < 3 ? Duration::s(3) : Duration::s(6);
     EXPECT_GE(router.actions.wakeups[2], mean * 0.5);
     EXPECT_LE(router.actions.wakeups[2], mean * 1.5);
     router.set_release(1, 2, ReleasePhase::kReleased,
@@ -26,7 +26,7 @@
   }
   router.set_endpoints(8, 0);
   router.policy->on_endpoint_watch_failed();
-  EXPECT_LT(router.actions.wakeups[2], Span::s(1));
+  EXPECT_LT(router.actions.wakeups[2], Duration::s(1));
 }
 
 }  // namespace
--- a/tests/policy/exposure_cap_test.cpp
+++ b/tests/policy/exposure_cap_test.cpp
@@ -9,18 +9,18 @@
 
 TEST(ExposureCap, NothingAtCapZeroAndStageZeroBeforeTheReleaseState) {
   SimulatedRouter router(default_settings(), 8, 8);
-  router.run(Span::s(2), 200);  // version 2 is listed but not announced
+  router.run(Duration::s(2), 200);  // version 2 is listed but not announced
   EXPECT_LE(router.sent_to(2), 2 + 0.1 * 400);
   router.set_release(2, 1, ReleasePhase::kRollingBack, 0);
   const std::size_t from = router.actions.attempts.size();
-  router.run(Span::s(2), 200);
+  router.run(Duration::s(2), 200);
   EXPECT_EQ(router.sent_to(2, from), 0u);
 }
 
 TEST(ExposureCap, TheWholeCapWhereNoStableEndpointIsLeft) {
   SimulatedRouter router(default_settings(), 0, 6);
   router.set_release(2, 2, ReleasePhase::kCanary, 1.0);
-  router.run(Span::s(2), 100);
+  router.run(Duration::s(2), 100);
   EXPECT_GT(router.actions.attempts.size(), 190u);
 }
 
@@ -33,9 +33,9 @@
   router.set_release(2, 2, ReleasePhase::kCanary, 1.0);
   router.serve = [](ReleaseVersion, EndpointIndex) {
     static int attempts = 0;  // one in 16 takes long
-    return Outcome{AttemptResult::kOk, Span::ms(++attempts % 16 == 0 ? 900 : 50)};
+    return Outcome{AttemptResult::kOk, Duration::ms(++attempts % 16 == 0 ? 900 : 50)};
   };
-  router.run(Span::s(10), 150, {0, 1, 2});
+  router.run(Duration::s(10), 150, {0, 1, 2});
   EXPECT_LT(router.actions.rejected.size() + router.actions.failed.size(), 30u);  // of 1500
 }
 
--- a/tests/policy/failure_comparison_test.cpp
+++ b/tests/policy/failure_comparison_test.cpp
@@ -10,14 +10,14 @@
 TEST(FailureComparison, OneFailingRequestClassDoesNotHideAmongTheOthers) {
   RouterSettings settings = default_settings();
   SimulatedRouter router = router_with_canary(settings);
-  router.run(Span::ms(300), 0);
+  router.run(Duration::ms(300), 0);
   for (int i = 0; i < 1600 && !router.actions.voted(Vote::kAbort); ++i) {
     const unsigned request_class = i % 12 == 0 ? 1 : 0;
     router.request(request_class);
     const SentAttempt attempt = router.actions.attempts.back();
     const bool fails = router.versions[attempt.endpoint] == 2 && request_class == 1;
-    router.now = router.now + Span::ms(5);
-    router.end_attempt(attempt, fails ? AttemptResult::kError : AttemptResult::kOk, Span::ms(50), fails);
+    router.now = router.now + Duration::ms(5);
+    router.end_attempt(attempt, fails ? AttemptResult::kError : AttemptResult::kOk, Duration::ms(50), fails);
     router.tick();
   }
   EXPECT_TRUE(router.actions.voted(Vote::kAbort));
@@ -28,7 +28,7 @@
   router.serve = [](ReleaseVersion, EndpointIndex endpoint) {
     return Outcome{endpoint == 9 ? AttemptResult::kError : AttemptResult::kOk};
   };
-  router.run(Span::s(6), 200);
+  router.run(Duration::s(6), 200);
   EXPECT_FALSE(router.actions.voted(Vote::kAbort));
   EXPECT_TRUE(router.actions.logged("endpoint 9 ejected"));
 }
@@ -43,7 +43,7 @@
                : [](ReleaseVersion, EndpointIndex endpoint) {
                    return Outcome{endpoint == 8 ? AttemptResult::kError : AttemptResult::kOk};
                  };
-    router.run(Span::s(6), 200);
+    router.run(Duration::s(6), 200);
     EXPECT_EQ(router.actions.voted(Vote::kAbort), !others);
     EXPECT_FALSE(router.actions.voted(Vote::kPromote));
   }
@@ -57,7 +57,7 @@
       static int n = 0;
       return Outcome{++n % 5 == 0 ? AttemptResult::kError : AttemptResult::kOk};
     } : [](ReleaseVersion, EndpointIndex endpoint) { return Outcome{endpoint < 3 && endpoint % 2 == 0 ? AttemptResult::kError : AttemptResult::kOk}; };
-    router.run(Span::s(4), 200);
+    router.run(Duration::s(4), 200);
     EXPECT_EQ(router.actions.voted(Vote::kAbort), all);
   }
 }
@@ -68,7 +68,7 @@
   router.serve = [](ReleaseVersion, EndpointIndex endpoint) {
     return Outcome{endpoint >= 8 && endpoint < 11 ? AttemptResult::kError : AttemptResult::kOk};
   };
-  router.run(Span::s(12), 200);
+  router.run(Duration::s(12), 200);
   EXPECT_TRUE(router.actions.voted(Vote::kAbort));
   EXPECT_FALSE(router.actions.voted(Vote::kPromote));
 }
@@ -79,7 +79,7 @@
     static int n = 0;
     return Outcome{++n % 10 == 0 ? AttemptResult::kError : AttemptResult::kOk};
   };
-  router.run(Span::s(6), 200);
+  router.run(Duration::s(6), 200);
   EXPECT_FALSE(router.actions.voted(Vote::kAbort));
 }
 
@@ -88,7 +88,7 @@
   router.serve = [](ReleaseVersion version, EndpointIndex) {
     return Outcome{version == 2 ? AttemptResult::kConnectFailed : AttemptResult::kOk};
   };
-  router.run(Span::s(6), 200);
+  router.run(Duration::s(6), 200);
   EXPECT_FALSE(router.actions.voted(Vote::kAbort));
 }
 
@@ -103,7 +103,7 @@
         router.end_attempt(router.actions.attempts[sent], bad ? AttemptResult::kError : AttemptResult::kOk);
     }
     EXPECT_LE(router.actions.attempt_counts[id], 2u);  // two endpoints have failed it
-    router.now = router.now + Span::ms(5);
+    router.now = router.now + Duration::ms(5);
     router.tick();
   }
   EXPECT_FALSE(router.actions.voted(Vote::kAbort));
@@ -114,7 +114,7 @@
   SimulatedRouter router = router_with_canary(default_settings(), 0.1);
   router.policy->on_outcome_sample({1, 0, 100, 0});
   router.policy->on_outcome_sample({2, 0, 40, 10});
-  router.run(Span::s(1), 5);
+  router.run(Duration::s(1), 5);
   EXPECT_TRUE(router.actions.voted(Vote::kAbort));
 }
 
@@ -125,7 +125,7 @@
     SimulatedRouter router = router_with_canary(settings);
     router.policy->on_outcome_sample({1, 0, 100, 8});
     router.policy->on_outcome_sample({2, 0, 100, 23});
-    router.run(Span::s(1), 5);
+    router.run(Duration::s(1), 5);
     EXPECT_EQ(router.actions.voted(Vote::kAbort), routers == 2);
   }
 }
--- a/tests/policy/load_balancer_test.cpp
+++ b/tests/policy/load_balancer_test.cpp
@@ -13,9 +13,9 @@
   SimulatedRouter router(settings,
                          8);  // odd endpoints are of the other zone: they take requests and answer none
   router.serve = [](ReleaseVersion, EndpointIndex endpoint) {
-    return Outcome{AttemptResult::kOk, Span::ms(50), endpoint % 2 == 1};
+    return Outcome{AttemptResult::kOk, Duration::ms(50), endpoint % 2 == 1};
   };
-  router.run(Span::s(20), 4);
+  router.run(Duration::s(20), 4);
   std::size_t lost = 0;
   for (const auto& attempt : router.actions.attempts) lost += attempt.endpoint % 2;
   EXPECT_LT(lost, router.actions.attempts.size() / 4);
@@ -31,9 +31,9 @@
     router.set_endpoints(20, 20, Instant(), 1);
     router.set_release(2, 1, phase, 1);
     router.serve = [](ReleaseVersion version, EndpointIndex) {
-      return Outcome{AttemptResult::kOk, Span::ms(version == 1 ? 60 : 300)};
+      return Outcome{AttemptResult::kOk, Duration::ms(version == 1 ? 60 : 300)};
     };
-    router.run(Span::s(40), 12);
+    router.run(Duration::s(40), 12);
     EXPECT_LT(4 * router.sent_to(2), router.actions.attempts.size());
   }
 }
@@ -44,16 +44,16 @@
   settings.router_count = 100;
   settings.cross_zone_cost = 0.08;
   SimulatedRouter router(settings, 20);
-  router.run(Span::s(5), 12);
+  router.run(Duration::s(5), 12);
   router.policy->begin_endpoint_update(false);
   for (EndpointIndex endpoint = 20; endpoint < 26; ++endpoint)
     router.policy->update_endpoint({endpoint, EndpointState::kReady, router.versions[endpoint] = 2,
                                     endpoint == 20 ? 0U : 1U, endpoint, 0, Instant()});
   router.policy->end_endpoint_update();
   router.set_release(2, 1, ReleasePhase::kCanary, 1);
-  router.run(Span::s(10), 12);
+  router.run(Duration::s(10), 12);
   const std::size_t from = router.actions.attempts.size();
-  router.run(Span::s(40), 12);
+  router.run(Duration::s(40), 12);
   EXPECT_LT(router.sent_to(2, from) * 6, router.actions.attempts.size() - from);
 }
 
--- a/tests/policy/outlier_detector_test.cpp
+++ b/tests/policy/outlier_detector_test.cpp
@@ -10,23 +10,23 @@
 // A zone that is lost whole is left alone though it is half of the list: the other still answers.
 TEST(OutlierDetector, ALostZoneIsLeftOutAndAllAreTriedWhereAllFail) {
   SimulatedRouter router(default_settings(), 8);
-  router.run(Span::s(2), 200);
+  router.run(Duration::s(2), 200);
   router.serve = [](ReleaseVersion, EndpointIndex endpoint) {
     return Outcome{endpoint % 2 != 0 ? AttemptResult::kConnectFailed : AttemptResult::kOk};
   };
-  router.run(Span::s(1), 200);
+  router.run(Duration::s(1), 200);
   const auto lost = [&](std::size_t from) {
     return std::count_if(router.actions.attempts.begin() + static_cast<std::ptrdiff_t>(from),
                          router.actions.attempts.end(),
                          [](const auto& attempt) { return attempt.endpoint % 2 != 0; });
   };
   std::size_t from = router.actions.attempts.size();
-  router.run(Span::s(1), 200);
+  router.run(Duration::s(1), 200);
   EXPECT_LT(lost(from), 20);
   router.serve = [](ReleaseVersion, EndpointIndex) { return Outcome{AttemptResult::kConnectFailed}; };
-  router.run(Span::s(2), 200);
+  router.run(Duration::s(2), 200);
   from = router.actions.attempts.size();
-  router.run(Span::s(1), 200);
+  router.run(Duration::s(1), 200);
   EXPECT_GT(lost(from), 10);  // as cold as they may be when they come back
 }
 
@@ -49,7 +49,7 @@
   router.serve = [](ReleaseVersion, EndpointIndex endpoint) {
     return Outcome{endpoint == 0 ? AttemptResult::kReset : AttemptResult::kOk};
   };
-  router.run(Span::s(2), 200);
+  router.run(Duration::s(2), 200);
   ASSERT_TRUE(router.actions.logged("endpoint 0 ejected for"));
   router.serve = [](ReleaseVersion, EndpointIndex) { return Outcome{}; };
   for (const EndpointState state : {EndpointState::kRemoved, EndpointState::kReady}) {
@@ -58,7 +58,7 @@
     router.policy->end_endpoint_update();
   }
   const std::size_t from = router.actions.attempts.size();
-  router.run(Span::ms(300), 200);
+  router.run(Duration::ms(300), 200);
   std::size_t there = 0;
   for (std::size_t i = from; i < router.actions.attempts.size(); ++i)
     there += router.actions.attempts[i].endpoint == 0;
--- a/tests/policy/regression_detector_test.cpp
+++ b/tests/policy/regression_detector_test.cpp
@@ -10,9 +10,9 @@
 TEST(RegressionDetector, LastingSlownessOfTheCanaryIsSevere) {
   SimulatedRouter router = router_with_canary();
   router.serve = [](ReleaseVersion version, EndpointIndex) {
-    return Outcome{AttemptResult::kOk, Span::ms(version == 2 ? 130 : 50)};
+    return Outcome{AttemptResult::kOk, Duration::ms(version == 2 ? 130 : 50)};
   };
-  router.run(Span::s(10), 200);
+  router.run(Duration::s(10), 200);
   EXPECT_TRUE(router.actions.logged("stepped back"));
   EXPECT_TRUE(router.actions.voted(Vote::kAbort));
 }
@@ -20,14 +20,14 @@
 TEST(RegressionDetector, AReleaseThatSlowsAllEndpointsIsFoundUnlessEndpointsAreLostOrASurgeCameFirst) {
   for (const auto& [lost, burst] : {std::pair{false, false}, {true, false}, {false, true}}) {
     SimulatedRouter router = router_with_canary();
-    if (burst) router.run(Span::s(1), 300);
+    if (burst) router.run(Duration::s(1), 300);
     router.serve =
         lost ? [](ReleaseVersion,
-                  EndpointIndex endpoint) { return Outcome{endpoint < 2 ? AttemptResult::kConnectFailed : AttemptResult::kOk, Span::ms(300)}; }
+                  EndpointIndex endpoint) { return Outcome{endpoint < 2 ? AttemptResult::kConnectFailed : AttemptResult::kOk, Duration::ms(300)}; }
              : [](ReleaseVersion, EndpointIndex) {
-                 return Outcome{AttemptResult::kOk, Span::ms(300)};
+                 return Outcome{AttemptResult::kOk, Duration::ms(300)};
                };
-    router.run(Span::ms(9500), burst ? 300 : 60);
+    router.run(Duration::ms(9500), burst ? 300 : 60);
     EXPECT_EQ(router.actions.voted(Vote::kAbort), !lost && !burst);
     EXPECT_EQ(router.actions.logged("stepped back"),
               !lost && !burst);  // 8 s from the burst's end, not from its start
@@ -37,8 +37,8 @@
 TEST(RegressionDetector, AFinishedReleaseUnderWhichAllGrowSlowIsAborted) {
   SimulatedRouter router = router_with_canary();
   router.set_release(2, 2, ReleasePhase::kReleased, 1);
-  router.serve = [](ReleaseVersion, EndpointIndex) { return Outcome{AttemptResult::kOk, Span::ms(500)}; };
-  router.run(Span::s(10), 60);
+  router.serve = [](ReleaseVersion, EndpointIndex) { return Outcome{AttemptResult::kOk, Duration::ms(500)}; };
+  router.run(Duration::s(10), 60);
   EXPECT_TRUE(router.actions.voted(Vote::kAbort));
 }
 
@@ -46,9 +46,9 @@
   RouterSettings settings = default_settings();
   settings.dispute_report_fraction = 0.15;
   SimulatedRouter router = router_with_canary(settings);
-  router.run(Span::s(3), 100);
-  for (EndpointIndex i = 0; i < 4; ++i) router.policy->on_disputed_answer({8 + i % 3, Span::ms(500)});
-  router.run(Span::ms(300), 100);
+  router.run(Duration::s(3), 100);
+  for (EndpointIndex i = 0; i < 4; ++i) router.policy->on_disputed_answer({8 + i % 3, Duration::ms(500)});
+  router.run(Duration::ms(300), 100);
   EXPECT_TRUE(router.actions.voted(Vote::kAbort));
 }
 
@@ -57,19 +57,19 @@
   settings.router_count = 60;
   SimulatedRouter router = router_with_canary(settings, 0.4, 12, 10);
   router.serve = [](ReleaseVersion version, EndpointIndex) {
-    return Outcome{AttemptResult::kOk, Span::ms(version == 2 ? 130 : 50)};
+    return Outcome{AttemptResult::kOk, Duration::ms(version == 2 ? 130 : 50)};
   };
-  router.run(Span::s(20), 20);
+  router.run(Duration::s(20), 20);
   EXPECT_TRUE(router.actions.voted(Vote::kAbort));
 }
 
 // At the guess of the start, 100 ms, these endpoints look three times too slow.
 TEST(RegressionDetector, TheBaselineIsWhatWasMeasuredNotTheInitialGuess) {
   SimulatedRouter router(default_settings(), 20, 5);
-  router.serve = [](ReleaseVersion, EndpointIndex) { return Outcome{AttemptResult::kOk, Span::ms(300)}; };
-  router.run(Span::s(5), 8);
+  router.serve = [](ReleaseVersion, EndpointIndex) { return Outcome{AttemptResult::kOk, Duration::ms(300)}; };
+  router.run(Duration::s(5), 8);
   router.set_release(2, 0, ReleasePhase::kCanary, 0.1);
-  router.run(Span::s(10), 8);
+  router.run(Duration::s(10), 8);
   EXPECT_FALSE(router.actions.logged("stepped back"));
 }
 
--- a/tests/policy/request_router_test.cpp
+++ b/tests/policy/request_router_test.cpp
@@ -12,7 +12,7 @@
   const RequestId ran = router.request(2);
   router.end_attempt(router.actions.attempts.back(), AttemptResult::kReset);
   EXPECT_EQ(router.actions.failed, std::vector<RequestId>{ran});
-  router.run(Span::s(1), 50);  // a few requests earn the budget for further attempts
+  router.run(Duration::s(1), 50);  // a few requests earn the budget for further attempts
   const RequestId proved = router.request(2);
   for (int i = 0; i < 4; ++i)
     router.end_attempt(router.actions.attempts.back(), AttemptResult::kConnectFailed);
@@ -27,7 +27,7 @@
   router.end_attempt(router.actions.attempts.back(), AttemptResult::kError);
   ASSERT_EQ(router.actions.attempts.size(), 2u);
   EXPECT_EQ(router.actions.attempts.back().endpoint % 2, first % 2);
-  router.now = router.now + Span::ms(1100);  // what it may have done is forgotten by now
+  router.now = router.now + Duration::ms(1100);  // what it may have done is forgotten by now
   router.end_attempt(router.actions.attempts.back(), AttemptResult::kError);
   EXPECT_EQ(router.actions.attempts.size(), 2u);
   EXPECT_EQ(router.actions.failed.size(), 1u);
@@ -41,9 +41,9 @@
     settings.may_hedge = hedges;
     SimulatedRouter router(settings);
     router.serve = [](ReleaseVersion, EndpointIndex endpoint) {
-      return Outcome{AttemptResult::kOk, Span::ms(50), endpoint == 3};
+      return Outcome{AttemptResult::kOk, Duration::ms(50), endpoint == 3};
     };
-    router.run(Span::s(6), 100);
+    router.run(Duration::s(6), 100);
     EXPECT_TRUE(router.actions.logged("endpoint 3 ejected"));
     std::size_t late = 0;
     for (std::size_t i = router.actions.attempts.size() - 100; i < router.actions.attempts.size(); ++i)
@@ -52,16 +52,16 @@
     EXPECT_TRUE(router.actions.failed.empty() || !hedges);
     SimulatedRouter few(settings);  // so few requests that all there are called off in time
     few.serve = router.serve;
-    few.run(Span::s(6), 50);
+    few.run(Duration::s(6), 50);
     EXPECT_TRUE(few.actions.logged("endpoint 3 ejected")) << hedges;
   }
 }
 
 TEST(RequestRouter, EveryRequestIsAnsweredOnceBeforeItsDeadline) {
   SimulatedRouter router(default_settings());
-  router.serve = [](ReleaseVersion, EndpointIndex) { return Outcome{AttemptResult::kOk, Span(), true}; };
-  for (int i = 0; i < 30; ++i) router.request(static_cast<unsigned>(i) % 3, 0, Span::ms(500));
-  router.run(Span::ms(495), 0);
+  router.serve = [](ReleaseVersion, EndpointIndex) { return Outcome{AttemptResult::kOk, Duration(), true}; };
+  for (int i = 0; i < 30; ++i) router.request(static_cast<unsigned>(i) % 3, 0, Duration::ms(500));
+  router.run(Duration::ms(495), 0);
   EXPECT_EQ(router.actions.rejected.size() + router.actions.failed.size(), 30u);
 }
 
@@ -69,8 +69,8 @@
   RouterSettings settings = default_settings();
   settings.request_classes[1].priority_weight = 5;
   SimulatedRouter router(settings, 2);
-  router.serve = [](ReleaseVersion, EndpointIndex) { return Outcome{AttemptResult::kOk, Span::ms(250)}; };
-  router.run(Span::s(6), 200, {0, 1});
+  router.serve = [](ReleaseVersion, EndpointIndex) { return Outcome{AttemptResult::kOk, Duration::ms(250)}; };
+  router.run(Duration::s(6), 200, {0, 1});
   const auto cheap = std::count_if(router.actions.rejected.begin(), router.actions.rejected.end(),
                                    [](RequestId endpoint) { return endpoint % 2 == 0; });
   EXPECT_GT(static_cast<std::size_t>(cheap), router.actions.rejected.size() / 2);
@@ -78,12 +78,12 @@
 
 TEST(RequestRouter, RejectionsEndWithTheOverload) {
   SimulatedRouter router(default_settings(), 4);
-  router.serve = [](ReleaseVersion, EndpointIndex) { return Outcome{AttemptResult::kOk, Span::ms(900)}; };
-  router.run(Span::s(6), 100);
+  router.serve = [](ReleaseVersion, EndpointIndex) { return Outcome{AttemptResult::kOk, Duration::ms(900)}; };
+  router.run(Duration::s(6), 100);
   router.serve = [](ReleaseVersion, EndpointIndex) { return Outcome{}; };
-  router.run(Span::s(6), 40);
+  router.run(Duration::s(6), 40);
   const std::size_t before = router.actions.rejected.size();
-  router.run(Span::s(2), 40);
+  router.run(Duration::s(2), 40);
   EXPECT_LT(router.actions.rejected.size() - before, 8u);
 }
 
--- a/tests/policy/rule_guards_test.cpp
+++ b/tests/policy/rule_guards_test.cpp
@@ -13,7 +13,7 @@
   router.policy->update_endpoint({0, EndpointState::kDraining, 1, 0, 0, 0, Instant()});
   router.policy->update_endpoint({1, EndpointState::kRemoved, 1, 1, 1, 0, Instant()});
   router.policy->end_endpoint_update();
-  router.run(Span::s(1), 100);
+  router.run(Duration::s(1), 100);
   for (const auto& attempt : router.actions.attempts) EXPECT_GE(attempt.endpoint, 2u);
 }
 
@@ -22,14 +22,14 @@
   router.set_endpoints(3, 0);
   router.set_release(1, 2, ReleasePhase::kReleased, 1);
   const Instant now = router.now;
-  router.policy->set_endpoint_list_validity({now + Span::s(1), Instant::never()});
+  router.policy->set_endpoint_list_validity({now + Duration::s(1), Instant::never()});
   router.request();
   EXPECT_EQ(router.actions.attempts.size(), 1U);
   router.policy->set_endpoint_list_validity({now, Instant::never()});
   router.request();
   EXPECT_EQ(router.actions.attempts.size(), 1U);
   EXPECT_EQ(router.actions.rejected.size(), 1U);  // at once
-  router.policy->extend_endpoint_validity(2, now + Span::s(1));
+  router.policy->extend_endpoint_validity(2, now + Duration::s(1));
   router.request();
   ASSERT_EQ(router.actions.attempts.size(), 2U);
   EXPECT_EQ(router.actions.attempts.back().endpoint, 2U);
--- a/tests/policy/rule_model_test.cpp
+++ b/tests/policy/rule_model_test.cpp
@@ -123,7 +123,7 @@
     }
     attempts.push_back({id, h, endpoint.version, attempt, request.request_class, now});
   }
-  void reject(RequestId id, Span) override {
+  void reject(RequestId id, Duration) override {
     KnownRequest& request = open_request(id);
     const RequestClass& request_class = settings_.request_classes[request.request_class];
     const bool harmless =
@@ -140,7 +140,7 @@
     ++failures;
   }
   void cancel_attempt(RequestId, unsigned) override {}
-  void schedule_wakeup(Span, std::uint64_t) override {}
+  void schedule_wakeup(Duration, std::uint64_t) override {}
   void watch_endpoints() override {}
   void cast_vote(ReleaseVersion, unsigned, Vote v) override {
     EXPECT_FALSE(settings_.promoted_by_clock && v == Vote::kPromote);
@@ -156,8 +156,8 @@
     router_->start();
   }
 
-  void run(Span length) {
-    for (const Instant until = now_ + length; now_ < until; now_ = now_ + Span::ms(5)) {
+  void run(Duration length) {
+    for (const Instant until = now_ + length; now_ < until; now_ = now_ + Duration::ms(5)) {
       rules_.now = now_;
       router_->set_time(now_);
       if (step_++ % 200 == 0) change_list();
@@ -167,7 +167,7 @@
       if (step_ % 4 == 0) router_->on_wakeup(1);
       for (const auto& [id, request] : rules_.requests) {
         if (!request.ended) {
-          EXPECT_LT(now_, request.deadline + Span::ms(20)) << "rule 1: request " << id << " is lost";
+          EXPECT_LT(now_, request.deadline + Duration::ms(20)) << "rule 1: request " << id << " is lost";
         }
       }
     }
@@ -218,13 +218,13 @@
     rules_.exposure_cap = back ? 0 : rules_.settings_.exposure_caps[rules_.stage];
     if (back) rules_.bound_keys.clear();
     rules_.announced = true;
-    router_->on_release_state({rules_.version, rules_.stage, rules_.phase, rules_.exposure_cap, Span()});
+    router_->on_release_state({rules_.version, rules_.stage, rules_.phase, rules_.exposure_cap, Duration()});
   }
   void request() {
     const RequestId id = next_++;
     const auto request_class = static_cast<unsigned>(draw(0, 2));
     const auto key = static_cast<std::uint64_t>(draw(0, 40));
-    const Instant deadline = now_ + Span::ms(draw(100, 2000));
+    const Instant deadline = now_ + Duration::ms(draw(100, 2000));
     rules_.requests[id] = {request_class, key, now_, deadline};
     router_->on_request({id, request_class, 0, key, deadline});
   }
@@ -255,7 +255,7 @@
 
   std::mt19937 random_;
   std::unique_ptr<RouterPolicy> router_;
-  Instant now_ = Instant::at_us(0) + Span::s(50);
+  Instant now_ = Instant::at_us(0) + Duration::s(50);
   RequestId next_ = 1;
   int step_ = 0;
 };
@@ -264,7 +264,7 @@
   std::size_t canary = 0, rejections = 0, failures = 0;
   for (unsigned seed = 1; seed <= 24; ++seed) {
     RouterSettings settings = default_settings();
-    settings.request_classes[1].key_retention = Span::ms(250);
+    settings.request_classes[1].key_retention = Duration::ms(250);
     settings.sticky_keys = seed % 2 == 0;
     settings.exposure_per_class = seed % 3 == 0;
     settings.idempotent_only_stages = seed % 4;
@@ -275,7 +275,7 @@
     if (seed % 6 == 1) settings.request_classes[1].scope = IdempotencyScope::kCell;
     SCOPED_TRACE("seed " + std::to_string(seed));
     Stream stream(settings, seed);
-    stream.run(Span::s(20));
+    stream.run(Duration::s(20));
     canary += stream.rules_.canary_attempts;
     rejections += stream.rules_.rejections;
     failures += stream.rules_.failures;
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -16,7 +16,7 @@
     SimulatedRouter router(settings, 8, 0, 100 + number);
     before(router);
     const std::size_t from = router.actions.attempts.size();
-    router.run(Span::s(1), per_s);
+    router.run(Duration::s(1), per_s);
     cold += router.actions.attempts.size() - from;
   }
   return cold;
@@ -25,7 +25,7 @@
 // All endpoints are listed as just started, after 3 s of so many requests a second.
 auto listed_cold(int per_s) {
   return [per_s](SimulatedRouter& router) {
-    router.run(Span::s(3), per_s);
+    router.run(Duration::s(3), per_s);
     router.policy->begin_endpoint_update(false);
     for (EndpointIndex endpoint = 0; endpoint < 8; ++endpoint)
       router.policy->update_endpoint(
@@ -36,12 +36,12 @@
 
 TEST(SlowStart, AnEndpointThatWarmsUpGetsLessThanAWarmOne) {
   SimulatedRouter router(default_settings(), 8);
-  router.run(Span::s(2), 400);
+  router.run(Duration::s(2), 400);
   router.policy->begin_endpoint_update(false);
   router.policy->update_endpoint({0, EndpointState::kReady, 1, 0, 0, 0, router.now});
   router.policy->end_endpoint_update();
   const std::size_t from = router.actions.attempts.size();
-  router.run(Span::s(1), 400);
+  router.run(Duration::s(1), 400);
   std::size_t cold = 0;
   for (std::size_t i = from; i < router.actions.attempts.size(); ++i)
     cold += router.actions.attempts[i].endpoint == 0;
@@ -73,11 +73,11 @@
   settings.router_count = 200;
   settings.tenant_quota_per_s = {400};
   const auto lost_and_back = [](SimulatedRouter& router) {
-    router.run(Span::s(6), 9);
+    router.run(Duration::s(6), 9);
     router.serve = [](ReleaseVersion, EndpointIndex) {
-      return Outcome{AttemptResult::kConnectFailed, Span::ms(5)};
+      return Outcome{AttemptResult::kConnectFailed, Duration::ms(5)};
     };
-    router.run(Span::s(1), 9);
+    router.run(Duration::s(1), 9);
     router.serve = [](ReleaseVersion, EndpointIndex) { return Outcome{}; };
   };
   const std::size_t cold = sent_cold(settings, 9, lost_and_back);
@@ -94,14 +94,14 @@
   for (unsigned number = 0; number < settings.router_count; ++number) {
     SimulatedRouter router(settings, 20, 4, 100 + number);
     router.set_release(2, 0, ReleasePhase::kCanary, 1);
-    router.run(Span::s(6), 6);
+    router.run(Duration::s(6), 6);
     router.policy->begin_endpoint_update(false);
     for (EndpointIndex endpoint = 24; endpoint < 40; ++endpoint)
       router.policy->update_endpoint(
           {endpoint, EndpointState::kReady, router.versions[endpoint] = 2, 0, endpoint, 0, router.now});
     router.policy->end_endpoint_update();
     const std::size_t from = router.actions.attempts.size();
-    router.run(Span::s(1), 6);
+    router.run(Duration::s(1), 6);
     for (std::size_t i = from; i < router.actions.attempts.size(); ++i) {
       const EndpointIndex endpoint = router.actions.attempts[i].endpoint;
       ++sent[endpoint < 20 ? 0 : endpoint < 24 ? 1 : 2];
--- a/tests/policy/sticky_keys_test.cpp
+++ b/tests/policy/sticky_keys_test.cpp
@@ -17,7 +17,7 @@
     const std::uint64_t key = 1 + static_cast<std::uint64_t>(i % 100) * 7919;
     const std::size_t before = router.actions.attempts.size();
     router.request(0, key);
-    router.now = router.now + Span::ms(5);
+    router.now = router.now + Duration::ms(5);
     for (std::size_t sent = before; sent < router.actions.attempts.size(); ++sent) {
       const bool blue = router.versions[router.actions.attempts[sent].endpoint] == 2;
       EXPECT_TRUE(blue || !bound[key] || router.actions.attempts[sent].request != router.next_request - 1);
--- a/tests/policy/vote_scheduler_test.cpp
+++ b/tests/policy/vote_scheduler_test.cpp
@@ -9,12 +9,12 @@
 
 TEST(VoteScheduler, RenewsVotesBeforeTheyExpireAndNeverPromotesUnderTheClock) {
   SimulatedRouter router = router_with_canary();
-  router.run(Span::s(30), 200);
+  router.run(Duration::s(30), 200);
   EXPECT_GE(router.actions.votes.size(), 3u);
   RouterSettings settings = default_settings();
   settings.promoted_by_clock = true;
   SimulatedRouter c = router_with_canary(settings);
-  c.run(Span::s(20), 200);
+  c.run(Duration::s(20), 200);
   EXPECT_TRUE(c.actions.votes.empty());
 }
 
@@ -22,11 +22,11 @@
   RouterSettings settings = default_settings();
   settings.platform_calls_per_s = 4;
   SimulatedRouter router = router_with_canary(settings);
-  router.run(Span::s(15), 200);
+  router.run(Duration::s(15), 200);
   ASSERT_TRUE(router.actions.voted(Vote::kPromote));
   const std::size_t before = router.actions.votes.size();
   router.policy->on_vote_refused(VoteOutcome::kUnknown);
-  router.run(Span::s(1), 200);  // it may have been lost: soon
+  router.run(Duration::s(1), 200);  // it may have been lost: soon
   EXPECT_GT(router.actions.votes.size(), before);
   EXPECT_EQ(router.actions.votes.back().vote, Vote::kPromote);
 }
@@ -57,13 +57,13 @@
         for (unsigned number = 0; number < settings.router_count; ++number) {
           SimulatedRouter& router = fleet[number];
           const std::size_t before = router.actions.votes.size();
-          router.run(Span::ms(50), 0);
+          router.run(Duration::ms(50), 0);
           for (std::size_t i = before; i < router.actions.votes.size(); ++i) {
             const bool full = taken >= 16;
             taken += !full;
             if (!full) stands[number] = router.now;
             if (full) router.policy->on_vote_refused(VoteOutcome::kThrottled);
-            else router.policy->on_release_state({2, 0, ReleasePhase::kCanary, 0.4, Span()});
+            else router.policy->on_release_state({2, 0, ReleasePhase::kCanary, 0.4, Duration()});
           }
         }
         const Instant now = fleet.front().now;
--- a/tests/policy_fixture.hpp
+++ b/tests/policy_fixture.hpp
@@ -34,18 +34,18 @@
   std::vector<Cancelled> cancelled;
   std::vector<CastVote> votes;
   std::vector<std::string> lines;
-  unsigned watches = 0;                   // opened
-  std::map<std::uint64_t, Span> wakeups;  // the last delay asked for, by token
+  unsigned watches = 0;                       // opened
+  std::map<std::uint64_t, Duration> wakeups;  // the last delay asked for, by token
 
   void send_attempt(RequestId request, EndpointIndex endpoint) override {
     attempts.push_back({request, endpoint, attempt_counts[request]++});
   }
-  void reject(RequestId request, Span) override { rejected.push_back(request); }
+  void reject(RequestId request, Duration) override { rejected.push_back(request); }
   void fail(RequestId request) override { failed.push_back(request); }
   void cancel_attempt(RequestId request, unsigned attempt) override {
     cancelled.push_back({request, attempt});
   }
-  void schedule_wakeup(Span delay, std::uint64_t token) override { wakeups[token] = delay; }
+  void schedule_wakeup(Duration delay, std::uint64_t token) override { wakeups[token] = delay; }
   void watch_endpoints() override { ++watches; }
   void cast_vote(ReleaseVersion, unsigned stage, Vote vote) override { votes.push_back({stage, vote}); }
   void log(std::string_view line) override { lines.emplace_back(line); }
@@ -67,9 +67,9 @@
     RequestClass request_class;
     request_class.idempotency = idempotency;
     request_class.scope = IdempotencyScope::kZone;
-    request_class.latency_objective = Span::ms(600);
-    request_class.client_timeout = Span::s(2);
-    request_class.key_retention = Span::s(1);
+    request_class.latency_objective = Duration::ms(600);
+    request_class.client_timeout = Duration::s(2);
+    request_class.key_retention = Duration::s(1);
     settings.request_classes.push_back(request_class);
   }
   settings.zone_count = 2;
@@ -77,18 +77,18 @@
   settings.may_cancel = true;
   settings.may_hedge = true;
   settings.max_attempts = 4;
-  settings.drain_grace = Span::s(1);
-  settings.endpoint_poll_interval = Span::s(10);
-  settings.slow_start_window = Span::s(1);
-  settings.slow_start_duration = Span::s(4);
-  settings.clock_tick = Span::ms(5);
+  settings.drain_grace = Duration::s(1);
+  settings.endpoint_poll_interval = Duration::s(10);
+  settings.slow_start_window = Duration::s(1);
+  settings.slow_start_duration = Duration::s(4);
+  settings.clock_tick = Duration::ms(5);
   settings.initial_capacity = 0.33;
   settings.exposure_caps = {0.1, 0.4, 1.0};
   settings.stage_fractions = {0.1, 0.3, 1.0};
   settings.exposure_allowance = 2;
-  settings.exposure_window = Span::s(2);
-  settings.vote_ttl = Span::s(10);
-  settings.bake_time = Span::s(2);
+  settings.exposure_window = Duration::s(2);
+  settings.vote_ttl = Duration::s(10);
+  settings.bake_time = Duration::s(2);
   settings.platform_calls_per_s = 50;
   return settings;
 }
@@ -96,14 +96,14 @@
 // What an endpoint makes of an attempt.
 struct Outcome {
   AttemptResult result = AttemptResult::kOk;
-  Span duration = Span::ms(50);
+  Duration duration = Duration::ms(50);
   bool never = false;  // it is not answered at all
 };
 
 // One router before `stable` endpoints of version 1 and `canary` ones of version 2, all warm; each attempt
 // ends as `serve` says. Endpoints are in two zones by turns.
 struct SimulatedRouter {
-  static constexpr Span kStep = Span::ms(5);
+  static constexpr Duration kStep = Duration::ms(5);
   static constexpr std::uint64_t kTickToken = 1;
 
   struct PendingAttempt {
@@ -114,7 +114,7 @@
 
   RecordingActions actions;
   std::unique_ptr<RouterPolicy> policy;
-  Instant now = Instant::at_us(0) + Span::s(100);
+  Instant now = Instant::at_us(0) + Duration::s(100);
   std::map<EndpointIndex, ReleaseVersion> versions;
   std::vector<PendingAttempt> pending;
   std::size_t served = 0;              // attempts taken up by run() so far
@@ -158,17 +158,18 @@
 
   void set_release(ReleaseVersion version, unsigned stage, ReleasePhase phase, double exposure_cap) {
     policy->set_time(now);
-    policy->on_release_state({version, stage, phase, exposure_cap, Span()});
+    policy->on_release_state({version, stage, phase, exposure_cap, Duration()});
   }
 
-  RequestId request(unsigned request_class = 0, std::uint64_t sticky_key = 0, Span time_left = Span::s(2)) {
+  RequestId request(unsigned request_class = 0, std::uint64_t sticky_key = 0,
+                    Duration time_left = Duration::s(2)) {
     policy->set_time(now);
     policy->on_request(
         {next_request, request_class, next_request % tenant_count, sticky_key, now + time_left});
     return next_request++;
   }
 
-  void end_attempt(const SentAttempt& attempt, AttemptResult result, Span duration = Span::ms(50),
+  void end_attempt(const SentAttempt& attempt, AttemptResult result, Duration duration = Duration::ms(50),
                    bool answered_client = false) {
     policy->set_time(now);
     policy->on_attempt_end({attempt.request, attempt.attempt, attempt.endpoint, result, duration,
@@ -176,7 +177,7 @@
   }
 
   // Runs for a while at so many requests a second, of the given classes by turns.
-  void run(Span length, int requests_per_s, std::vector<unsigned> request_classes = {0}) {
+  void run(Duration length, int requests_per_s, std::vector<unsigned> request_classes = {0}) {
     double due = 0;
     for (const Instant until = now + length; now < until; now = now + kStep) {
       for (due += requests_per_s * kStep.s(); due >= 1; due -= 1)
@@ -216,7 +217,7 @@
           std::find_if(actions.attempts.begin(), actions.attempts.end(), [&](const SentAttempt& sent) {
             return sent.request == cancelled.request && sent.attempt == cancelled.attempt;
           });
-      end_attempt(SentAttempt(*attempt), AttemptResult::kCancelled, Span::ms(250));
+      end_attempt(SentAttempt(*attempt), AttemptResult::kCancelled, Duration::ms(250));
     }
   }
 
@@ -238,7 +239,7 @@
                                           double exposure_cap = 0.4, unsigned stable = 8,
                                           unsigned canary = 3) {
   SimulatedRouter router(settings, stable, 0);
-  router.run(Span::s(5), 100);
+  router.run(Duration::s(5), 100);
   router.set_endpoints(stable, canary);
   router.set_release(2, 0, ReleasePhase::kCanary, exposure_cap);
   return router;
--- a/tests/quota_test.cpp
+++ b/tests/quota_test.cpp
@@ -41,11 +41,11 @@
 TEST(Rates, AgreeWithTwoPlainBucketsOfTokens) {
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     Pcg chance(seed);
-    const double per_s = 0.5 + chance.below(50);
-    const double burst = 1 + chance.below(9);
-    const double bank_s = chance.below(20);
-    const double peak_factor = 1 + chance.below(5);
-    const Rate rate = Rate::per_router({per_s, burst, 0}, 1, peak_factor, Span::s(bank_s));
+    const double per_s = 0.5 + chance.next_below(50);
+    const double burst = 1 + chance.next_below(9);
+    const double bank_s = chance.next_below(20);
+    const double peak_factor = 1 + chance.next_below(5);
+    const Rate rate = Rate::per_router({per_s, burst, 0}, 1, peak_factor, Duration::s(bank_s));
     PlainRate plain{per_s, burst, bank_s, peak_factor};
     Bucket bucket;
     const std::int64_t begin_ns = nanoseconds_of(kBegin);
@@ -54,8 +54,8 @@
     std::uint64_t taken = 0;
     std::uint64_t at_the_edge = 0;
     for (int i = 0; i < 3000; ++i) {
-      const double gap_s = chance.below(20) == 0 ? bank_s : 1.5 / per_s / peak_factor;
-      now_ns += static_cast<std::int64_t>(chance.unit() * gap_s * 2e9);
+      const double gap_s = chance.next_below(20) == 0 ? bank_s : 1.5 / per_s / peak_factor;
+      now_ns += static_cast<std::int64_t>(chance.next_double() * gap_s * 2e9);
       const double elapsed_s = static_cast<double>(now_ns - begin_ns) / 1e9;
       const bool fits = bucket.wait_ns(rate, now_ns) == 0;
       PlainRate tried = plain;
@@ -82,13 +82,14 @@
   const double per_s = 20;
   const double burst = 5;
   const double bank_s = 3;
-  const Rate rate = Rate::per_router({per_s, burst, 0}, 1, 4, Span::s(bank_s));
+  const Rate rate = Rate::per_router({per_s, burst, 0}, 1, 4, Duration::s(bank_s));
   Bucket bucket;
   std::int64_t now_ns = nanoseconds_of(kBegin);
   bucket.start(now_ns, Bucket::kNever, Bucket::kNever);
   std::deque<double> taken;  // at which seconds
   for (int i = 0; i < 40000; ++i) {
-    now_ns += static_cast<std::int64_t>(chance.below(500) == 0 ? chance.unit() * 5e9 : chance.unit() * 2e7);
+    now_ns += static_cast<std::int64_t>(chance.next_below(500) == 0 ? chance.next_double() * 5e9
+                                                                    : chance.next_double() * 2e7);
     if (bucket.wait_ns(rate, now_ns) > 0) continue;
     bucket.take(rate, now_ns);
     taken.push_back(static_cast<double>(now_ns) / 1e9);
@@ -104,7 +105,7 @@
 }
 
 TEST(Rates, WhoWaitsForRetryAfterIsTakenWhereNobodyElseCame) {
-  const Rate rate = Rate::per_router({10, 3, 0}, 1, 4, Span::s(5));
+  const Rate rate = Rate::per_router({10, 3, 0}, 1, 4, Duration::s(5));
   Bucket bucket;
   std::int64_t now_ns = nanoseconds_of(kBegin);
   bucket.start(now_ns, Bucket::kNever, Bucket::kNever);
@@ -138,15 +139,15 @@
 }
 
 TEST(Rates, ARoutersPartOfALimit) {
-  const Rate tenth = Rate::per_router({100, 50, 20}, 10, 4, Span::s(10));
+  const Rate tenth = Rate::per_router({100, 50, 20}, 10, 4, Duration::s(10));
   EXPECT_EQ(tenth.interval_ns, 100'000'000);
   EXPECT_EQ(tenth.peak_interval_ns, 25'000'000);
   EXPECT_EQ(tenth.tolerance_ns, 400'000'000);
   EXPECT_EQ(tenth.max_in_flight, 2U);
-  const Rate smallest = Rate::per_router({1, 1, 1}, 1000, 4, Span::s(10));  // at least one whole request
+  const Rate smallest = Rate::per_router({1, 1, 1}, 1000, 4, Duration::s(10));  // at least one whole request
   EXPECT_EQ(smallest.tolerance_ns, 0);
   EXPECT_EQ(smallest.max_in_flight, 1U);
-  EXPECT_EQ(Rate::per_router({}, 10, 4, Span::s(10)).interval_ns, 0);
+  EXPECT_EQ(Rate::per_router({}, 10, 4, Duration::s(10)).interval_ns, 0);
 }
 
 }  // namespace
--- a/tests/records_test.cpp
+++ b/tests/records_test.cpp
@@ -37,7 +37,7 @@
       check(kSchema, "#File", "name: \"a\"\nshops: [{name: \"b\"}, {name: \"c\", tall: true}]\nshare: 0.5");
   ASSERT_TRUE(c.problems.empty()) << records::problem_report("f", c.problems);
   EXPECT_EQ(c.value["mode"].text, "off");
-  EXPECT_EQ(c.value["wait"].span(), Span::s(5));
+  EXPECT_EQ(c.value["wait"].span(), Duration::s(5));
   EXPECT_EQ(c.value["count"].number, 3);
   EXPECT_EQ(c.value["size"]["wide"].number, 7);
   EXPECT_EQ(c.value["share"].number, 0.5);
--- a/tests/release_client_test.cpp
+++ b/tests/release_client_test.cpp
@@ -30,15 +30,15 @@
     Timer look(loop_, [&] {
       if (++rounds == 2) first(client);
       if (until() || rounds > 400) loop_.stop();
-      look.in(Span::ms(5));
+      look.schedule_after(Duration::ms(5));
     });
-    look.in(Span());
+    look.schedule_after(Duration());
     loop_.run();
   }
 };
 
 TEST_F(ReleaseClientTest, EachVoteHasItsOutcome) {
-  limits_.platform_answer_timeout = Span::ms(150);
+  limits_.platform_answer_timeout = Duration::ms(150);
   std::thread platform([this] {
     Stream stream = listener_.accept();
     std::string calls;
@@ -75,8 +75,8 @@
 }
 
 TEST_F(ReleaseClientTest, ABrokenSilentOrUnreadableConnectionIsOpenedAnew) {
-  limits_.platform_silence_timeout = Span::ms(100);
-  limits_.platform_retry_min = Span::ms(10);
+  limits_.platform_silence_timeout = Duration::ms(100);
+  limits_.min_platform_retry_delay = Duration::ms(10);
   std::thread platform([this] {
     for (int i = 0; i < 4; ++i) {
       Stream stream = listener_.accept();
@@ -132,8 +132,8 @@
 }
 
 TEST_F(ReleaseSubscriptionTest, AConnectionWhoseLineTricklesInAndNeverEndsIsOpenedAnew) {
-  limits_.platform_silence_timeout = Span::ms(200);
-  limits_.platform_retry_min = Span::ms(10);
+  limits_.platform_silence_timeout = Duration::ms(200);
+  limits_.min_platform_retry_delay = Duration::ms(10);
   start_router(all_endpoints());
   Stream subscription = release_platform_.accept();
   EXPECT_FALSE(subscription.read_line().empty());
--- a/tests/request_lifecycle_test.cpp
+++ b/tests/request_lifecycle_test.cpp
@@ -100,8 +100,8 @@
   EXPECT_FALSE(attempt.read_message().empty());
   const Instant asked = loop_.now();
   EXPECT_EQ(status_of(client.read_message()), 502U);
-  EXPECT_LT(loop_.now() - asked, Span::ms(450));  // 200, and what a busy machine may add
-  EXPECT_TRUE(attempt.closed_by_peer());          // cancelled by closing it
+  EXPECT_LT(loop_.now() - asked, Duration::ms(450));  // 200, and what a busy machine may add
+  EXPECT_TRUE(attempt.closed_by_peer());              // cancelled by closing it
 }
 
 TEST_F(RequestLifecycleTest, ADisconnectedClientHasItsAttemptCancelled) {
@@ -115,14 +115,14 @@
 }
 
 TEST_F(RequestLifecycleTest, AnAttemptCarriesTheTimeLeftWhenItsConnectionOpens) {
-  limits_.connect_timeout = Span::s(4);
-  settings_.drain_grace = Span::s(20);
+  limits_.connect_timeout = Duration::s(4);
+  settings_.drain_grace = Duration::s(20);
   FullListener late;  // its connections come up once there is room, when the machine asks a second time
   start_router(endpoint_list(endpoint_entry(0, "up", 1, late.address()), 41, true));
   Stream client = connect_client();
   client.send(get(3000));
   usleep(300000);
-  const Instant asked = loop_.now() - Span::ms(300);
+  const Instant asked = loop_.now() - Duration::ms(300);
   ::listen(late.fd, 64);
   late.filling.clear();  // those accepted before it end at once
   std::string got;
@@ -168,7 +168,7 @@
 TEST_F(RequestLifecycleTest, ARetryReachesItsEndpointWithinTheKeyRetentionOrIsNotSent) {
   for (RequestClass& request_class : settings_.request_classes) {
     request_class.scope = IdempotencyScope::kAll;
-    request_class.key_retention = Span::ms(240);
+    request_class.key_retention = Duration::ms(240);
   }
   start_router(all_endpoints());
   Stream client = connect_client();
@@ -204,8 +204,8 @@
 // back.
 TEST_F(RequestLifecycleTest, AnUnsentAttemptIsCancelledWhenANewerVersionAnswersForItsKey) {
   settings_.sticky_keys = true;
-  settings_.drain_grace = Span::s(6);
-  limits_.connect_timeout = Span::s(3);
+  settings_.drain_grace = Duration::s(6);
+  limits_.connect_timeout = Duration::s(3);
   FullListener slow;
   start_router(endpoint_list(endpoint_entry(1, "up", 2), 41, true));
   Stream watch = discovery_.accept(), first = connect_client(), second = connect_client();
@@ -231,8 +231,8 @@
 // The hedged request answers: the attempt that still waits is cancelled here, and then by the policy as well.
 TEST_F(RequestLifecycleTest, AnUnsentAttemptCancelledTwiceEndsOnce) {
   settings_.sticky_keys = settings_.may_hedge = true;
-  settings_.drain_grace = Span::s(6);
-  limits_.connect_timeout = Span::s(3);
+  settings_.drain_grace = Duration::s(6);
+  limits_.connect_timeout = Duration::s(3);
   const FullListener slow;
   start_router(endpoint_list(endpoint_entry(0, "up", 1, slow.address()), 41, true));
   Stream watch = discovery_.accept(), client = connect_client();
--- a/tests/router_fixture.hpp
+++ b/tests/router_fixture.hpp
@@ -154,8 +154,8 @@
   FakeListener release_platform_;
   Limits limits_;
   RouterSettings settings_ = default_settings();
-  WireSettings wire_settings_{{"look", "book", "pay"}, {"shop"},   {"a", "b"}, {"m"}, {"active"},
-                              Span::ms(250),           Span::s(20)};
+  WireSettings wire_settings_{{"look", "book", "pay"}, {"shop"},       {"a", "b"}, {"m"}, {"active"},
+                              Duration::ms(250),       Duration::s(20)};
   EventLoop loop_;
   std::unique_ptr<Service> service_;
   std::thread thread_;
@@ -188,8 +188,8 @@
     settings_.may_hedge = false;
     settings_.router_count = 1;
     // Ready, and serving, without discovery, but for the tests of that.
-    limits_.ready_without_list_after = Span();
-    limits_.configured_list_validity = Span::s(600);
+    limits_.ready_without_list_timeout = Duration();
+    limits_.configured_list_validity = Duration::s(600);
   }
   void start_router(const std::string& configured_list) {
     InstanceSettings instance;
@@ -286,9 +286,9 @@
           loop_.stop();
         });
       }
-      look.in(Span::ms(5));
+      look.schedule_after(Duration::ms(5));
     });
-    look.in(Span());
+    look.schedule_after(Duration());
     loop_.run();
   }
 };
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -32,7 +32,7 @@
 }
 
 TEST_F(ServiceTest, UnreadableMessagesAreRequestedAgainAndThenIgnored) {
-  limits_.platform_retry_min = Span::ms(10);
+  limits_.min_platform_retry_delay = Duration::ms(10);
   start_router(all_endpoints());
   for (const char* since : {"since=41", "since=41", "since=42"}) {
     Stream watch = discovery_.accept();
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -13,9 +13,9 @@
   SimulatedRouter router(settings, 6, 2);
   router.set_release(2, 0, ReleasePhase::kCanary, settings.exposure_caps[0]);
   router.serve = [](ReleaseVersion, EndpointIndex endpoint) {
-    return Outcome{endpoint % 5 == 4 ? AttemptResult::kError : AttemptResult::kOk, Span::ms(60)};
+    return Outcome{endpoint % 5 == 4 ? AttemptResult::kError : AttemptResult::kOk, Duration::ms(60)};
   };
-  router.run(Span::s(8), 60, groups);
+  router.run(Duration::s(8), 60, groups);
   Sent all;
   for (const SentAttempt& s : router.actions.attempts) all.emplace_back(s.request, s.endpoint);
   return all;
@@ -26,8 +26,8 @@
   // Fewer request classes in another order, one zone, other limits, more machine types, more stages.
   RouterSettings other = default_settings();
   other.request_classes = {other.request_classes[2], other.request_classes[0]};
-  other.request_classes[0].client_timeout = Span::s(6);
-  other.request_classes[1].client_timeout = Span::ms(900);
+  other.request_classes[0].client_timeout = Duration::s(6);
+  other.request_classes[1].client_timeout = Duration::ms(900);
   other.zone_count = 1;
   other.machine_type_count = 3;
   other.max_attempts = 2;
@@ -50,8 +50,10 @@
     settings.over_quota_weight = 0.05;
     SimulatedRouter router(settings, 4);
     router.tenant_count = static_cast<unsigned>(quotas.size());
-    router.serve = [](ReleaseVersion, EndpointIndex) { return Outcome{AttemptResult::kOk, Span::ms(200)}; };
-    router.run(Span::s(20), 60);
+    router.serve = [](ReleaseVersion, EndpointIndex) {
+      return Outcome{AttemptResult::kOk, Duration::ms(200)};
+    };
+    router.run(Duration::s(20), 60);
     std::vector<std::size_t> by_tenant(quotas.size());
     for (const RequestId request : router.actions.rejected) ++by_tenant[request % by_tenant.size()];
     return by_tenant;
--- a/tests/stored_keys_test.cpp
+++ b/tests/stored_keys_test.cpp
@@ -21,7 +21,7 @@
 constexpr std::size_t kMaxFileBytes = 4096;
 constexpr double kCreatedUnixS = 1'796'293'362;  // of the keys and of the tokens
 constexpr double kRetiredUnixS = 1'796'293'365;
-constexpr Span kTokenLifetime = Span::s(3600);
+constexpr Duration kTokenLifetime = Duration::s(3600);
 
 const Instant kCreated = Instant::at_us(static_cast<std::int64_t>(kCreatedUnixS) * 1'000'000);
 
@@ -42,7 +42,7 @@
   credentials.authorization = field;
   ConnectionHistory history;
   Identity identity;
-  Span retry_after;
+  Duration retry_after;
   const Refusal refusal = authorizer.authenticate(credentials, history, now, identity, retry_after);
   if (principal) *principal = identity.principal;
   return refusal;
@@ -81,13 +81,14 @@
 TEST(StoredKeys, TokensOfAnEarlierVersionVerify) {
   for (const std::string kid : {"eddsa", "es256", "retiring"}) {
     std::string principal;
-    EXPECT_EQ(name_of(authenticate(stored_token(kid), kCreated + Span::s(10), &principal)), "none") << kid;
+    EXPECT_EQ(name_of(authenticate(stored_token(kid), kCreated + Duration::s(10), &principal)), "none")
+        << kid;
     EXPECT_EQ(principal, "shop/rider%201") << kid;
-    EXPECT_EQ(name_of(authenticate(stored_token(kid) + "A", kCreated + Span::s(10))), "signature") << kid;
+    EXPECT_EQ(name_of(authenticate(stored_token(kid) + "A", kCreated + Duration::s(10))), "signature") << kid;
   }
-  EXPECT_EQ(name_of(authenticate(stored_token("revoked"), kCreated + Span::s(10))), "revoked");
-  EXPECT_EQ(name_of(authenticate(stored_token("retiring"), kCreated + Span::s(600))), "retired");
-  const Instant past_expiry = kCreated + kTokenLifetime + Span::s(31);  // and past the leeway
+  EXPECT_EQ(name_of(authenticate(stored_token("revoked"), kCreated + Duration::s(10))), "revoked");
+  EXPECT_EQ(name_of(authenticate(stored_token("retiring"), kCreated + Duration::s(600))), "retired");
+  const Instant past_expiry = kCreated + kTokenLifetime + Duration::s(31);  // and past the leeway
   EXPECT_EQ(name_of(authenticate(stored_token("eddsa"), past_expiry)), "expired");
 }
 
--- a/tests/subject_table_test.cpp
+++ b/tests/subject_table_test.cpp
@@ -20,15 +20,15 @@
 
 TEST(SubjectTable, BeingEvictedNeverGainsARequest) {
   Pcg chance(11);
-  const Rate rate = Rate::per_router({0.2, 2, 0}, 1, 1, Span());
+  const Rate rate = Rate::per_router({0.2, 2, 0}, 1, 1, Duration());
   SubjectTable table(64);
   std::map<std::uint64_t, Bucket> plain;  // each subject's own, never evicted
   Instant now = kBegin;
   unsigned more = 0;
   unsigned fewer = 0;
   for (int i = 0; i < 40000; ++i) {
-    now = now + Span::ms(chance.below(8));
-    const std::uint64_t hash = hash_of(chance.below(400) + 1);
+    now = now + Duration::ms(chance.next_below(8));
+    const std::uint64_t hash = hash_of(chance.next_below(400) + 1);
     const std::int64_t now_ns = nanoseconds_of(now);
     const auto [entry, is_new] = plain.try_emplace(hash);
     Bucket& own = entry->second;
--- a/tests/tls_test.cpp
+++ b/tests/tls_test.cpp
@@ -27,8 +27,8 @@
 class TlsTest : public testing::Test {
  protected:
   fakes::CertificateAuthority authority_{"authority"};
-  fakes::Identity server_identity_ = authority_.issue("", "router", Span::s(3600), true);
-  fakes::Identity client_identity_ = authority_.issue("shop", "van", Span::s(3600));
+  fakes::Identity server_identity_ = authority_.issue("", "router", Duration::s(3600), true);
+  fakes::Identity client_identity_ = authority_.issue("shop", "van", Duration::s(3600));
   TlsSettings tls_settings_;
   TlsFiles tls_files_;
   calling::CallingSettings calling_settings_ = shop_settings();
@@ -67,8 +67,8 @@
     discovery_->put({"h", endpoint_->address(), fakes::ListedState::kUp, 1, Instant()});
   }
   void make_router() {
-    const WireSettings wire_settings{{"look", "book", "pay"}, {"shop"},   {"one"}, {"usual"}, {},
-                                     Span::ms(250),           Span::s(20)};
+    const WireSettings wire_settings{{"look", "book", "pay"}, {"shop"},       {"one"}, {"usual"}, {},
+                                     Duration::ms(250),       Duration::s(20)};
     RouterSettings settings = default_settings();
     settings.router_count = 1;
     settings.zone_count = 1;
@@ -216,9 +216,9 @@
 
 TEST_F(TlsTest, UntrustedClientsAreRefused) {
   const fakes::CertificateAuthority stranger("authority");  // of the same name
-  const fakes::Identity forged = stranger.issue("shop", "van", Span::s(3600));
-  const fakes::Identity expired = authority_.issue("shop", "van", Span::s(-30));
-  const fakes::Identity elsewhere = authority_.issue("elsewhere", "van", Span::s(3600));
+  const fakes::Identity forged = stranger.issue("shop", "van", Duration::s(3600));
+  const fakes::Identity expired = authority_.issue("shop", "van", Duration::s(-30));
+  const fakes::Identity elsewhere = authority_.issue("elsewhere", "van", Duration::s(3600));
   start_router();
   const auto status_for = [&](const fakes::Identity* id) {
     ClientPtr client = make_client(tls(id));
@@ -256,11 +256,11 @@
 }
 
 TEST_F(TlsTest, ARevokedCertificateIsRefusedHoweverItConnects) {
-  const fakes::Identity other = authority_.issue("shop", "other", Span::s(3600));
+  const fakes::Identity other = authority_.issue("shop", "other", Duration::s(3600));
   start_router();
   for (const Revocation how : {Revocation::kBySerial, Revocation::kByKey, Revocation::kByCrl}) {
     const auto trace = testing::Message() << "revocation " << static_cast<int>(how);
-    const fakes::Identity revoked = authority_.issue("shop", "gone", Span::s(3600));
+    const fakes::Identity revoked = authority_.issue("shop", "gone", Duration::s(3600));
     ClientPtr connected = make_client(tls(&revoked));
     ClientPtr resuming = make_client(tls(&revoked, true));
     ClientPtr mid_request = make_client(tls(&revoked));
@@ -327,7 +327,7 @@
 
 TEST_F(TlsTest, CredentialsAreReplacedWithoutDroppingAConnection) {
   const fakes::CertificateAuthority intermediate = authority_.intermediate("between");
-  const fakes::Identity leaf = authority_.issue("shop", "led", Span::s(3600), false, &intermediate);
+  const fakes::Identity leaf = authority_.issue("shop", "led", Duration::s(3600), false, &intermediate);
   const fakes::Identity intermediate_identity = intermediate.self();
   start_router();
   ClientPtr direct = make_client(tls(&client_identity_, true));
@@ -336,7 +336,7 @@
   for (ClientPtr* client : {&direct, &with_chain, &resumed}) EXPECT_EQ(send(*client).status, 200U);
   disconnect(resumed);
   EXPECT_TRUE(send(resumed).resumed);  // a resumed session has its leaf alone
-  server_identity_ = authority_.issue("", "router", Span::s(3600), true);
+  server_identity_ = authority_.issue("", "router", Duration::s(3600), true);
   tls_files_.certificate = server_identity_.certificate_pem;
   tls_files_.key = server_identity_.key_pem;
   replace_credentials();
@@ -366,7 +366,7 @@
 }
 
 TEST_F(TlsTest, InvalidBytesEndTheConnectionAndAreLoggedOnceASecond) {
-  tls_settings_.handshake_timeout = Span::ms(300);
+  tls_settings_.handshake_timeout = Duration::ms(300);
   start_router();
   for (int i = 0; i < 20; ++i) {
     Stream plain_http = open_connection();
@@ -418,7 +418,7 @@
 
 TEST_F(TlsTest, SilentHandshakesAreEvictedForOthers) {
   tls_settings_.max_handshakes = 8;
-  tls_settings_.handshake_timeout = Span::s(5);
+  tls_settings_.handshake_timeout = Duration::s(5);
   start_router();
   std::vector<Stream> silent;
   for (int i = 0; i < 40; ++i) silent.push_back(open_connection());
@@ -432,7 +432,7 @@
 
 TEST_F(TlsTest, AFloodOfHandshakesKeepsToItsBudget) {
   tls_settings_.handshake_cpu_per_second = 0.02;
-  tls_settings_.handshake_timeout = Span::ms(400);
+  tls_settings_.handshake_timeout = Duration::ms(400);
   start_router();
   ClientPtr established = make_client(tls(&client_identity_));
   EXPECT_EQ(send(established).status, 200U);
--- a/tests/token_cache_test.cpp
+++ b/tests/token_cache_test.cpp
@@ -10,7 +10,7 @@
 
 const Instant kBegin = Instant::at_us(1'700'000'000'000'000);
 
-VerifiedToken token_numbered(unsigned char number, Span lifetime) {
+VerifiedToken token_numbered(unsigned char number, Duration lifetime) {
   VerifiedToken token;
   token.digest.fill(number);
   token.expires = kBegin + lifetime;
@@ -24,13 +24,13 @@
     digest.fill(number);
     return cache.find(digest) != nullptr;
   };
-  cache.insert(token_numbered(1, Span::s(9)), kBegin);
-  cache.insert(token_numbered(2, Span::s(1)), kBegin);
-  cache.insert(token_numbered(3, Span::s(9)), kBegin);
-  cache.insert(token_numbered(4, Span::s(9)), kBegin + Span::s(2));
+  cache.insert(token_numbered(1, Duration::s(9)), kBegin);
+  cache.insert(token_numbered(2, Duration::s(1)), kBegin);
+  cache.insert(token_numbered(3, Duration::s(9)), kBegin);
+  cache.insert(token_numbered(4, Duration::s(9)), kBegin + Duration::s(2));
   EXPECT_TRUE(has(1) && !has(2) && has(3) && has(4));
   EXPECT_TRUE(has(1));
-  cache.insert(token_numbered(5, Span::s(9)), kBegin + Span::s(2));
+  cache.insert(token_numbered(5, Duration::s(9)), kBegin + Duration::s(2));
   EXPECT_TRUE(has(1) && !has(3) && has(4) && has(5));
   EXPECT_EQ(cache.size(), 3U);
 }
--- a/tests/tokens_test.cpp
+++ b/tests/tokens_test.cpp
@@ -12,7 +12,7 @@
   Pcg chance(3);
   for (int i = 0; i < 300; ++i) {
     std::string bytes;
-    for (unsigned n = chance.below(40); n > 0; --n) bytes += static_cast<char>(chance.below(256));
+    for (unsigned n = chance.next_below(40); n > 0; --n) bytes += static_cast<char>(chance.next_below(256));
     EXPECT_EQ(tokens::decode_base64url(tokens::encode_base64url(bytes)), bytes);
   }
   for (const char* bad : {"a", "ab=", "a+b/", "ab c", "QQ==", "QR", "AAB"})
--- a/tests/trusted_metadata_model_test.cpp
+++ b/tests/trusted_metadata_model_test.cpp
@@ -141,23 +141,23 @@
   }
 
   void change(const std::string& type, int step, std::int64_t trusted_root_version) {
-    switch (random_.below(8)) {
+    switch (random_.next_below(8)) {
       case 0:
-        publisher_.versions[type] += type == "root" ? 1 : random_.below(3);
+        publisher_.versions[type] += type == "root" ? 1 : random_.next_below(3);
         break;
       case 1:
-        if (publisher_.versions[type] > 1 && random_.below(3) == 0) --publisher_.versions[type];
+        if (publisher_.versions[type] > 1 && random_.next_below(3) == 0) --publisher_.versions[type];
         break;
       case 2:
-        publisher_.expires[type] = kNow + Span::s(static_cast<double>(random_.below(200)) - 40);
+        publisher_.expires[type] = kNow + Duration::s(static_cast<double>(random_.next_below(200)) - 40);
         break;
       case 3:
-        if (random_.below(4) != 0) break;
+        if (random_.next_below(4) != 0) break;
         choose_keys(type);
         publisher_.versions["root"] = trusted_root_version + 1;
         break;
       case 4:
-        publisher_.contents["targets"]["f" + std::to_string(random_.below(4))] = std::to_string(step);
+        publisher_.contents["targets"]["f" + std::to_string(random_.next_below(4))] = std::to_string(step);
         break;
       default:
         break;
@@ -166,8 +166,9 @@
 
   // An old file again, or a new one.
   const FileFacts& next_file(const std::string& type, int step) {
-    if (random_.below(4) == 0) return files_[random_.below(static_cast<std::uint32_t>(files_.size()))];
-    return make_file(random_.below(2) == 0 ? type : kTypes[1 + step % 3]);
+    if (random_.next_below(4) == 0)
+      return files_[random_.next_below(static_cast<std::uint32_t>(files_.size()))];
+    return make_file(random_.next_below(2) == 0 ? type : kTypes[1 + step % 3]);
   }
 
   Pcg& random() { return random_; }
@@ -177,17 +178,17 @@
     auto& role = publisher_.roles[role_name];
     role.keys.clear();
     for (const auto& key : pool_) {
-      if (random_.below(3) == 0) role.keys.push_back(key);
+      if (random_.next_below(3) == 0) role.keys.push_back(key);
     }
-    if (role.keys.empty()) role.keys.push_back(pool_[random_.below(6)]);
-    role.threshold = 1 + random_.below(static_cast<std::uint32_t>(role.keys.size()));
+    if (role.keys.empty()) role.keys.push_back(pool_[random_.next_below(6)]);
+    role.threshold = 1 + random_.next_below(static_cast<std::uint32_t>(role.keys.size()));
   }
 
   std::vector<SigningKey> choose_signing_keys(const std::string& type) {
-    if (random_.below(8) != 0) return type == "root" ? pool_ : publisher_.roles[type].keys;
+    if (random_.next_below(8) != 0) return type == "root" ? pool_ : publisher_.roles[type].keys;
     std::vector<SigningKey> keys;
     for (const auto& key : pool_) {
-      if (random_.below(2) == 0) keys.push_back(key);
+      if (random_.next_below(2) == 0) keys.push_back(key);
     }
     return keys;
   }
@@ -233,9 +234,9 @@
     ASSERT_TRUE(first);
     PlainModel model(first);
     for (int step = 0; step < 120; ++step) {
-      const std::string type = kTypes[repository.random().below(4)];
+      const std::string type = kTypes[repository.random().next_below(4)];
       repository.change(type, step, model.root_version());
-      const Instant now = kNow + Span::s(repository.random().below(60));
+      const Instant now = kNow + Duration::s(repository.random().next_below(60));
       const FileFacts& file = repository.next_file(type, step);
       const TrustUpdate update = update_with(client.trust, file, now);
       const bool expected = model.update(file, now);
--- a/tests/trusted_metadata_test.cpp
+++ b/tests/trusted_metadata_test.cpp
@@ -78,7 +78,7 @@
        }},
       {"same timestamp, other bytes", RefusalReason::kEquivocation,
        [](TufClient& client, TestRepository& repository) {
-         repository.expires["timestamp"] = kLater + Span::s(60);
+         repository.expires["timestamp"] = kLater + Duration::s(60);
          return client.take_timestamp(repository.timestamp());
        }},
       {"a role is listed no more", RefusalReason::kMissing,
@@ -94,25 +94,25 @@
   expect_refused({
       {"freeze: timestamp expired", RefusalReason::kExpired,
        [](TufClient& client, TestRepository& repository) {
-         return client.take_timestamp(repository.timestamp(), kLater + Span::s(1));
+         return client.take_timestamp(repository.timestamp(), kLater + Duration::s(1));
        }},
       {"snapshot expired", RefusalReason::kExpired,
        [](TufClient& client, TestRepository& repository) {
          repository.publish_next();
-         repository.expires["snapshot"] = kNow - Span::s(1);
+         repository.expires["snapshot"] = kNow - Duration::s(1);
          return client.take_timestamp(repository.timestamp()) && client.take_snapshot(repository.snapshot());
        }},
       {"targets expired", RefusalReason::kExpired,
        [](TufClient& client, TestRepository& repository) {
          repository.publish_next();
-         repository.expires["targets"] = kNow - Span::s(1);
+         repository.expires["targets"] = kNow - Duration::s(1);
          return client.update_all(repository);
        }},
       {"root expired", RefusalReason::kExpired,
        [](TufClient& client, TestRepository& repository) {
          const auto old = repository.roles["root"];
          repository.versions["root"] = 2;
-         repository.expires["root"] = kNow - Span::s(1);
+         repository.expires["root"] = kNow - Duration::s(1);
          client.take_root(repository.root());
          return client.take_timestamp(repository.timestamp());
        }},
@@ -245,12 +245,12 @@
          repository.versions["root"] = 2;
          client.take_root(repository.root());
          repository.versions["root"] = 1;
-         repository.expires["root"] = kLater + Span::s(5);
+         repository.expires["root"] = kLater + Duration::s(5);
          return client.take_root(repository.root());
        }},
       {"the same root, other bytes", RefusalReason::kEquivocation,
        [](TufClient& client, TestRepository& repository) {
-         repository.expires["root"] = kLater + Span::s(5);
+         repository.expires["root"] = kLater + Duration::s(5);
          return client.take_root(repository.root());
        }},
       {"root without the former keys", RefusalReason::kThreshold,
--- a/tests/uptane_test.cpp
+++ b/tests/uptane_test.cpp
@@ -130,7 +130,7 @@
   EXPECT_EQ(accept(good, 0), "none");
   EXPECT_EQ(accepted.targets.size(), 1U);
   EXPECT_EQ(accept(good, 2), "rollback");
-  EXPECT_EQ(accept(good, 0, kNow + Span::s(90000)), "expired");
+  EXPECT_EQ(accept(good, 0, kNow + Duration::s(90000)), "expired");
   EXPECT_EQ(accept(repositories.image.targets(), 0), "threshold");
   EXPECT_EQ(accept(with_custom(repositories.director, "brake.img", custom("ecu-1", "hw-b", 4)), 0), "ecu");
   EXPECT_EQ(
@@ -154,11 +154,11 @@
   const auto check = [&](const std::string& bytes, Instant last = kNow) {
     return std::string(name_of(verify_time_attestation(server, keys, bytes, "n-1", last, attested).reason));
   };
-  EXPECT_EQ(check(attestation(key, "n-1", kNow + Span::s(5))), "none");
-  EXPECT_EQ(attested, kNow + Span::s(5));
-  EXPECT_EQ(check(attestation(key, "n-0", kNow + Span::s(5))), "time");
-  EXPECT_EQ(check(attestation(key, "n-1", kNow - Span::s(5))), "time");
-  EXPECT_EQ(check(attestation(stranger, "n-1", kNow + Span::s(5))), "threshold");
+  EXPECT_EQ(check(attestation(key, "n-1", kNow + Duration::s(5))), "none");
+  EXPECT_EQ(attested, kNow + Duration::s(5));
+  EXPECT_EQ(check(attestation(key, "n-0", kNow + Duration::s(5))), "time");
+  EXPECT_EQ(check(attestation(key, "n-1", kNow - Duration::s(5))), "time");
+  EXPECT_EQ(check(attestation(stranger, "n-1", kNow + Duration::s(5))), "threshold");
   EXPECT_EQ(check("{}"), "time");
 }
 
