--- a/src/base/limits.hpp
+++ b/src/base/limits.hpp
@@ -1,4 +1,6 @@
-// The program's limits and timeouts: filled once at start, handed down by reference. Sizes are in bytes.
+// The limits and timeouts of the router. The structure is filled in once at start and passed to the
+// components by reference. The defaults stand here; some are replaced from the deployment's settings (see
+// limits_for).
 #pragma once
 #include <cstddef>
 
@@ -12,19 +14,20 @@
 struct Limits {
   // ---- Sizes, in bytes ----
 
-  // Of the head of a request or an answer.
+  // Maximum size of the head of an HTTP message: the start line and the header fields.
   std::size_t max_head_bytes = 16 * kKiB;
-  // Of a decoded body; chunk framing may take as much again.
+  // Maximum size of a decoded body. The framing of a chunked body may take the same size in addition.
   std::size_t max_body_bytes = 64 * kKiB;
-  // Of a line from the release platform.
+  // Maximum length of a line that the release platform sends.
   std::size_t max_platform_line_bytes = 8 * kKiB;
-  // Of a line from discovery: a complete endpoint list is one line.
+  // Maximum length of a line that discovery sends; a complete endpoint list is one line.
   std::size_t max_discovery_line_bytes = 4 * kMiB;
   std::size_t max_request_id_bytes = 128;
+  // Maximum number of bytes that one read from a connection returns.
   std::size_t read_chunk_bytes = 16 * kKiB;
-  // Read at once from a connection whose bytes are dropped.
+  // Maximum number of bytes that one read takes from a connection whose input is discarded.
   std::size_t discard_chunk_bytes = kMiB;
-  // Read from a connection and not yet consumed by its owner; reading pauses there.
+  // Reading from a connection stops while its owner has this many received bytes left to consume.
   std::size_t max_unread_bytes = 16 * kKiB;
 
   // ---- Counts ----
@@ -32,98 +35,112 @@
   std::size_t max_client_connections = 448;
   std::size_t max_idle_client_connections = 128;
   std::size_t max_endpoint_connections = 448;
+  // The backlog of listen(2).
   int accept_backlog = 1024;
-  // Request ids remembered, so that none is accepted twice.
+  // Maximum number of request ids that are stored to reject a second request with the same id.
   std::size_t max_remembered_request_ids = 16'384;
 
   // ---- Connections to endpoints ----
 
-  // The deployment's settings may say less.
+  // The deployment's settings replace this value.
   Duration connect_timeout = Duration::ms(250);
-  // After an answer a connection settles before it is used again, since more bytes than the answer may come.
-  // The busy time holds where more than `max_settling_connections` to an endpoint settle at once and it has
-  // sent nothing unsolicited for `unsolicited_bytes_retention`.
+  // After an answer a connection stays unused for this time, because the endpoint may send more bytes than
+  // the answer, which would be read as the answer to the next request.
   Duration endpoint_settle_time = Duration::ms(50);
+  // Used in place of `endpoint_settle_time` if at least `max_settling_connections` connections to the
+  // endpoint are idle and it has sent no unsolicited bytes for `unsolicited_bytes_retention`: each connection
+  // that is not reused would cost a new one.
   Duration busy_endpoint_settle_time = Duration::ms(4);
   std::size_t max_settling_connections = 8;
   Duration unsolicited_bytes_retention = Duration::s(60);
-  // An endpoint's index is used again this long after its removal: late outcomes still name it.
+  // The index of a removed endpoint is not assigned again for this time, because outcomes of its last
+  // attempts still refer to it.
   Duration removed_endpoint_retention = Duration::s(30);
-  // Below the endpoints' own idle timeout.
+  // An idle connection is closed after this time. It is shorter than the endpoints' own idle timeout.
   Duration endpoint_idle_timeout = Duration::s(24);
 
   // ---- Connections of clients ----
 
-  // From connecting to the end of the first request.
+  // From accepting a connection to the last byte of its first request.
   Duration first_request_timeout = Duration::s(2);
-  // From a later request's first byte to its last.
+  // From the first byte of a later request to its last byte.
   Duration request_read_timeout = Duration::s(2);
-  // Between requests; the shorter one once half of the connections are taken.
+  // Between two requests of a connection.
   Duration client_idle_timeout = Duration::s(4);
+  // Used in place of `client_idle_timeout` once half of `max_client_connections` are open.
   Duration crowded_client_idle_timeout = Duration::s(2);
-  // After a 4xx answer, before the next request of that connection is read.
+  // After a 4xx answer the next request of that connection is read only after this delay, which slows down a
+  // client that repeats a bad request at once.
   Duration bad_request_delay = Duration::ms(100);
-  // Where all connections are taken: one with half a request is closed after the first of these, an idle one
-  // after the second, a new one not before the third.
+  // These three hold while all client connections are in use and room is needed for a new one. A connection
+  // that has sent an incomplete request may be closed after this time.
   Duration partial_request_timeout = Duration::s(1);
+  // A connection that is idle between requests may be closed after this time.
   Duration min_idle_before_close = Duration::ms(200);
+  // A connection that has had no answer yet is not closed before this time.
   Duration new_connection_grace_period = Duration::ms(50);
-  // How long the bytes of a refused client are read and dropped before its connection is closed.
+  // Before a connection is closed, its input is read and discarded for at most this time.
   Duration lingering_close_timeout = Duration::s(1);
-  // Past the client timeout: a request's id is remembered this long.
+  // The id of a request is stored until this time after its client timeout.
   Duration request_id_retention = Duration::s(5);
-  // Past the client timeout: a request that the decisions left open is failed then.
+  // A request that the routing policy has not completed is failed by the router at this time after its client
+  // timeout.
   Duration overdue_answer_delay = Duration::ms(20);
-  // For a client that does not read its answer.
+  // For writing an answer to a client that does not read it.
   Duration answer_write_timeout = Duration::s(5);
 
   // ---- Endpoint discovery ----
 
-  // Discovery sends a line at least every 2 s, and a change counts as notified 6 s after a watch fell silent:
-  // this leaves time for two more watches.
+  // A watch is replaced if it has received no line for this time. Discovery sends a line at least every 2 s.
+  // A change counts as notified 6 s after a watch fell silent, so this leaves time for two more watches.
   Duration watch_silence_timeout = Duration::ms(2500);
-  // For the first line of a watch that replaces a silent one.
+  // Until the first line of a watch that replaces a silent one.
   Duration replacement_watch_timeout = Duration::ms(1500);
-  // For the first line of any other: discovery queues calls.
+  // Until the first line of any other call. It is longer because discovery queues calls.
   Duration discovery_call_timeout = Duration::ms(4500);
-  // Without a byte in the middle of a line. A line that has begun counts as notified. Longer than one TCP
-  // retransmission (RFC 6298: 0.2 s on Linux).
+  // Maximum time without a byte within a line. It is short because a line whose first byte has arrived
+  // already counts as notified, and longer than one TCP retransmission timeout (RFC 6298: 0.2 s on Linux).
   Duration watch_stall_timeout = Duration::ms(400);
-  // The first call is delayed by a random part of this, so that routers started together do not overload
-  // discovery.
+  // The first call to discovery is delayed by a random fraction of this time, so that routers that start
+  // together do not overload discovery.
   Duration max_initial_poll_delay;
-  // After the start: the router is ready then even without a list, and rejects.
+  // If no endpoint list has arrived this long after the start, the router reports itself as ready all the
+  // same, and rejects requests.
   Duration ready_without_list_timeout = Duration::ms(5500);
-  // How long the configuration's list may be used before discovery confirms it: its age is unknown.
+  // The endpoint list of the configuration may be used for this time without a confirmation by discovery. It
+  // is limited because the age of that list is unknown.
   Duration configured_list_validity;
 
-  // ---- Delays on the way of an attempt ----
+  // ---- Maximum delays before an attempt reaches its endpoint ----
 
-  // Between reading the clock and writing.
+  // Between reading the clock and writing the attempt to its connection.
   Duration max_processing_delay = Duration::ms(150);
-  // Of a first byte on the network.
+  // For the first byte to cross the network.
   Duration max_network_delay = Duration::ms(50);
 
   // ---- Release platform ----
 
   Duration platform_connect_timeout = Duration::s(1);
-  // It sends a ping every second.
+  // The connection is closed after this time without a message. The platform sends a ping every second.
   Duration platform_silence_timeout = Duration::ms(3500);
   Duration platform_answer_timeout = Duration::s(2);
-  // Between attempts to connect.
+  // The delay between attempts to connect doubles from the minimum to the maximum.
   Duration min_platform_retry_delay = Duration::ms(100);
   Duration max_platform_retry_delay = Duration::s(2);
 
   // ---- Graceful shutdown, counted from the signal ----
 
-  // New connections are accepted for this long, and until none has come for `shutdown_quiet_period`.
+  // New connections are accepted for at least this time, and until none has arrived for
+  // `shutdown_quiet_period`.
   Duration shutdown_accept_period = Duration::ms(650);
   Duration shutdown_quiet_period = Duration::ms(100);
-  // When the machine may kill the process: the longest client timeout (3 s at most) and 0.7 s.
+  // The orchestrator may kill the process from this time on: the longest client timeout, but at most 3 s,
+  // plus 0.7 s.
   Duration min_kill_delay = Duration::ms(3700);
-  // What came after the signal has its answer this long before the kill.
+  // Requests that arrive after the signal are answered this long before `min_kill_delay`.
   Duration kill_margin = Duration::ms(100);
-  // The program ends then, whatever is still open; more where client timeouts are longer.
+  // The process exits after this time, even with requests in progress. It is extended for longer client
+  // timeouts.
   Duration shutdown_timeout = Duration::ms(3600);
 };
 
--- a/src/base/lru_map.hpp
+++ b/src/base/lru_map.hpp
@@ -1,8 +1,9 @@
-// A map from 64-bit keys to values that knows in which order its entries were used last. It never evicts by
-// itself: its user looks at the least recently used entries and erases one. No allocation once grown.
+// A map from 64-bit keys to values that keeps its entries in the order of their last use. It never evicts an
+// entry itself: the caller iterates from the least recently used entry and erases those that it chooses. It
+// allocates only when it grows beyond its largest size so far.
 //
-// Entries are named by an index, which is valid until the entry is erased. References to values are valid
-// until the next insert().
+// An entry is identified by an index, which is valid until the entry is erased. References to values are
+// valid until the next insert().
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -19,10 +20,10 @@
   using Index = std::uint32_t;
   static constexpr Index kNone = IndexMap::kNone;
 
-  // The entry of that key, or kNone. Does not count as a use.
+  // Returns the entry of `key`, or kNone. This does not count as a use.
   Index find(std::uint64_t key) const { return index_of_.find(key); }
 
-  // Adds a default value as the most recently used entry. The key must not be there yet.
+  // Adds a default-constructed value as the most recently used entry. `key` must not be in the map.
   Index insert(std::uint64_t key) {
     const Index index = entries_.allocate();
     entries_[index].key = key;
@@ -38,7 +39,7 @@
     link_most_recent(index);
   }
 
-  // Also releases what the value owns.
+  // Removes the entry and at once releases the resources that its value owns.
   void erase(Index index) {
     unlink(index);
     index_of_.erase(entries_[index].key);
@@ -48,14 +49,15 @@
 
   Value& operator[](Index index) { return entries_[index].value; }
 
-  // From the least recently used entry on, each with the one used next after it; kNone at the end.
+  // Returns the least recently used entry, or kNone if the map is empty.
   Index least_recent() const { return least_recent_; }
+  // Returns the entry that was used next after `index`, or kNone if `index` is the most recently used one.
   Index next_more_recent(Index index) { return entries_[index].more_recent; }
 
   std::size_t size() const { return index_of_.size(); }
 
  private:
-  struct Entry {
+  struct Entry {  // an element of a doubly linked list in the order of the last use
     std::uint64_t key = 0;
     Value value{};
     Index less_recent = kNone;
@@ -81,7 +83,7 @@
     most_recent_ = index;
   }
 
-  IndexMap index_of_{64};
+  IndexMap index_of_{64};  // by key
   Slab<Entry> entries_;
   Index least_recent_ = kNone;
   Index most_recent_ = kNone;
--- a/src/base/outcome_count.hpp
+++ b/src/base/outcome_count.hpp
@@ -1,5 +1,6 @@
-// Outcomes counted, how many of them failed, and how surely two such counts differ. Counts are fractional:
-// older outcomes may fade, and a failure may count in part.
+// Counts outcomes and how many of them failed, and tests whether the failure rates of two such counts differ.
+// The counts are fractional, because older outcomes may be given less weight and an outcome may be a partial
+// failure.
 #pragma once
 #include <cmath>
 
@@ -9,13 +10,14 @@
   double total = 0;
   double failed = 0;
 
-  // Adds one outcome; `failure` is 0 (good) to 1 (failed). Once `half_life` outcomes are counted, those
-  // before count half.
+  // Adds one outcome; `failure` is from 0 (success) to 1 (failure). Whenever `total` has reached `half_life`,
+  // the weight of all earlier outcomes is halved first.
   void add(double failure, double half_life) {
     if (total >= half_life) scale(0.5);
     total += 1;
     failed += failure;
   }
+  // Multiplies the weight of all outcomes so far by `factor`.
   void scale(double factor) {
     total *= factor;
     failed *= factor;
@@ -28,21 +30,21 @@
     total -= other.total;
     failed -= other.failed;
   }
-  // 0 where nothing is counted.
+  // Returns the failed fraction, or 0 if nothing has been counted.
   double failure_rate() const { return total > 0 ? failed / total : 0; }
 };
 
-// Log-likelihood ratio of two failure rates against a common one: 0 where they are the same, and larger the
-// surer it is that they differ.
+// Returns the log-likelihood ratio of two separate failure rates against one common rate. It is 0 if the
+// rates are equal; the larger it is, the stronger is the evidence that they differ.
 inline double log_likelihood_ratio(const OutcomeCount& a, const OutcomeCount& b) {
-  OutcomeCount both = a;
-  both.merge(b);
+  OutcomeCount pooled = a;
+  pooled.merge(b);
   const auto log_likelihood = [](const OutcomeCount& count, double rate) {
     return (count.failed > 0 ? count.failed * std::log(rate) : 0) +
            (count.total > count.failed ? (count.total - count.failed) * std::log(1 - rate) : 0);
   };
   return log_likelihood(a, a.failure_rate()) + log_likelihood(b, b.failure_rate()) -
-         log_likelihood(a, both.failure_rate()) - log_likelihood(b, both.failure_rate());
+         log_likelihood(a, pooled.failure_rate()) - log_likelihood(b, pooled.failure_rate());
 }
 
 }  // namespace ashbeam
--- a/src/base/ring_buffer.hpp
+++ b/src/base/ring_buffer.hpp
@@ -1,4 +1,4 @@
-// The last N values; iteration gives them in no particular order.
+// Holds the last N values that were added. Iteration visits them in no particular order.
 #pragma once
 #include <algorithm>
 #include <array>
@@ -9,7 +9,7 @@
 template <class T, std::size_t N>
 class RingBuffer {
  public:
-  // Adds a value in place of the oldest one.
+  // Adds a value; once N values are held, it replaces the oldest one.
   void add(const T& value) {
     values_[next_] = value;
     next_ = (next_ + 1) % N;
--- a/src/base/wide_pages.hpp
+++ b/src/base/wide_pages.hpp
@@ -1,6 +1,7 @@
-// An allocator for large tables: asks the kernel for huge pages (madvise(2), MADV_HUGEPAGE) where a block is
-// as large as one, since a table that is read at random spends most of its time on TLB misses otherwise.
-// Smaller blocks come from the ordinary heap. Errors: std::bad_alloc.
+// A standard allocator for large tables. For a block of at least the size of a huge page it asks the kernel
+// for huge pages (madvise(2), MADV_HUGEPAGE), because random access to a large table otherwise spends most of
+// its time on TLB misses. Smaller blocks are allocated as by std::allocator. Throws std::bad_alloc when no
+// memory is left.
 #pragma once
 #include <sys/mman.h>
 
@@ -19,7 +20,7 @@
   T* allocate(std::size_t count) {
     const std::size_t bytes = count * sizeof(T);
     void* const block = ::operator new(bytes, alignment_of(bytes));
-    // A hint: the table works without huge pages as well.
+    // An error is ignored: huge pages only make the table faster.
     if (bytes >= kHugePageBytes) ::madvise(block, bytes, MADV_HUGEPAGE);
     return static_cast<T*>(block);
   }
