--- a/src/policy/attempt_outcomes.cpp
+++ b/src/policy/attempt_outcomes.cpp
@@ -62,7 +62,7 @@
 
 void AttemptOutcomes::learn_connectivity(Endpoint& endpoint, AttemptResult result, Instant now) {
   if (result == AttemptResult::kConnectFailed || result == AttemptResult::kReset)
-    parts_.regression.on_outside_fault(now);
+    parts_.regression.on_external_fault(now);
   if (result == AttemptResult::kConnectFailed) parts_.slow_start.on_connect_failed(endpoint, now);
   else if (endpoint_answered(result)) parts_.slow_start.on_answer(endpoint);
 }
@@ -77,7 +77,7 @@
   parts_.latency.learn_peers(endpoint, normalized_ms, now);
   const bool warm = parts_.slow_start.is_warm(endpoint, now);
   if (warm && endpoint.version <= parts_.release.version()) {
-    parts_.regression.add_latency(parts_.release.judged_role(endpoint.version), endpoint.machine_type,
+    parts_.regression.add_latency(parts_.release.evidence_role(endpoint.version), endpoint.machine_type,
                                   request.request_class, attempt.endpoint, latency_ms, now);
   }
   // An endpoint that has answered nobody since is failing, not slow.
--- a/src/policy/endpoint_monitor.cpp
+++ b/src/policy/endpoint_monitor.cpp
@@ -42,7 +42,7 @@
   if (endpoint.attempts_in_flight > 0) count_silence(index, endpoint, now);
   if (endpoint.outlier.ejected) parts_.outliers.readmit_if_recovered(index, endpoint, now);
 
-  const ReleaseRole role = parts_.release.judged_role(endpoint.version);
+  const ReleaseRole role = parts_.release.evidence_role(endpoint.version);
   const double capacity = parts_.slow_start.capacity(endpoint, now);
   ready_capacity_ += capacity;
   parts_.capacity.add(endpoint, role, jittered ? 0 : usual_attempts(endpoint, capacity));
@@ -76,7 +76,7 @@
 }
 
 OutlierPeers EndpointMonitor::peers_of(const Endpoint& endpoint) const {
-  const ReleaseRole role = parts_.release.judged_role(endpoint.version);
+  const ReleaseRole role = parts_.release.evidence_role(endpoint.version);
   const std::size_t ready =
       role == ReleaseRole::kCanary ? parts_.endpoints.canary_ready() : parts_.endpoints.stable_ready();
   const bool only_canary = ready < kMinPeers && parts_.release.is_capped(endpoint.version);
--- a/src/policy/failure_comparison.cpp
+++ b/src/policy/failure_comparison.cpp
@@ -107,7 +107,7 @@
   for (EndpointIndex index = 0; index < endpoints.size(); ++index) {
     Endpoint& endpoint = endpoints[index];
     if (endpoint.state == EndpointState::kRemoved) continue;
-    const bool stable = release.judged_role(endpoint.version) == ReleaseRole::kStable;
+    const bool stable = release.evidence_role(endpoint.version) == ReleaseRole::kStable;
     const OutcomeCount& pooled = endpoint.outcomes_by_class.back();
     if (stable && !endpoint.outlier.ejected) {
       for (OutcomeCount& count : endpoint.outcomes_by_class) count.scale(kStableFade);
@@ -137,7 +137,7 @@
     const Endpoint& endpoint = endpoints[index];
     if (endpoint.state == EndpointState::kRemoved || endpoint.version > release.version()) continue;
     if ((endpoint.outlier.ejected && stable_outliers_) || left_out_[index]) continue;
-    sum[release.judged_role(endpoint.version)].merge(endpoint.outcomes_by_class[counted]);
+    sum[release.evidence_role(endpoint.version)].merge(endpoint.outcomes_by_class[counted]);
   }
   return sum;
 }
--- a/src/policy/regression_detector.cpp
+++ b/src/policy/regression_detector.cpp
@@ -30,7 +30,7 @@
 
 // What explains slowness of all: an outside fault, for so long, or less than this part of the capacity
 // before.
-constexpr Duration kOutsideFaultLasts = Duration::s(8);
+constexpr Duration kExternalFaultDuration = Duration::s(8);
 constexpr double kMinCapacityPart = 0.85;
 
 double judges_log(const RouterSettings& settings) {
@@ -63,7 +63,7 @@
 void RegressionDetector::add_sample(const OutcomeSample& sample) {
   if (sample.request_class >= in_.settings.request_classes.size()) return;
   if (sample.version > in_.release.version()) return;
-  failures_.add_sample(in_.release.judged_role(sample.version), sample);
+  failures_.add_sample(in_.release.evidence_role(sample.version), sample);
 }
 
 void RegressionDetector::add_disputed_answer(const DisputedAnswer& disputed, Instant now) {
@@ -88,7 +88,7 @@
   PerRole<OutcomeCount> answers;
   for (const Endpoint& endpoint : in_.endpoints) {
     if (endpoint.version <= in_.release.version())
-      answers[in_.release.judged_role(endpoint.version)].merge(endpoint.answers);
+      answers[in_.release.evidence_role(endpoint.version)].merge(endpoint.answers);
   }
   const double reported_part = in_.settings.dispute_report_fraction;
   const double canary = answers.canary.failure_rate() / reported_part;
@@ -129,9 +129,9 @@
   if (now - started_at_ >= settings.exposure_window + settings.clock_tick) {
     const auto arrivals =
         static_cast<double>(in_.arrivals.all_since(now - settings.exposure_window + settings.clock_tick));
-    if (surges_.add(arrivals, slowdown > kFleetSlowdown, now)) on_outside_fault(now);
+    if (surges_.add(arrivals, slowdown > kFleetSlowdown, now)) on_external_fault(now);
   }
-  const bool explained = now - last_outside_fault_ <= kOutsideFaultLasts ||
+  const bool explained = now - last_external_fault_at_ <= kExternalFaultDuration ||
                          in_service.capacity <= kMinCapacityPart * ready_before_release_;
   return explained ? 1 : slowdown;
 }
--- a/src/policy/regression_detector.hpp
+++ b/src/policy/regression_detector.hpp
@@ -47,7 +47,7 @@
   }
   void add_sample(const OutcomeSample& sample);
   void add_disputed_answer(const DisputedAnswer& disputed, Instant now);
-  void on_outside_fault(Instant now) { last_outside_fault_ = now; }
+  void on_external_fault(Instant now) { last_external_fault_at_ = now; }
 
   // The judgement now. `regression_since`: since when there has been one, or the far past; `in_service`: the
   // endpoints that are not ejected.
@@ -65,7 +65,7 @@
   LatencyComparison latencies_;
   SurgeDetector surges_;
   Instant started_at_;
-  Instant last_outside_fault_;
+  Instant last_external_fault_at_;
   double latency_before_release_ms_ = 0;  // 0: unknown
   double ready_before_release_ = 0;
 };
--- a/src/policy/release_tracker.hpp
+++ b/src/policy/release_tracker.hpp
@@ -27,7 +27,7 @@
   }
   void apply(const ReleaseState& state, Instant now) {
     if (is_new_stage(state)) stage_since_ = now - state.age;
-    if (ends_in_rollback(state.phase)) rolled_back_ = state.version;
+    if (ends_in_rollback(state.phase)) last_rolled_back_ = state.version;
     known_ = true;
     version_ = state.version;
     stage_ = state.stage;
@@ -43,7 +43,7 @@
   double exposure_cap() const { return exposure_cap_; }
   Instant stage_since() const { return stage_since_; }
   // The last version that was rolled back; 0: none.
-  ReleaseVersion rolled_back() const { return rolled_back_; }
+  ReleaseVersion last_rolled_back() const { return last_rolled_back_; }
 
   // May requests go to this version within the exposure cap only? Also true of a version that is newer than
   // the newest announced.
@@ -52,7 +52,7 @@
   }
   // On which side its outcomes count as evidence. The newest version is judged as the canary after its
   // release, too, when it is not capped any more.
-  ReleaseRole judged_role(ReleaseVersion version) const {
+  ReleaseRole evidence_role(ReleaseVersion version) const {
     return version >= version_ ? ReleaseRole::kCanary : ReleaseRole::kStable;
   }
   static bool ends_in_rollback(ReleasePhase phase) {
@@ -62,7 +62,7 @@
  private:
   bool known_ = false;
   ReleaseVersion version_ = 0;
-  ReleaseVersion rolled_back_ = 0;
+  ReleaseVersion last_rolled_back_ = 0;
   unsigned stage_ = 0;
   ReleasePhase phase_ = ReleasePhase::kReleased;
   double exposure_cap_ = 0;
--- a/src/policy/sticky_keys.hpp
+++ b/src/policy/sticky_keys.hpp
@@ -30,7 +30,7 @@
     if (!applies_to(request)) return true;
     const std::uint32_t bound = versions_.find(request.sticky_key);
     if (bound == IndexMap::kNone) return versions_.size() < kMaxKeys || !release.is_capped(version);
-    return bound <= release.rolled_back() || version >= bound;
+    return bound <= release.last_rolled_back() || version >= bound;
   }
 
  private:
