--- a/src/policy/error_attribution.hpp
+++ b/src/policy/error_attribution.hpp
@@ -1,9 +1,10 @@
-// Tells errors that a request causes from those that an endpoint causes.
+// Determines whether the endpoint or the request itself caused an error answer.
 //
-// Job: an error answer is held back as evidence until the request has ended. One that fails at a second
-// endpoint as well is at fault itself, and counts against neither endpoint. One that a second endpoint serves
-// was failed by the first. What no other endpoint has confirmed or refuted counts in part, by how often
-// requests have been at fault of late. Units: none. No I/O. Errors: none.
+// An error answer does not count against its endpoint until the request has ended. If a second endpoint
+// answers the request with an error as well, the request is at fault, and the errors count against neither
+// endpoint. If a second endpoint serves the request, the first endpoint is at fault. If no other endpoint has
+// answered the request, the error counts partially: the more often requests have been at fault recently, the
+// less it counts.
 #pragma once
 #include <optional>
 
@@ -14,13 +15,13 @@
 // An error that counts against an endpoint.
 struct SettledError {
   EndpointIndex endpoint = 0;
-  Instant sent_at;     // of the attempt
-  double failure = 1;  // how far it counts, 0 to 1
+  Instant sent_at;     // When the attempt was sent.
+  double failure = 1;  // From 0 (does not count) to 1 (counts as a full failure).
 };
 
 class ErrorAttribution {
  public:
-  // An attempt was answered with an error.
+  // Called when an endpoint has answered an attempt of the request with an error.
   void add_error(Request& request, const Attempt& attempt) {
     UnsettledError& error = request.error;
     if (error.state == UnsettledError::State::kNone) {
@@ -30,24 +31,27 @@
     const bool same_endpoint =
         error.state == UnsettledError::State::kPending && error.endpoint == attempt.endpoint;
     if (same_endpoint) return;
-    request_fault_rate_ += kRateWeight * (1 - request_fault_rate_);
+    request_fault_rate_ += kFaultRateWeight * (1 - request_fault_rate_);
     error.state = UnsettledError::State::kRequestAtFault;
   }
 
-  // The request has its final answer; `served`: an endpoint's. Returns the error that counts, if one does.
+  // Called when the request has its final answer; `served` says whether an endpoint has answered it
+  // successfully. Returns the error that counts against an endpoint, if there is one.
   std::optional<SettledError> settle(Request& request, bool served) {
     UnsettledError& error = request.error;
     if (error.state != UnsettledError::State::kPending) return std::nullopt;
-    if (served) request_fault_rate_ -= kRateWeight * request_fault_rate_;
+    if (served) request_fault_rate_ -= kFaultRateWeight * request_fault_rate_;
     const double failure = served ? 1 : 1 - request_fault_rate_;
     error.state = UnsettledError::State::kNone;
     return SettledError{error.endpoint, error.sent_at, failure};
   }
 
  private:
-  static constexpr double kRateWeight = 0.15;
+  // Weight of a new error in `request_fault_rate_`.
+  static constexpr double kFaultRateWeight = 0.15;
 
-  double request_fault_rate_ = 0;  // of errors, how many were requests' own
+  // Moving average of the fraction of errors that the requests themselves caused.
+  double request_fault_rate_ = 0;
 };
 
 }  // namespace ashbeam::policy
--- a/src/policy/exposure_ramp.cpp
+++ b/src/policy/exposure_ramp.cpp
@@ -7,7 +7,8 @@
 namespace {
 
 constexpr double kWeightStep = 0.2;
-constexpr Duration kQuietBeforeStep = Duration::s(1);
+// Time without a regression before the weight is raised by a full step.
+constexpr Duration kMinQuietTime = Duration::s(1);
 
 }  // namespace
 
@@ -20,11 +21,11 @@
   regression_since_ = Instant();
 }
 
-void ExposureRamp::on_judgement(Regression regression, Instant now) {
+void ExposureRamp::on_evaluation(Regression regression, Instant now) {
   if (regression == Regression::kModerate) {
     if (regression_since_ == Instant()) regression_since_ = now;
-    last_regression_ = now;
-  } else if (now - last_regression_ >= kQuietBeforeStep * pace_) {
+    last_regression_at_ = now;
+  } else if (now - last_regression_at_ >= kMinQuietTime * wait_factor_) {
     regression_since_ = Instant();
   }
 }
@@ -34,14 +35,14 @@
   stepped_back_ = false;
   if (!canary_ready) quiet_since_ = now;
   RampStep step = RampStep::kNone;
-  // The last step may be a part of one, and takes that part of the wait.
-  const double next_step = std::min(1.0, (1 - weight_) / kWeightStep);
-  if (weight_ < 1 && now - quiet_since_ >= kQuietBeforeStep * (pace_ * next_step)) {
+  // The last step may be smaller than kWeightStep; its waiting time is shorter by the same ratio.
+  const double step_fraction = std::min(1.0, (1 - weight_) / kWeightStep);
+  if (weight_ < 1 && now - quiet_since_ >= kMinQuietTime * (wait_factor_ * step_fraction)) {
     weight_ = std::min(1.0, weight_ + kWeightStep);
     quiet_since_ = now;
-    if (full()) step = RampStep::kReachedFullWeight;
+    if (is_full()) step = RampStep::kReachedFullWeight;
   }
-  if (!full()) full_since_ = now;
+  if (!is_full()) full_since_ = now;
   return step;
 }
 
--- a/src/policy/latency_comparison.hpp
+++ b/src/policy/latency_comparison.hpp
@@ -1,9 +1,9 @@
-// Compares the latencies of the canary with those of the stable versions.
+// Compares the latencies of a release's canary with those of the stable versions.
 //
-// Job: keep the latest latencies of both, by machine type and request class, and test whether the canary's
-// are longer than the stable ones of the same last seconds: a sign test, by how many lie above a factor times
-// the stable median of like machines and class. The endpoint that is slowest against that is left out, since
-// one slow endpoint must not convict a release. Units: milliseconds. No I/O. Errors: none.
+// The most recent latencies of both are kept by machine type and request class. A sign test decides whether
+// the canary is slower: it counts how many canary latencies exceed a factor times the stable median of the
+// same period, machine type and request class. The slowest canary endpoint by this count is excluded, because
+// one slow endpoint must not cause a regression of its release.
 #pragma once
 #include <cstddef>
 #include <optional>
@@ -19,40 +19,45 @@
 
 class LatencyComparison {
  public:
-  // What the canary is tested for.
-  struct Test {
-    double factor = 1;         // on the stable median
-    double min_latencies = 0;  // of the canary
-    double evidence = 0;       // log-likelihood ratio
+  // The conditions under which the canary counts as slower.
+  struct Criteria {
+    double slowdown_factor = 1;  // A canary latency above this factor times the stable median is slow.
+    double min_latencies = 0;    // Minimum number of canary latencies.
+    double min_evidence = 0;     // Minimum log-likelihood ratio.
   };
 
   LatencyComparison(unsigned machine_type_count, std::size_t class_count);
 
+  // Adds the latency of an attempt to a warm endpoint.
   void add(ReleaseRole role, unsigned machine_type, unsigned request_class, EndpointIndex endpoint,
            double latency_ms, Instant now);
-  // A new version is under release; `former_released`: the one before it is stable now.
-  void begin_release(bool former_released);
+  // Called when the platform announces another version. `previous_released` says whether the version before
+  // it was released: its latencies then become those of the stable versions.
+  void begin_release(bool previous_released);
 
-  // Are clearly more than half of the canary's latencies above the factor times the stable median?
-  // `endpoint_count`: endpoints are numbered below it.
-  bool canary_is_slower(const Test& test, std::size_t endpoint_count, Instant now);
+  // Returns whether clearly more than half of the canary's recent latencies are slow by the criteria.
+  // `endpoint_count` is greater than every endpoint index that was added.
+  bool canary_is_slower(const Criteria& criteria, std::size_t endpoint_count, Instant now);
 
  private:
-  static constexpr std::size_t kLatenciesKept = 96;
+  // Number of latencies kept for each role, machine type and request class.
+  static constexpr std::size_t kMaxLatencies = 96;
 
   struct Latency {
     Instant at;
     float ms = 0;
     EndpointIndex endpoint = 0;
   };
-  using Latencies = RingBuffer<Latency, kLatenciesKept>;
+  using Latencies = RingBuffer<Latency, kMaxLatencies>;
 
-  // The median of the recent ones in milliseconds; none: there are too few.
+  // Returns the median of the recent latencies in milliseconds, or nothing if there are too few of them.
   static std::optional<float> recent_median(const Latencies& latencies, Instant now);
 
   std::size_t class_count_;
-  PerRole<std::vector<Latencies>> latencies_;  // by machine type and request class
-  std::vector<OutcomeCount> by_endpoint_;      // scratch; failed: above the factor
+  PerRole<std::vector<Latencies>> latencies_;  // By machine type and request class.
+  // Canary latencies by endpoint; `failed` counts the slow ones. Used within canary_is_slower() only; a
+  // member so that its memory is reused.
+  std::vector<OutcomeCount> counts_by_endpoint_;
 };
 
 }  // namespace ashbeam::policy
--- a/src/policy/policy_log.hpp
+++ b/src/policy/policy_log.hpp
@@ -1,4 +1,4 @@
-// Formats log lines of the decisions and hands them to the router's log.
+// Formats the log lines of the routing policy and writes them to the router's log.
 #pragma once
 #include <algorithm>
 #include <cstdio>
@@ -9,10 +9,11 @@
 
 class PolicyLog {
  public:
-  // `actions` has to outlive this object.
+  // `actions` must outlive this object.
   explicit PolicyLog(RouterActions& actions) : actions_(actions) {}
 
-  // Writes one line, printf-style; what is longer than kMaxLineBytes is cut.
+  // Writes one line; `format` and `values` are those of printf(). A line longer than kMaxLineBytes - 1 bytes
+  // is truncated.
   template <class... Values>
   void write(const char* format, Values... values) const {
     char line[kMaxLineBytes];
--- a/src/policy/promotion.cpp
+++ b/src/policy/promotion.cpp
@@ -6,38 +6,50 @@
 
 namespace {
 
-constexpr Duration kQuietAtFullWeight = Duration::s(2);
-constexpr Duration kNewestCanaryAge = Duration::s(3);
-constexpr Duration kStageMargin = Duration::s(1);  // the stage is announced some time after the endpoints
-constexpr Duration kLongestWaitForEndpoints = Duration::s(11);
-
-// Of the stage's endpoints, the part that has to be there, less a rounding of half an endpoint.
-constexpr double kEndpointsPart = 0.85;
-constexpr double kRounding = 0.5;
-
-// Are the endpoints there that the stage is to have? Ejected ones count neither as there nor as missing.
-bool stage_is_filled(const RouterSettings& settings, unsigned stage, const InService& in_service) {
+// Minimum time for which the traffic weight has been full without a regression.
+constexpr Duration kMinTimeAtFullWeight = Duration::s(2);
+// Minimum time since the newest canary endpoint was started.
+constexpr Duration kMinNewestCanaryAge = Duration::s(3);
+// Added to the minimum time in a stage, because a stage is announced some time after its endpoints.
+constexpr Duration kStageAnnouncementMargin = Duration::s(1);
+// Missing endpoints are waited for until the stage has lasted this long.
+constexpr Duration kMaxWaitForEndpoints = Duration::s(11);
+
+// Minimum fraction of the stage's canary endpoints that must be in service, and the number of endpoints by
+// which the result may be missed, which allows for rounding.
+constexpr double kMinEndpointFraction = 0.85;
+constexpr double kEndpointTolerance = 0.5;
+
+// Returns whether enough of the canary endpoints that the stage should have are in service. Ejected endpoints
+// count neither as in service nor as missing.
+bool has_enough_canary_endpoints(const RouterSettings& settings, unsigned stage,
+                                 const InService& in_service) {
   const double canary = in_service.endpoints.canary;
   const double stable = in_service.endpoints.stable;
   const double all = settings.rolling_update ? canary + stable : std::max(canary, stable);
-  const double due = stage < settings.stage_fractions.size() ? settings.stage_fractions[stage] * all : all;
-  return canary >= kEndpointsPart * due - kRounding;
+  const double expected =
+      stage < settings.stage_fractions.size() ? settings.stage_fractions[stage] * all : all;
+  return canary >= kMinEndpointFraction * expected - kEndpointTolerance;
 }
 
 }  // namespace
 
-bool ready_to_promote(const RouterSettings& settings, double pace, const ReleaseTracker& release,
-                      const ExposureRamp& ramp, const EndpointTable& endpoints, const InService& in_service,
-                      Instant now) {
-  if (!ramp.full() || ramp.full_for(now) < kQuietAtFullWeight * pace || endpoints.canary_ready() == 0)
+bool is_ready_to_promote(const RouterSettings& settings, double wait_factor, const ReleaseTracker& release,
+                         const ExposureRamp& ramp, const EndpointTable& endpoints,
+                         const InService& in_service, Instant now) {
+  if (!ramp.is_full() || ramp.time_at_full_weight(now) < kMinTimeAtFullWeight * wait_factor ||
+      endpoints.canary_ready() == 0)
     return false;
-  const Duration in_stage = now - release.stage_since();
-  // The last stage is never hurried: all load follows, and a version that is bad under load would jam.
-  const bool last_stage = release.stage() + 1 >= settings.stage_fractions.size();
-  const Duration min_age = kNewestCanaryAge * (last_stage ? 1.0 : pace);
-  if (in_stage < min_age + kStageMargin * pace || now - endpoints.newest_canary_start() < min_age)
+  const Duration time_in_stage = now - release.stage_started_at();
+  // The minimum age is not shortened in the last stage: once it is promoted, the version carries all load,
+  // and endpoints of a version that fails under load would be overloaded.
+  const bool is_last_stage = release.stage() + 1 >= settings.stage_fractions.size();
+  const Duration min_age = kMinNewestCanaryAge * (is_last_stage ? 1.0 : wait_factor);
+  if (time_in_stage < min_age + kStageAnnouncementMargin * wait_factor ||
+      now - endpoints.newest_canary_start() < min_age)
     return false;
-  return stage_is_filled(settings, release.stage(), in_service) || in_stage > kLongestWaitForEndpoints * pace;
+  return has_enough_canary_endpoints(settings, release.stage(), in_service) ||
+         time_in_stage > kMaxWaitForEndpoints * wait_factor;
 }
 
 }  // namespace ashbeam::policy
--- a/src/policy/promotion.hpp
+++ b/src/policy/promotion.hpp
@@ -1,8 +1,4 @@
-// When this router votes for promoting a release's stage.
-//
-// Job: be patient. The traffic weight has to have been full and quiet for a while, the newest canary endpoint
-// to have run for longer, and the stage's endpoints to be there; endpoints that are away are not waited for
-// for ever. Units: spans of real time, endpoints. No I/O. Errors: none.
+// Decides when this router votes to promote the current stage of a release.
 #pragma once
 #include "policy/endpoint_monitor.hpp"
 #include "policy/exposure_ramp.hpp"
@@ -11,9 +7,12 @@
 
 namespace ashbeam::policy {
 
-// `pace`: factor on the waits, at most 1.
-bool ready_to_promote(const RouterSettings& settings, double pace, const ReleaseTracker& release,
-                      const ExposureRamp& ramp, const EndpointTable& endpoints, const InService& in_service,
-                      Instant now);
+// Returns whether all conditions for a promotion hold: the traffic weight has been full without a regression
+// for some time, the newest canary endpoint has been running for a minimum time, and the canary endpoints
+// that the stage should have are ready. Missing endpoints are waited for only for a limited time.
+// `wait_factor`, at most 1, scales these times.
+bool is_ready_to_promote(const RouterSettings& settings, double wait_factor, const ReleaseTracker& release,
+                         const ExposureRamp& ramp, const EndpointTable& endpoints,
+                         const InService& in_service, Instant now);
 
 }  // namespace ashbeam::policy
--- a/src/policy/regression_detector.cpp
+++ b/src/policy/regression_detector.cpp
@@ -7,132 +7,151 @@
 
 namespace {
 
-// Each router that judges is a chance of a false alarm: past so many for each abort vote, each asks for more
-// evidence.
-constexpr double kFewJudges = 5;
-constexpr double kEvidencePerJudgesLog = 2;
-
-// Wrong answers: clients' reports that it takes, and the part of answers that they stand for.
-constexpr double kMinReports = 3;
-constexpr double kWrongAnswerPart = 0.03;
-
-// Latency factors: of the canary against the stable median, and of all endpoints against the time before.
-constexpr double kModerateSlowdown = 1.25;
-constexpr double kLastingSlowdown = 1.6;
-constexpr double kFleetSlowdown = 1.8;
-constexpr double kLastingFleetSlowdown = 2.3;
-constexpr double kLastingFleetExponentPerJudgesLog = 0.75;
-constexpr Duration kLasting = Duration::s(3);
-// After its release there is nothing beside the version to compare with: only so many times as much counts.
-constexpr double kReleasedYardstickFactor = 2;
-// Latencies that it takes to know what was usual before the release.
-constexpr double kMinUsualLatencies = 30;
-
-// What explains slowness of all: an outside fault, for so long, or less than this part of the capacity
-// before.
-constexpr Duration kExternalFaultDuration = Duration::s(8);
-constexpr double kMinCapacityPart = 0.85;
-
-double judges_log(const RouterSettings& settings) {
-  const double judges_per_vote =
-      settings.router_count / (kFewJudges * std::max(settings.abort_votes_needed, 1U));
-  return std::log(std::max(1.0, judges_per_vote));
+// Every router that evaluates the release may raise a false alarm. With more routers than this for each abort
+// vote that is needed, each router requires more evidence.
+constexpr double kBaseRoutersPerAbortVote = 5;
+constexpr double kEvidencePerLogRouterExcess = 2;
+
+// Wrong answers: the minimum number of reports on the canary, and how much its rate of wrong answers must at
+// least exceed twice the stable rate.
+constexpr double kMinDisputeReports = 3;
+constexpr double kMinWrongAnswerRateExcess = 0.03;
+
+// Latency ratios above which there is a regression: of the canary's latencies to the stable median, and of
+// the mean latency of all endpoints to that before the release.
+constexpr double kModerateCanarySlowdownThreshold = 1.25;
+constexpr double kSevereCanarySlowdownThreshold = 1.6;
+constexpr double kModerateOverallSlowdownThreshold = 1.8;
+constexpr double kSevereOverallSlowdownThreshold = 2.3;
+constexpr double kSevereSlowdownExponentPerLogRouterExcess = 0.75;
+// A slowdown is severe only after it has lasted this long.
+constexpr Duration kMinSevereSlowdownDuration = Duration::s(3);
+// Once the version is released, no stable version is left to compare it with. Its latency baseline is then
+// the latency before the release times this factor.
+constexpr double kReleasedBaselineFactor = 2;
+// Minimum number of latencies before the release for their mean to be a baseline.
+constexpr double kMinBaselineLatencies = 30;
+
+// A slowdown of all endpoints is not attributed to the release for this time after an external fault, nor
+// while the capacity is at most this fraction of that before the release.
+constexpr Duration kExternalFaultEffectDuration = Duration::s(8);
+constexpr double kMinCapacityFraction = 0.85;
+
+// Returns the natural logarithm of the number of routers for each needed abort vote, as a multiple of
+// kBaseRoutersPerAbortVote; 0 if that multiple is below 1.
+double log_router_excess(const RouterSettings& settings) {
+  const double router_excess =
+      settings.router_count / (kBaseRoutersPerAbortVote * std::max(settings.abort_votes_needed, 1U));
+  return std::log(std::max(1.0, router_excess));
 }
 
-double severe_evidence(const RouterSettings& settings) {
-  return kSure + kEvidencePerJudgesLog * judges_log(settings);
+// Returns the log-likelihood ratio that a severe regression requires.
+double severe_evidence_threshold(const RouterSettings& settings) {
+  return kStrongEvidenceThreshold + kEvidencePerLogRouterExcess * log_router_excess(settings);
 }
 
 }  // namespace
 
 RegressionDetector::RegressionDetector(const Inputs& inputs)
-    : in_(inputs), judges_log_(judges_log(inputs.settings)),
-      failures_(inputs.settings.request_classes.size(), severe_evidence(inputs.settings)),
+    : inputs_(inputs), log_router_excess_(log_router_excess(inputs.settings)),
+      failures_(inputs.settings.request_classes.size(), severe_evidence_threshold(inputs.settings)),
       latencies_(inputs.settings.machine_type_count, inputs.settings.request_classes.size()) {}
 
 void RegressionDetector::begin_release() {
-  const bool former_released = in_.release.known() && in_.release.phase() == ReleasePhase::kReleased;
-  latencies_.begin_release(former_released);
-  failures_.begin_release(former_released);
-  const DecayingMean& usual = in_.latency.usual();
-  const bool usual_known = in_.release.known() && usual.count >= kMinUsualLatencies;
-  latency_before_release_ms_ = usual_known ? usual.mean : 0;
-  ready_before_release_ = static_cast<double>(in_.endpoints.ready());
+  const bool previous_released =
+      inputs_.release.has_state() && inputs_.release.phase() == ReleasePhase::kReleased;
+  latencies_.begin_release(previous_released);
+  failures_.begin_release(previous_released);
+  const DecayingMean& usual = inputs_.latency.usual();
+  const bool has_baseline = inputs_.release.has_state() && usual.count >= kMinBaselineLatencies;
+  latency_before_release_ms_ = has_baseline ? usual.mean : 0;
+  ready_endpoints_before_release_ = static_cast<double>(inputs_.endpoints.ready());
 }
 
 void RegressionDetector::add_sample(const OutcomeSample& sample) {
-  if (sample.request_class >= in_.settings.request_classes.size()) return;
-  if (sample.version > in_.release.version()) return;
-  failures_.add_sample(in_.release.evidence_role(sample.version), sample);
+  if (sample.request_class >= inputs_.settings.request_classes.size()) return;
+  if (sample.version > inputs_.release.version()) return;
+  failures_.add_sample(inputs_.release.evidence_role(sample.version), sample);
 }
 
 void RegressionDetector::add_disputed_answer(const DisputedAnswer& disputed, Instant now) {
-  if (!in_.endpoints.contains(disputed.endpoint)) return;
-  Endpoint& endpoint = in_.endpoints[disputed.endpoint];
+  if (!inputs_.endpoints.contains(disputed.endpoint)) return;
+  Endpoint& endpoint = inputs_.endpoints[disputed.endpoint];
   if (now - disputed.since_sent > endpoint.started_at) endpoint.answers.failed += 1;
 }
 
-Regression RegressionDetector::judge(const InService& in_service, Instant regression_since, Instant now) {
-  const FailureVerdict failures = failures_.judge(in_.endpoints, in_.release);
-  if (answers_are_wrong()) return Regression::kSevere;
+Regression RegressionDetector::evaluate(const InService& in_service, Instant regression_since, Instant now) {
+  const FailureEvaluation failures = failures_.evaluate(inputs_.endpoints, inputs_.release);
+  if (canary_has_more_wrong_answers()) return Regression::kSevere;
   if (failures.regression == Regression::kSevere) {
-    in_.log.write("severe regression, failures%s: canary %.0f of %.0f failed, stable rate %.3f",
-                  failures.by_samples ? " by the platform's samples" : "", failures.canary.failed,
-                  failures.canary.total, failures.stable.failure_rate());
+    inputs_.log.write(
+        "release %u: severe regression, failure rate%s: own canary outcomes %.0f of %.0f failed, own stable "
+        "rate %.3f",
+        inputs_.release.version(), failures.from_samples ? " in the platform's samples" : "",
+        failures.canary.failed, failures.canary.total, failures.stable.failure_rate());
     return Regression::kSevere;
   }
-  return std::max(failures.regression, judge_latencies(in_service, regression_since, now));
+  return std::max(failures.regression, evaluate_latencies(in_service, regression_since, now));
 }
 
-bool RegressionDetector::answers_are_wrong() const {
+bool RegressionDetector::canary_has_more_wrong_answers() const {
   PerRole<OutcomeCount> answers;
-  for (const Endpoint& endpoint : in_.endpoints) {
-    if (endpoint.version <= in_.release.version())
-      answers[in_.release.evidence_role(endpoint.version)].merge(endpoint.answers);
+  for (const Endpoint& endpoint : inputs_.endpoints) {
+    if (endpoint.version <= inputs_.release.version())
+      answers[inputs_.release.evidence_role(endpoint.version)].merge(endpoint.answers);
   }
-  const double reported_part = in_.settings.dispute_report_fraction;
-  const double canary = answers.canary.failure_rate() / reported_part;
-  const double stable = answers.stable.failure_rate() / reported_part;
-  const bool clearly_more = answers.canary.failed >= kMinReports && canary > 2 * stable + kWrongAnswerPart;
+  const double reported_fraction = inputs_.settings.dispute_report_fraction;
+  const double canary = answers.canary.failure_rate() / reported_fraction;
+  const double stable = answers.stable.failure_rate() / reported_fraction;
+  const bool clearly_more =
+      answers.canary.failed >= kMinDisputeReports && canary > 2 * stable + kMinWrongAnswerRateExcess;
   if (!clearly_more) return false;
-  if (log_likelihood_ratio(answers.canary, answers.stable) < severe_evidence(in_.settings)) return false;
-  in_.log.write("severe regression, wrong answers: canary %.3f, stable %.3f, reports %.0f", canary, stable,
-                answers.canary.failed);
+  if (log_likelihood_ratio(answers.canary, answers.stable) < severe_evidence_threshold(inputs_.settings))
+    return false;
+  inputs_.log.write(
+      "release %u: severe regression, wrong answers: estimated canary rate %.3f, stable rate %.3f, reports "
+      "on canary %.0f",
+      inputs_.release.version(), canary, stable, answers.canary.failed);
   return true;
 }
 
-Regression RegressionDetector::judge_latencies(const InService& in_service, Instant regression_since,
-                                               Instant now) {
-  const bool compared = in_.release.phase() == ReleasePhase::kCanary;
-  const double fleet = fleet_slowdown(in_service, now);
-  const auto canary_slower = [&](double factor, double evidence) {
-    return compared &&
-           latencies_.canary_is_slower({factor, kMinOutcomes, evidence}, in_.endpoints.size(), now);
+Regression RegressionDetector::evaluate_latencies(const InService& in_service, Instant regression_since,
+                                                  Instant now) {
+  const bool is_canary_phase = inputs_.release.phase() == ReleasePhase::kCanary;
+  const double overall = overall_slowdown(in_service, now);
+  const auto canary_is_slower = [&](double factor, double evidence) {
+    return is_canary_phase &&
+           latencies_.canary_is_slower({factor, kMinOutcomes, evidence}, inputs_.endpoints.size(), now);
   };
-  if (fleet <= kFleetSlowdown && !canary_slower(kModerateSlowdown, kLikely)) return Regression::kNone;
-  const bool lasts = regression_since > Instant() && now - regression_since >= kLasting;
-  const double lasting_fleet_slowdown =
-      std::pow(kLastingFleetSlowdown, 1 + kLastingFleetExponentPerJudgesLog * judges_log_);
-  if (!lasts || (fleet <= lasting_fleet_slowdown && !canary_slower(kLastingSlowdown, kSure)))
+  if (overall <= kModerateOverallSlowdownThreshold &&
+      !canary_is_slower(kModerateCanarySlowdownThreshold, kModerateEvidenceThreshold))
+    return Regression::kNone;
+  const bool lasting = regression_since > Instant() && now - regression_since >= kMinSevereSlowdownDuration;
+  const double severe_overall_threshold = std::pow(
+      kSevereOverallSlowdownThreshold, 1 + kSevereSlowdownExponentPerLogRouterExcess * log_router_excess_);
+  if (!lasting || (overall <= severe_overall_threshold &&
+                   !canary_is_slower(kSevereCanarySlowdownThreshold, kStrongEvidenceThreshold)))
     return Regression::kModerate;
-  in_.log.write("severe regression, latency: slow for %.1f s, all endpoints %.2f times as before the release",
-                (now - regression_since).s(), fleet);
+  inputs_.log.write(
+      "release %u: severe regression, latency: regression lasted %.1f s, mean latency of all endpoints %.2f "
+      "times the baseline",
+      inputs_.release.version(), (now - regression_since).s(), overall);
   return Regression::kSevere;
 }
 
-double RegressionDetector::fleet_slowdown(const InService& in_service, Instant now) {
-  const bool compared = in_.release.phase() == ReleasePhase::kCanary;
-  const double yardstick_ms = latency_before_release_ms_ * (compared ? 1 : kReleasedYardstickFactor);
-  const double slowdown = yardstick_ms > 0 ? in_.latency.recent().mean / yardstick_ms : 1;
-  // Too soon after its start, this router does not know how many requests are usual.
-  const RouterSettings& settings = in_.settings;
+double RegressionDetector::overall_slowdown(const InService& in_service, Instant now) {
+  const bool is_canary_phase = inputs_.release.phase() == ReleasePhase::kCanary;
+  const double baseline_ms = latency_before_release_ms_ * (is_canary_phase ? 1 : kReleasedBaselineFactor);
+  const double slowdown = baseline_ms > 0 ? inputs_.latency.recent().mean / baseline_ms : 1;
+  // Until a full window has passed since the start, the router does not know how many requests are usual.
+  const RouterSettings& settings = inputs_.settings;
   if (now - started_at_ >= settings.exposure_window + settings.clock_tick) {
     const auto arrivals =
-        static_cast<double>(in_.arrivals.all_since(now - settings.exposure_window + settings.clock_tick));
-    if (surges_.add(arrivals, slowdown > kFleetSlowdown, now)) on_external_fault(now);
+        static_cast<double>(inputs_.arrivals.all_since(now - settings.exposure_window + settings.clock_tick));
+    if (surges_.detect(arrivals, slowdown > kModerateOverallSlowdownThreshold, now)) on_external_fault(now);
   }
-  const bool explained = now - last_external_fault_at_ <= kExternalFaultDuration ||
-                         in_service.capacity <= kMinCapacityPart * ready_before_release_;
+  const bool explained = now - last_external_fault_at_ <= kExternalFaultEffectDuration ||
+                         in_service.capacity <= kMinCapacityFraction * ready_endpoints_before_release_;
   return explained ? 1 : slowdown;
 }
 
--- a/src/policy/release_controller.cpp
+++ b/src/policy/release_controller.cpp
@@ -8,14 +8,16 @@
 
 namespace {
 
-constexpr Duration kJudgementInterval = Duration::ms(250);
+// Time between two evaluations of the release, before the wait factor is applied.
+constexpr Duration kEvaluationInterval = Duration::ms(250);
 
-// With a bake time shorter than this waits are as much shorter, down to the least pace.
-constexpr Duration kFullPaceBakeTime = Duration::s(2);
-constexpr double kMinPace = 0.3;
+// If the bake time is shorter than this, waiting times are shortened in proportion, down to the minimum
+// factor.
+constexpr Duration kFullWaitBakeTime = Duration::s(2);
+constexpr double kMinWaitFactor = 0.3;
 
-double pace_of(const RouterSettings& settings) {
-  return std::clamp(settings.bake_time / kFullPaceBakeTime, kMinPace, 1.0);
+double wait_factor_for(const RouterSettings& settings) {
+  return std::clamp(settings.bake_time / kFullWaitBakeTime, kMinWaitFactor, 1.0);
 }
 
 const char* name_of(ReleasePhase phase) {
@@ -49,7 +51,8 @@
 }  // namespace
 
 ReleaseController::ReleaseController(const Parts& parts)
-    : parts_(parts), pace_(pace_of(parts.settings)), ramp_(pace_), votes_(parts.settings, parts.random) {}
+    : parts_(parts), wait_factor_(wait_factor_for(parts.settings)), ramp_(wait_factor_),
+      votes_(parts.settings, parts.random) {}
 
 void ReleaseController::start(Instant now) {
   ramp_.begin_release(now);
@@ -68,7 +71,7 @@
   if (release.is_new_stage(state)) {
     votes_.on_new_stage();
     pause_voted_ = false;
-    if (release.known() || state.phase == ReleasePhase::kCanary)
+    if (release.has_state() || state.phase == ReleasePhase::kCanary)
       parts_.log.write("release %u: stage %u, phase %s, exposure cap %.3f, traffic weight %.2f",
                        state.version, state.stage, name_of(state.phase), state.exposure_cap, ramp_.weight());
   }
@@ -78,41 +81,44 @@
 }
 
 void ReleaseController::on_tick(Instant now) {
-  if (now < next_judgement_) return;
-  next_judgement_ = now + kJudgementInterval * pace_;
-  step(now);
+  if (now < next_evaluation_at_) return;
+  next_evaluation_at_ = now + kEvaluationInterval * wait_factor_;
+  evaluate_release(now);
 }
 
-void ReleaseController::step(Instant now) {
+void ReleaseController::evaluate_release(Instant now) {
   const ReleaseTracker& release = parts_.release;
-  if (!release.known() || ReleaseTracker::ends_in_rollback(release.phase())) return;
+  if (!release.has_state() || ReleaseTracker::ends_in_rollback(release.phase())) return;
   const Regression regression =
-      ramp_.stopped() ? Regression::kSevere
-                      : parts_.regression.judge(parts_.monitor.in_service(), ramp_.regression_since(), now);
-  if (regression == Regression::kSevere) return brake(now);
-  ramp_.on_judgement(regression, now);
+      ramp_.is_stopped()
+          ? Regression::kSevere
+          : parts_.regression.evaluate(parts_.monitor.in_service(), ramp_.regression_since(), now);
+  if (regression == Regression::kSevere) return stop_canary(now);
+  ramp_.on_evaluation(regression, now);
   if (release.phase() == ReleasePhase::kReleased) return;
-  const RampStep step = ramp_.advance(regression, parts_.endpoints.canary_ready() > 0, now);
-  if (step == RampStep::kSteppedBack) on_step_back(now);
-  if (step == RampStep::kReachedFullWeight)
-    parts_.log.write("release %u stage %u: full traffic weight", release.version(), release.stage());
+  const RampStep ramp_step = ramp_.advance(regression, parts_.endpoints.canary_ready() > 0, now);
+  if (ramp_step == RampStep::kSteppedBack) on_step_back(now);
+  if (ramp_step == RampStep::kReachedFullWeight)
+    parts_.log.write("release %u stage %u: full traffic weight, the whole exposure cap is used",
+                     release.version(), release.stage());
   if (regression == Regression::kModerate) {
-    if (votes_.standing() == Vote::kPromote) cast(Vote::kAbstain, now);
+    if (votes_.active_vote() == Vote::kPromote) cast_vote(Vote::kAbstain, now);
     return;
   }
   const bool promote = !parts_.settings.promoted_by_clock &&
-                       ready_to_promote(parts_.settings, pace_, release, ramp_, parts_.endpoints,
-                                        parts_.monitor.in_service(), now);
-  if (promote) cast(Vote::kPromote, now);
+                       is_ready_to_promote(parts_.settings, wait_factor_, release, ramp_, parts_.endpoints,
+                                           parts_.monitor.in_service(), now);
+  if (promote) cast_vote(Vote::kPromote, now);
 }
 
-void ReleaseController::brake(Instant now) {
+void ReleaseController::stop_canary(Instant now) {
   const ReleaseTracker& release = parts_.release;
-  if (!ramp_.stopped())
-    parts_.log.write("release %u stage %u: traffic weight %.2f to 0, voting abort", release.version(),
-                     release.stage(), ramp_.weight());
+  if (!ramp_.is_stopped())
+    parts_.log.write(
+        "release %u stage %u: severe regression, traffic weight lowered from %.2f to 0, voting to abort",
+        release.version(), release.stage(), ramp_.weight());
   ramp_.stop();
-  cast(Vote::kAbort, now);
+  cast_vote(Vote::kAbort, now);
 }
 
 void ReleaseController::on_step_back(Instant now) {
@@ -120,18 +126,18 @@
   parts_.log.write("release %u stage %u: moderate regression, traffic weight stepped back to %.2f",
                    release.version(), release.stage(), ramp_.weight());
   if (!parts_.settings.promoted_by_clock || pause_voted_) return;
-  cast(Vote::kPause, now);
+  cast_vote(Vote::kPause, now);
   pause_voted_ = true;
 }
 
-void ReleaseController::cast(Vote vote, Instant now) {
+void ReleaseController::cast_vote(Vote vote, Instant now) {
   const ReleaseTracker& release = parts_.release;
   const Ballot ballot{vote, release.version(), release.stage()};
   const VoteDecision decision = votes_.decide(ballot, now);
   if (decision == VoteDecision::kWait) return;
   if (decision == VoteDecision::kSend)
-    parts_.log.write("vote %s: release %u stage %u, traffic weight %.2f", name_of(vote), ballot.version,
-                     ballot.stage, ramp_.weight());
+    parts_.log.write("sending vote '%s' on release %u stage %u, traffic weight %.2f", name_of(vote),
+                     ballot.version, ballot.stage, ramp_.weight());
   parts_.actions.cast_vote(ballot.version, ballot.stage, vote);
 }
 
--- a/src/policy/release_controller.hpp
+++ b/src/policy/release_controller.hpp
@@ -1,8 +1,9 @@
-// Decides on a release: how much traffic the canary gets from this router, and how the router votes.
+// Controls a release from the point of view of one router: how much traffic the router sends to the canary,
+// and how it votes.
 //
-// Job: keep the release state, judge the canary at regular times, and let the ramp, the promotion rule and
-// the vote scheduler act on the judgement. Order of calls: start() once, on_tick() once a tick. Units:
-// instants. No I/O but the router's actions. Errors: none.
+// The controller evaluates the canary at regular intervals. The result sets the traffic weight (ExposureRamp)
+// and decides on a vote (is_ready_to_promote(), VoteScheduler). start() must be called once, before any other
+// call, and on_tick() at every tick of the router.
 #pragma once
 #include "policy/endpoint_monitor.hpp"
 #include "policy/exposure_ramp.hpp"
@@ -16,7 +17,7 @@
 
 class ReleaseController {
  public:
-  // What it reads and acts by; all of it has to outlive this object.
+  // The objects that the controller reads and calls. All of them must outlive it.
   struct Parts {
     const RouterSettings& settings;
     const EndpointTable& endpoints;
@@ -30,25 +31,32 @@
   explicit ReleaseController(const Parts& parts);
 
   void start(Instant now);
-  // Returns whether the state counts: one of an older version does not.
+  // Called when the platform announces a release state. Returns false if the state is ignored because it is
+  // of an older version.
   bool on_release_state(const ReleaseState& state, Instant now);
+  // Called when a vote of this router was not accepted.
   void on_vote_refused(VoteOutcome outcome, Instant now) { votes_.on_refused(outcome, now); }
   void on_tick(Instant now);
 
   TrafficSplit split() const { return ramp_.split(); }
 
  private:
-  void step(Instant now);
-  void brake(Instant now);
+  // Evaluates the release, adjusts the traffic weight and votes.
+  void evaluate_release(Instant now);
+  // Stops the traffic to the canary after a severe regression, and votes to abort.
+  void stop_canary(Instant now);
+  // Logs that the traffic weight was lowered. Votes to pause, once per stage, if the platform promotes by
+  // itself.
   void on_step_back(Instant now);
-  void cast(Vote vote, Instant now);
+  // Casts the vote if the scheduler lets it be sent now.
+  void cast_vote(Vote vote, Instant now);
 
   Parts parts_;
-  double pace_;  // factor on waits, less than 1 where the bake time is short
+  double wait_factor_;  // Scales waiting times; less than 1 if the bake time is short.
   ExposureRamp ramp_;
   VoteScheduler votes_;
-  Instant next_judgement_;
-  bool pause_voted_ = false;  // in the stage at hand
+  Instant next_evaluation_at_;
+  bool pause_voted_ = false;  // In the current stage.
 };
 
 }  // namespace ashbeam::policy
--- a/src/policy/release_role.hpp
+++ b/src/policy/release_role.hpp
@@ -1,12 +1,12 @@
-// Which side of a release an endpoint is on, and a value for each side.
+// The role of an endpoint in a release, and a pair of values with one for each role.
 #pragma once
 #include <cstdint>
 
 namespace ashbeam::policy {
 
 enum class ReleaseRole : std::uint8_t {
-  kStable,  // runs a version before the newest
-  kCanary,  // runs the newest version, or one that the platform has not announced yet
+  kStable,  // Runs an older version than the newest release.
+  kCanary,  // Runs the version of the newest release, or one that the platform has not announced yet.
 };
 
 template <class T>
--- a/src/policy/surge_detector.hpp
+++ b/src/policy/surge_detector.hpp
@@ -1,8 +1,9 @@
-// Detects surges of requests, which explain slowness as lost endpoints do.
+// Detects surges of requests. A surge slows down all endpoints, so a slowdown that follows one is not
+// attributed to the release.
 //
-// Job: compare the requests of the last window with what is usual, and say whether there are clearly more.
-// Once all endpoints are slow only a surge that goes on counts, since a new one may be clients' retries.
-// Units: requests in RouterSettings::exposure_window. No I/O. Errors: none.
+// The number of requests in the last window is compared with the usual number. While all endpoints are slow,
+// only a surge that began earlier is continued: the requests of a new one may be clients' retries, caused by
+// the slowdown itself.
 #pragma once
 #include "base/decaying_mean.hpp"
 #include "base/time.hpp"
@@ -11,13 +12,14 @@
 
 class SurgeDetector {
  public:
-  // Takes in the requests that arrived in the last window. `slow_already`: all endpoints are slow. Returns
-  // whether a surge is under way.
-  bool add(double arrivals, bool slow_already, Instant now);
+  // Returns whether a surge is in progress. `arrivals` is the number of requests that arrived in the last
+  // RouterSettings::exposure_window; it is also included in the usual number. `is_slow` says whether all
+  // endpoints are slow.
+  bool detect(double arrivals, bool is_slow, Instant now);
 
  private:
   DecayingMean usual_arrivals_;
-  Instant last_surge_;
+  Instant last_surge_at_;
 };
 
 }  // namespace ashbeam::policy
--- a/tests/policy/regression_detector_test.cpp
+++ b/tests/policy/regression_detector_test.cpp
@@ -1,4 +1,4 @@
-// Latencies and disputed answers as evidence against a release.
+// Tests of the detection of regressions by latencies and disputed answers.
 #include <algorithm>
 #include <array>
 
@@ -7,7 +7,7 @@
 namespace ashbeam {
 namespace {
 
-TEST(RegressionDetector, LastingSlownessOfTheCanaryIsSevere) {
+TEST(RegressionDetector, VotesAbortOnLastingCanarySlowdown) {
   SimulatedRouter router = router_with_canary();
   router.serve = [](ReleaseVersion version, EndpointIndex) {
     return Outcome{AttemptResult::kOk, Duration::ms(version == 2 ? 130 : 50)};
@@ -17,24 +17,24 @@
   EXPECT_TRUE(router.actions.voted(Vote::kAbort));
 }
 
-TEST(RegressionDetector, AReleaseThatSlowsAllEndpointsIsFoundUnlessEndpointsAreLostOrASurgeCameFirst) {
-  for (const auto& [lost, burst] : {std::pair{false, false}, {true, false}, {false, true}}) {
+TEST(RegressionDetector, VotesAbortOnOverallSlowdownUnlessConnectionsFailOrRequestsSurge) {
+  for (const auto& [connections_fail, surge] : {std::pair{false, false}, {true, false}, {false, true}}) {
     SimulatedRouter router = router_with_canary();
-    if (burst) router.run(Duration::s(1), 300);
+    if (surge) router.run(Duration::s(1), 300);
     router.serve =
-        lost ? [](ReleaseVersion,
+        connections_fail ? [](ReleaseVersion,
                   EndpointIndex endpoint) { return Outcome{endpoint < 2 ? AttemptResult::kConnectFailed : AttemptResult::kOk, Duration::ms(300)}; }
              : [](ReleaseVersion, EndpointIndex) {
                  return Outcome{AttemptResult::kOk, Duration::ms(300)};
                };
-    router.run(Duration::ms(9500), burst ? 300 : 60);
-    EXPECT_EQ(router.actions.voted(Vote::kAbort), !lost && !burst);
-    EXPECT_EQ(router.actions.logged("stepped back"),
-              !lost && !burst);  // 8 s from the burst's end, not from its start
+    router.run(Duration::ms(9500), surge ? 300 : 60);
+    EXPECT_EQ(router.actions.voted(Vote::kAbort), !connections_fail && !surge);
+    // The slowdown is ignored until 8 s after the end of the surge, not after its start.
+    EXPECT_EQ(router.actions.logged("stepped back"), !connections_fail && !surge);
   }
 }
 
-TEST(RegressionDetector, AFinishedReleaseUnderWhichAllGrowSlowIsAborted) {
+TEST(RegressionDetector, VotesAbortOnReleasedVersionAfterOverallSlowdown) {
   SimulatedRouter router = router_with_canary();
   router.set_release(2, 2, ReleasePhase::kReleased, 1);
   router.serve = [](ReleaseVersion, EndpointIndex) { return Outcome{AttemptResult::kOk, Duration::ms(500)}; };
@@ -42,7 +42,7 @@
   EXPECT_TRUE(router.actions.voted(Vote::kAbort));
 }
 
-TEST(RegressionDetector, DisputedAnswersAreSevere) {
+TEST(RegressionDetector, VotesAbortOnDisputedAnswers) {
   RouterSettings settings = default_settings();
   settings.dispute_report_fraction = 0.15;
   SimulatedRouter router = router_with_canary(settings);
@@ -52,7 +52,7 @@
   EXPECT_TRUE(router.actions.voted(Vote::kAbort));
 }
 
-TEST(RegressionDetector, ASlowReleaseIsFoundByOneOfManyRouters) {
+TEST(RegressionDetector, DetectsSlowCanaryWithManyRouters) {
   RouterSettings settings = default_settings();
   settings.router_count = 60;
   SimulatedRouter router = router_with_canary(settings, 0.4, 12, 10);
@@ -63,8 +63,9 @@
   EXPECT_TRUE(router.actions.voted(Vote::kAbort));
 }
 
-// At the guess of the start, 100 ms, these endpoints look three times too slow.
-TEST(RegressionDetector, TheBaselineIsWhatWasMeasuredNotTheInitialGuess) {
+// The endpoints answer in 300 ms. If the baseline of the release were the initial estimate of 100 ms, they
+// would seem to have slowed down by a factor of three.
+TEST(RegressionDetector, UsesMeasuredLatencyNotInitialEstimateAsBaseline) {
   SimulatedRouter router(default_settings(), 20, 5);
   router.serve = [](ReleaseVersion, EndpointIndex) { return Outcome{AttemptResult::kOk, Duration::ms(300)}; };
   router.run(Duration::s(5), 8);
--- a/tests/policy/vote_scheduler_test.cpp
+++ b/tests/policy/vote_scheduler_test.cpp
@@ -1,4 +1,4 @@
-// When votes on a release are sent.
+// Tests of when votes on a release are sent.
 #include <algorithm>
 #include <array>
 
@@ -7,71 +7,72 @@
 namespace ashbeam {
 namespace {
 
-TEST(VoteScheduler, RenewsVotesBeforeTheyExpireAndNeverPromotesUnderTheClock) {
+TEST(VoteScheduler, RenewsVotesAndDoesNotVoteToPromoteIfPlatformPromotesByClock) {
   SimulatedRouter router = router_with_canary();
   router.run(Duration::s(30), 200);
   EXPECT_GE(router.actions.votes.size(), 3u);
   RouterSettings settings = default_settings();
   settings.promoted_by_clock = true;
-  SimulatedRouter c = router_with_canary(settings);
-  c.run(Duration::s(20), 200);
-  EXPECT_TRUE(c.actions.votes.empty());
+  SimulatedRouter clocked_router = router_with_canary(settings);
+  clocked_router.run(Duration::s(20), 200);
+  EXPECT_TRUE(clocked_router.actions.votes.empty());
 }
 
-TEST(VoteScheduler, AVoteThatFailedIsSentAgain) {
+TEST(VoteScheduler, ResendsVoteWithoutAnswer) {
   RouterSettings settings = default_settings();
   settings.platform_calls_per_s = 4;
   SimulatedRouter router = router_with_canary(settings);
   router.run(Duration::s(15), 200);
   ASSERT_TRUE(router.actions.voted(Vote::kPromote));
-  const std::size_t before = router.actions.votes.size();
+  const std::size_t votes_before = router.actions.votes.size();
   router.policy->on_vote_refused(VoteOutcome::kUnknown);
-  router.run(Duration::s(1), 200);  // it may have been lost: soon
-  EXPECT_GT(router.actions.votes.size(), before);
+  router.run(Duration::s(1), 200);  // The vote may have been lost, so it is sent again soon.
+  EXPECT_GT(router.actions.votes.size(), votes_before);
   EXPECT_EQ(router.actions.votes.back().vote, Vote::kPromote);
 }
 
-// Three hundred routers that are ready at one time, and a platform that takes 16 calls a second and turns the
-// rest away.
-TEST(VoteScheduler, ManyRoutersTogetherGetTheVotesThatAreNeeded) {
+// 300 routers reach the same decision at the same time, while the platform accepts only 16 calls per second
+// and throttles the rest. The needed number of votes must still be valid at one time.
+TEST(VoteScheduler, CollectsNeededVotesFromManyRouters) {
   RouterSettings settings = default_settings();
   settings.router_count = 300;
   settings.platform_calls_per_s = 16;
   settings.abort_votes_needed = 45;
-  for (const bool bad : {false, true}) {
-    std::vector<Instant> stands;
-    std::size_t most = 0, taken = 0;
+  for (const bool canary_fails : {false, true}) {
+    std::vector<Instant> accepted_at;
+    std::size_t max_valid_votes = 0, accepted_calls = 0;
     std::vector<SimulatedRouter> fleet;
     fleet.reserve(settings.router_count);
-    for (unsigned number = 0; number < settings.router_count; ++number) {
-      fleet.emplace_back(settings, 8, 0, number + 1);
+    for (unsigned index = 0; index < settings.router_count; ++index) {
+      fleet.emplace_back(settings, 8, 0, index + 1);
       fleet.back().set_endpoints(8, 3);
       fleet.back().set_release(2, 0, ReleasePhase::kCanary, 0.4);
-      if (bad) fleet.back().policy->on_outcome_sample({1, 0, 900, 0});
-      if (bad) fleet.back().policy->on_outcome_sample({2, 0, 900, 800});
-      stands.emplace_back();
+      if (canary_fails) fleet.back().policy->on_outcome_sample({1, 0, 900, 0});
+      if (canary_fails) fleet.back().policy->on_outcome_sample({2, 0, 900, 800});
+      accepted_at.emplace_back();
     }
     for (int second = 0; second < 20; ++second) {
-      taken = 0;
-      for (int part = 0; part < 20; ++part) {
-        for (unsigned number = 0; number < settings.router_count; ++number) {
-          SimulatedRouter& router = fleet[number];
-          const std::size_t before = router.actions.votes.size();
+      accepted_calls = 0;
+      for (int step = 0; step < 20; ++step) {
+        for (unsigned index = 0; index < settings.router_count; ++index) {
+          SimulatedRouter& router = fleet[index];
+          const std::size_t votes_before = router.actions.votes.size();
           router.run(Duration::ms(50), 0);
-          for (std::size_t i = before; i < router.actions.votes.size(); ++i) {
-            const bool full = taken >= 16;
-            taken += !full;
-            if (!full) stands[number] = router.now;
-            if (full) router.policy->on_vote_refused(VoteOutcome::kThrottled);
+          for (std::size_t i = votes_before; i < router.actions.votes.size(); ++i) {
+            const bool throttled = accepted_calls >= 16;
+            accepted_calls += !throttled;
+            if (!throttled) accepted_at[index] = router.now;
+            if (throttled) router.policy->on_vote_refused(VoteOutcome::kThrottled);
             else router.policy->on_release_state({2, 0, ReleasePhase::kCanary, 0.4, Duration()});
           }
         }
         const Instant now = fleet.front().now;
-        const auto live = [&](Instant at) { return now - at < settings.vote_ttl; };
-        most = std::max(most, static_cast<std::size_t>(std::count_if(stands.begin(), stands.end(), live)));
+        const auto is_valid = [&](Instant accepted) { return now - accepted < settings.vote_ttl; };
+        max_valid_votes = std::max(max_valid_votes, static_cast<std::size_t>(std::count_if(
+                                                        accepted_at.begin(), accepted_at.end(), is_valid)));
       }
     }
-    EXPECT_GE(most, bad ? 45u : 118u) << (bad ? "back" : "on");
+    EXPECT_GE(max_valid_votes, canary_fails ? 45u : 118u) << (canary_fails ? "abort" : "promote");
   }
 }
 
