--- a/src/policy/release_tracker.hpp
+++ b/src/policy/release_tracker.hpp
@@ -20,7 +20,8 @@
     if (!has_state_) version_ = lowest_listed;
   }
 
-  // These three compare a state with the current one, and are called before apply().
+  // These three compare a state with the current one, and are called before apply(). The first announced
+  // state is a new version and a new stage, and is never outdated.
   bool is_outdated(const ReleaseState& state) const { return has_state_ && state.version < version_; }
   bool is_new_version(const ReleaseState& state) const { return !has_state_ || state.version != version_; }
   bool is_new_stage(const ReleaseState& state) const {
