--- a/benches/router_under_load.cpp
+++ b/benches/router_under_load.cpp
@@ -138,9 +138,9 @@
 void RouterUnderLoad::add_access_control(EventLoop& loop, Service& service) {
   if (uses_tls()) {
     TlsSettings tls;
-    tls.listen = "127.0.0.1:0";
+    tls.listen_address = "127.0.0.1:0";
     tls.client_certificates = TlsSettings::ClientCertificates::kOptional;
-    tls.handshake_cpu_per_second = 1;
+    tls.max_handshake_cpu_fraction = 1;
     const fakes::Identity server = authority_.issue("", "router", Duration::s(3600), true);
     const TlsFiles files{server.certificate_pem, server.key_pem, authority_.pem(), "", ""};
     service.listen_with_tls(tls, std::make_shared<TlsCredentials>(tls, files));
--- a/src/fakes/tls_client.cpp
+++ b/src/fakes/tls_client.cpp
@@ -21,20 +21,20 @@
   // OpenSSL makes the session of a connection that was cut off unusable; here clients resume it all the same.
   ~ClientTlsStream() override { SSL_set_shutdown(ssl_.get(), SSL_SENT_SHUTDOWN | SSL_RECEIVED_SHUTDOWN); }
 
-  HandshakeStep handshake() override {
+  HandshakeResult handshake() override {
     ERR_clear_error();
     const int result = SSL_do_handshake(ssl_.get());
     if (result == 1) {
       tls_.last_resumed_ = SSL_session_reused(ssl_.get()) == 1;
-      return HandshakeStep::kDone;
+      return HandshakeResult::kDone;
     }
     switch (SSL_get_error(ssl_.get(), result)) {
       case SSL_ERROR_WANT_READ:
-        return HandshakeStep::kWantRead;
+        return HandshakeResult::kWantRead;
       case SSL_ERROR_WANT_WRITE:
-        return HandshakeStep::kWantWrite;
+        return HandshakeResult::kWantWrite;
       default:
-        return HandshakeStep::kFailed;
+        return HandshakeResult::kFailed;
     }
   }
   void set_handshake_resume_callback(std::function<void()>) override {}
@@ -48,7 +48,7 @@
   }
   bool has_buffered_bytes() const override { return SSL_pending(ssl_.get()) > 0; }
   void shutdown() override { SSL_shutdown(ssl_.get()); }
-  PeerProof peer_proof(Instant) override { return {}; }
+  PeerCertificate peer_certificate(Instant) override { return {}; }
 
  private:
   IoResult io_result(int result) {
--- a/src/program/access_config_loader.cpp
+++ b/src/program/access_config_loader.cpp
@@ -50,7 +50,7 @@
                                                                      const std::string& known_stamp) {
   Loaded loaded;
   try {
-    loaded.unchanged = key_folder_stamp(folder) == known_stamp;
+    loaded.unchanged = key_folder_fingerprint(folder) == known_stamp;
     if (!loaded.unchanged) loaded.keys = read_key_folder(folder);
   } catch (const std::exception& error) {
     loaded.error = error.what();
@@ -178,11 +178,11 @@
 bool AccessConfigLoader::needs_restart(const Loaded& loaded) const {
   return loaded.config.calling.has_value() != config_.calling.has_value() ||
          loaded.config.tls.has_value() != config_.tls.has_value() ||
-         (loaded.tls && loaded.config.tls->listen != config_.tls->listen);
+         (loaded.tls && loaded.config.tls->listen_address != config_.tls->listen_address);
 }
 
 void AccessConfigLoader::apply_key_sets(const KeyFolder& folder) {
-  keys_stamp_ = folder.stamp;
+  keys_stamp_ = folder.fingerprint;
   const auto change = service_.authorizer()->update_keys(folder.keys, loop_.now());
   if (!change.any()) return;
   log_("calling: key ring " + std::to_string(service_.authorizer()->key_ring().epoch()) + ": " +
--- a/src/program/keys_command.cpp
+++ b/src/program/keys_command.cpp
@@ -92,7 +92,7 @@
   }
   tokens::Key load_private(const std::string& kid) const {
     const std::string path = private_path(kid);
-    need_private(path);
+    require_private_permissions(path);
     const tokens::KeySet set = tokens::parse_key_set(read_file(path, tokens::kMaxKeySetBytes));
     if (set.keys.size() != 1) throw FileError(path, set.problem);
     return set.keys.front().key;
--- a/src/program/operator_config.cpp
+++ b/src/program/operator_config.cpp
@@ -180,24 +180,25 @@
 
   TlsSettings read_tls(const Value& value) {
     TlsSettings settings;
-    settings.listen = value["listen"].text;
-    if (!is_numeric_address(settings.listen) && !settings.listen.ends_with(":0")) {
+    settings.listen_address = value["listen"].text;
+    if (!is_numeric_address(settings.listen_address) && !settings.listen_address.ends_with(":0")) {
       add_problem(value["listen"], "tls.listen", "a numeric address and port",
-                  records::quoted(settings.listen));
+                  records::quoted(settings.listen_address));
     }
-    settings.certificate = resolve_path(value["certificate"]);
-    settings.key = resolve_path(value["key"]);
-    settings.trust = resolve_path(value["trust"]);
-    settings.crl = resolve_path(value["crl"]);
-    settings.revoked = resolve_path(value["revoked"]);
+    settings.certificate_path = resolve_path(value["certificate"]);
+    settings.key_path = resolve_path(value["key"]);
+    settings.trust_path = resolve_path(value["trust"]);
+    settings.crl_path = resolve_path(value["crl"]);
+    settings.revoked_path = resolve_path(value["revoked"]);
     settings.client_certificates = client_certificates_of(value["clients"].text);
-    if (settings.client_certificates != TlsSettings::ClientCertificates::kOff && settings.trust.empty()) {
+    if (settings.client_certificates != TlsSettings::ClientCertificates::kOff &&
+        settings.trust_path.empty()) {
       add_problem(value["clients"], "tls.trust", "who signs clients' certificates", "nothing");
     }
     settings.tls13_only = value["oldest"].text == "1.3";
     settings.max_handshakes = static_cast<std::size_t>(value["handshakes"].number);
     settings.handshake_timeout = value["handshake"].span();
-    settings.handshake_cpu_per_second = value["handshake_cpu"].number;
+    settings.max_handshake_cpu_fraction = value["handshake_cpu"].number;
     settings.ticket_key_lifetime = value["ticket_turn"].span();
     return settings;
   }
@@ -234,10 +235,11 @@
   const auto read_if_named = [](const std::string& path, std::size_t max_bytes) {
     return path.empty() ? "" : read_file(path, max_bytes);
   };
-  need_private(settings.key);
-  return {read_if_named(settings.certificate, kMaxPemBytes), read_if_named(settings.key, kMaxPemBytes),
-          read_if_named(settings.trust, kMaxPemBytes), read_if_named(settings.crl, kMaxRevocationListBytes),
-          read_if_named(settings.revoked, kMaxRevocationListBytes)};
+  require_private_permissions(settings.key_path);
+  return {read_if_named(settings.certificate_path, kMaxPemBytes),
+          read_if_named(settings.key_path, kMaxPemBytes), read_if_named(settings.trust_path, kMaxPemBytes),
+          read_if_named(settings.crl_path, kMaxRevocationListBytes),
+          read_if_named(settings.revoked_path, kMaxRevocationListBytes)};
 }
 
 }  // namespace ashbeam
--- a/src/routing/client_connection.cpp
+++ b/src/routing/client_connection.cpp
@@ -13,8 +13,8 @@
       connection_(owner.loop_, owner.limits_, *this, accepted, std::move(tls)),
       requests_(http::Side::kRequests, owner.limits_.max_head_bytes, owner.limits_.max_body_bytes),
       timer_(owner.loop_, [this] { on_timer(); }) {
-  timer_.schedule_after(connection_.handshaking() ? owner_.handshake_timeout_()
-                                                  : owner_.limits_.first_request_timeout);
+  timer_.schedule_after(connection_.is_handshaking() ? owner_.handshake_timeout_()
+                                                     : owner_.limits_.first_request_timeout);
 }
 
 void ClientConnection::on_connected() {
@@ -128,7 +128,7 @@
 }
 
 void ClientConnection::on_timer() {
-  if (connection_.handshaking()) return owner_.remove(this);
+  if (connection_.is_handshaking()) return owner_.remove(this);
   if (state_ == State::kDelayed) {
     state_ = State::kReading;
     if (connection_.unread().empty()) return wait_for_next_request();
--- a/src/routing/client_connection.hpp
+++ b/src/routing/client_connection.hpp
@@ -34,8 +34,9 @@
   // The connection ends after the answer to the request at hand.
   void close_after_answer() { close_after_answer_ = true; }
   // What the connection's handshake has proven, as things stand now; nothing on a plain one.
-  TlsStream::PeerProof proof(Instant now) const {
-    return connection_.tls_stream() ? connection_.tls_stream()->peer_proof(now) : TlsStream::PeerProof();
+  TlsStream::PeerCertificate proof(Instant now) const {
+    return connection_.tls_stream() ? connection_.tls_stream()->peer_certificate(now)
+                                    : TlsStream::PeerCertificate();
   }
   // Of this connection, never given twice.
   std::uint64_t serial_number() const { return serial_number_; }
--- a/src/routing/client_connections.cpp
+++ b/src/routing/client_connections.cpp
@@ -21,8 +21,8 @@
 }
 
 void ClientConnections::pause_listeners(bool paused) {
-  listener_.pause(paused);
-  if (tls_listener_) tls_listener_->pause(paused);
+  listener_.set_paused(paused);
+  if (tls_listener_) tls_listener_->set_paused(paused);
 }
 
 void ClientConnections::on_accept(int fd, bool with_tls) {
@@ -128,8 +128,8 @@
   bool none_waiting = true;
   for (Listener* const listener : {&listener_, tls_listener_.get()}) {
     if (!listener) continue;
-    listener->pause(false);
-    none_waiting = listener->accept_all_waiting() && none_waiting;
+    listener->set_paused(false);
+    none_waiting = listener->accept_pending() && none_waiting;
   }
   if (!none_waiting || loop_.now() - last_accepted_ < limits_.shutdown_quiet_period) return false;
   listener_.close();
--- a/src/routing/discovery_client.cpp
+++ b/src/routing/discovery_client.cpp
@@ -156,9 +156,10 @@
 }
 
 void DiscoveryClient::on_closed() {
-  const Failure failure = connection_->failure();
-  const bool local = failure == Failure::kLocal;
-  fail(local ? WatchEndReason::kLocalFailure : WatchEndReason::kEnded, failure == Failure::kRefused);
+  const ConnectionFailure failure = connection_->failure();
+  const bool local = failure == ConnectionFailure::kLocal;
+  fail(local ? WatchEndReason::kLocalFailure : WatchEndReason::kEnded,
+       failure == ConnectionFailure::kRefused);
 }
 
 void DiscoveryClient::on_connected() {
@@ -214,7 +215,7 @@
 }
 
 const char* DiscoveryClient::progress() const {
-  if (connection_->connecting()) return "not connected";
+  if (connection_->is_connecting()) return "not connected";
   if (established_) return "watch stood";
   return in_body_ ? "line begun" : "no answer";
 }
--- a/src/routing/endpoint_pools.cpp
+++ b/src/routing/endpoint_pools.cpp
@@ -53,7 +53,7 @@
     on_end_ = std::move(on_end);
     until_ = until;
     answers_.start_next();
-    if (!connection_.connecting()) {
+    if (!connection_.is_connecting()) {
       timer_.schedule_at(until);
       connection_.write(make_bytes(until));
       return;
@@ -76,8 +76,8 @@
   // What is not written completely has not run.
   AttemptResult unless_unwritten(AttemptResult result) const {
     if (written()) return result;
-    return connection_.failure() == Failure::kLocal ? AttemptResult::kLocalFailure
-                                                    : AttemptResult::kConnectFailed;
+    return connection_.failure() == ConnectionFailure::kLocal ? AttemptResult::kLocalFailure
+                                                              : AttemptResult::kConnectFailed;
   }
 
   void on_connected() override {
@@ -102,7 +102,7 @@
   void on_closed() override {
     if (!in_flight()) return pools_.remove(this);
     // Only an end in order ends a body without a length: a reset may come in the middle of it.
-    if (!connection_.broken() && answers_.end_of_stream() == http::ParseResult::kComplete)
+    if (!connection_.is_broken() && answers_.end_of_stream() == http::ParseResult::kComplete)
       return on_answer(false);
     finish(unless_unwritten(AttemptResult::kReset));
   }
--- a/src/routing/request_authorization.cpp
+++ b/src/routing/request_authorization.cpp
@@ -30,8 +30,8 @@
 
 const calling::Identity* RequestAuthorization::identify(ClientConnection& client, const http::Head& head,
                                                         Instant now) {
-  const TlsStream::PeerProof proof = client.proof(now);
-  if (proof.refused) {
+  const TlsStream::PeerCertificate proof = client.proof(now);
+  if (proof.is_rejected) {
     client.close_after_answer();
     refuse(client, calling::Refusal::kCertificate, Duration());
     return nullptr;
--- a/src/routing/service.cpp
+++ b/src/routing/service.cpp
@@ -97,7 +97,7 @@
   tls_acceptor_ =
       std::make_unique<TlsAcceptor>(context_.loop, settings, std::move(credentials), context_.log);
   clients_.listen_with_tls(
-      settings.listen, [this](int fd) { return tls_acceptor_->accept(fd); },
+      settings.listen_address, [this](int fd) { return tls_acceptor_->accept(fd); },
       [this] { return tls_acceptor_->handshake_timeout(); });
 }
 
--- a/src/store/files.cpp
+++ b/src/store/files.cpp
@@ -108,12 +108,12 @@
   sync_folder_of(path);
 }
 
-void need_private(const std::string& path) {
+void require_private_permissions(const std::string& path) {
   if ((status_of(path).st_mode & kModeBitsOfOthers) != 0)
     throw FileError(path, "a private key that others may read (wanted mode 0600)");
 }
 
-std::string key_folder_stamp(const std::string& path) {
+std::string key_folder_fingerprint(const std::string& path) {
   std::string stamp;
   for (const std::string& file : key_set_paths(path)) {
     const struct stat status = status_of(file);
@@ -127,12 +127,12 @@
 KeyFolder read_key_folder(const std::string& path) {
   KeyFolder folder;
   // Taken first: a file that changes while the folder is read gives another stamp, and is read again.
-  folder.stamp = key_folder_stamp(path);
+  folder.fingerprint = key_folder_fingerprint(path);
   for (const std::string& file : key_set_paths(path)) {
     tokens::KeySet set = tokens::parse_key_set(read_file(file, tokens::kMaxKeySetBytes));
     if (!set.problem.empty()) throw FileError(file, set.problem);
-    if (set.has_private_keys) need_private(file);
-    folder.passed_over += set.ignored;
+    if (set.has_private_keys) require_private_permissions(file);
+    folder.ignored_keys += set.ignored;
     for (tokens::KeyEntry& listed : set.keys) folder.keys.push_back(std::move(listed));
   }
   return folder;
--- a/src/store/files.hpp
+++ b/src/store/files.hpp
@@ -19,15 +19,15 @@
 // Written beside its place, synced, renamed, and the folder synced. `mode` as chmod(2).
 void write_file(const std::string& path, std::string_view bytes, unsigned mode);
 // Throws where others than the owner may read or write the file: for private keys.
-void need_private(const std::string& path);
+void require_private_permissions(const std::string& path);
 
 struct KeyFolder {
   std::vector<tokens::KeyEntry> keys;
-  unsigned passed_over = 0;  // keys of other kinds than this program uses
-  std::string stamp;         // as key_folder_stamp
+  unsigned ignored_keys = 0;  // keys of other kinds than this program uses
+  std::string fingerprint;    // as key_folder_fingerprint
 };
 // Changes whenever a key set of the folder does.
-std::string key_folder_stamp(const std::string& path);
+std::string key_folder_fingerprint(const std::string& path);
 // All key sets (*.json) of a folder in the order of their names, at most kMaxKeySets. One that can't be used
 // makes the whole folder unusable, so that a file that is half written takes no keys away.
 KeyFolder read_key_folder(const std::string& path);
--- a/src/store/worker.cpp
+++ b/src/store/worker.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr std::chrono::seconds kMaxStopTime{1};
+constexpr std::chrono::seconds kStopTimeout{1};
 
 }  // namespace
 
@@ -31,7 +31,7 @@
   std::unique_lock lock(state_->mutex);
   state_->stopping = true;
   state_->changed.notify_all();
-  const bool ended = state_->changed.wait_for(lock, kMaxStopTime, [this] { return state_->ended; });
+  const bool ended = state_->changed.wait_for(lock, kStopTimeout, [this] { return state_->ended; });
   lock.unlock();
   if (ended) thread_.join();
   else thread_.detach();
--- a/src/store/worker.hpp
+++ b/src/store/worker.hpp
@@ -25,7 +25,7 @@
   using Task = std::function<Completion()>;
 
   explicit Worker(EventLoop& loop);
-  // Drops the queued tasks and waits for the one that runs, but no longer than kMaxStopTime: a file system
+  // Drops the queued tasks and waits for the one that runs, but no longer than kStopTimeout: a file system
   // may hang, and a task that does not end by then is left behind, its completion dropped.
   ~Worker();
   Worker(const Worker&) = delete;
--- a/src/transport/client_certificate_verifier.cpp
+++ b/src/transport/client_certificate_verifier.cpp
@@ -36,9 +36,9 @@
   if (settings.client_certificates == TlsSettings::ClientCertificates::kOff) return;
   store_.reset(X509_STORE_new());
   read_authorities(context, settings, files);
-  if (!settings.crl.empty()) read_crls(settings, files);
-  if (!settings.revoked.empty()) {
-    revoked_.parse(settings.revoked, files.revoked);
+  if (!settings.crl_path.empty()) read_crls(settings, files);
+  if (!settings.revoked_path.empty()) {
+    revoked_.parse(settings.revoked_path, files.revoked);
     trust_fingerprint_ += files.revoked;
   }
   X509_STORE_set_verify_cb(store_.get(), accept_stale_or_missing_crl);
@@ -56,7 +56,7 @@
     ++count;
   }
   ERR_clear_error();
-  if (count == 0) throw FileError(settings.trust, "no PEM certificates");
+  if (count == 0) throw FileError(settings.trust_path, "no PEM certificates");
   trust_fingerprint_ = files.trust;
 }
 
@@ -69,7 +69,7 @@
     ++count;
   }
   ERR_clear_error();
-  if (count == 0) throw FileError(settings.crl, "no PEM revocation lists");
+  if (count == 0) throw FileError(settings.crl_path, "no PEM revocation lists");
   X509_STORE_set_flags(store_.get(), X509_V_FLAG_CRL_CHECK);
   trust_fingerprint_ += files.crl;
 }
--- a/src/transport/connection.cpp
+++ b/src/transport/connection.cpp
@@ -68,7 +68,7 @@
   try {
     connect(address);
   } catch (const Poco::Exception&) {
-    end(Failure::kLocal);
+    end(ConnectionFailure::kLocal);
   }
 }
 
@@ -90,8 +90,8 @@
 // be short of something for a moment only, is tried once more at once: it says nothing of the other side.
 void Connection::connect(const std::string& address) {
   const Poco::Net::SocketAddress remote = parse_numeric_address(address);
-  Failure failure = Failure::kLocal;
-  for (int attempt = 0; attempt < kMaxConnectAttempts && failure == Failure::kLocal; ++attempt) {
+  ConnectionFailure failure = ConnectionFailure::kLocal;
+  for (int attempt = 0; attempt < kMaxConnectAttempts && failure == ConnectionFailure::kLocal; ++attempt) {
     const int fd = ::socket(remote.af(), SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     if (fd >= 0) {
       const int result = ::connect(fd, remote.addr(), remote.length());
@@ -101,7 +101,7 @@
         return watch(false, true);
       }
     }
-    failure = failure_at_once(errno);
+    failure = classify_immediate_error(errno);
     if (fd >= 0) ::close(fd);
   }
   end(failure);
@@ -111,7 +111,7 @@
   int error = 0;
   socklen_t size = sizeof error;
   ::getsockopt(fd(), SOL_SOCKET, SO_ERROR, &error, &size);
-  if (error != 0) return end(failure_of_pending(error));
+  if (error != 0) return end(classify_pending_error(error));
   if (make_tls_stream_) {
     tls_stream_ = make_tls_stream_(fd());
     state_ = State::kHandshaking;
@@ -127,15 +127,15 @@
 
 void Connection::continue_handshake() {
   switch (tls_stream_->handshake()) {
-    case TlsStream::HandshakeStep::kWantRead:
+    case TlsStream::HandshakeResult::kWantRead:
       return watch(true, false);
-    case TlsStream::HandshakeStep::kWantWrite:
+    case TlsStream::HandshakeResult::kWantWrite:
       return watch(true, true);
-    case TlsStream::HandshakeStep::kDeferred:
+    case TlsStream::HandshakeResult::kDeferred:
       return watch(false, false);
-    case TlsStream::HandshakeStep::kFailed:
+    case TlsStream::HandshakeResult::kFailed:
       return end();
-    case TlsStream::HandshakeStep::kDone:
+    case TlsStream::HandshakeResult::kDone:
       break;
   }
   state_ = State::kOpen;
@@ -278,7 +278,7 @@
 }
 
 // The owner hears of it after the call at hand.
-void Connection::end(Failure failure) {
+void Connection::end(ConnectionFailure failure) {
   // `broken_` is set until the other side ends in order, which is no failure.
   if (broken_) failure_ = failure;
   state_ = State::kEnded;
--- a/src/transport/connection.hpp
+++ b/src/transport/connection.hpp
@@ -48,8 +48,8 @@
   Connection(const Connection&) = delete;
   Connection& operator=(const Connection&) = delete;
 
-  bool connecting() const { return state_ == State::kConnecting; }
-  bool handshaking() const { return state_ == State::kHandshaking; }
+  bool is_connecting() const { return state_ == State::kConnecting; }
+  bool is_handshaking() const { return state_ == State::kHandshaking; }
   // Null where bytes are plain.
   TlsStream* tls_stream() const { return tls_stream_.get(); }
 
@@ -73,9 +73,9 @@
   void shutdown_write();
 
   // After the end: the other side did not end it in order, so what came may be incomplete.
-  bool broken() const { return broken_; }
+  bool is_broken() const { return broken_; }
   // After the end: what ended the connection, or kept it from opening.
-  Failure failure() const { return failure_; }
+  ConnectionFailure failure() const { return failure_; }
   // No callback comes after this.
   void close();
 
@@ -100,7 +100,7 @@
   IoResult send(std::string_view bytes);
   void clear_input();
   void clear_output();
-  void end(Failure failure = Failure::kBroken);
+  void end(ConnectionFailure failure = ConnectionFailure::kBroken);
   bool alive() const { return state_ < State::kEnded; }  // by the order of the states
   bool has_buffered_tls_bytes() const { return tls_stream_ && tls_stream_->has_buffered_bytes(); }
   IoResult peek() const;
@@ -118,7 +118,7 @@
   bool discarding_input_ = false;
   bool has_discarded_input_ = false;
   bool broken_ = true;
-  Failure failure_ = Failure::kNone;
+  ConnectionFailure failure_ = ConnectionFailure::kNone;
   std::string input_;
   std::size_t consumed_ = 0;  // of input_
   std::string output_;
--- a/src/transport/failure.cpp
+++ b/src/transport/failure.cpp
@@ -4,35 +4,37 @@
 
 namespace ashbeam {
 
-const char* name_of(Failure failure) {
+const char* name_of(ConnectionFailure failure) {
   switch (failure) {
-    case Failure::kNone:
+    case ConnectionFailure::kNone:
       return "none";
-    case Failure::kLocal:
+    case ConnectionFailure::kLocal:
       return "local";
-    case Failure::kRefused:
+    case ConnectionFailure::kRefused:
       return "refused";
-    case Failure::kUnreachable:
+    case ConnectionFailure::kUnreachable:
       return "unreachable";
-    case Failure::kBroken:
+    case ConnectionFailure::kBroken:
       return "broken";
   }
   return "unknown";
 }
 
-Failure failure_at_once(int error) { return error == ECONNREFUSED ? Failure::kRefused : Failure::kLocal; }
+ConnectionFailure classify_immediate_error(int error) {
+  return error == ECONNREFUSED ? ConnectionFailure::kRefused : ConnectionFailure::kLocal;
+}
 
-Failure failure_of_pending(int error) {
+ConnectionFailure classify_pending_error(int error) {
   switch (error) {
     case ECONNREFUSED:
     case ECONNRESET:
-      return Failure::kRefused;
+      return ConnectionFailure::kRefused;
     case EADDRNOTAVAIL:
     case ENOBUFS:
     case ENOMEM:
-      return Failure::kLocal;
+      return ConnectionFailure::kLocal;
     default:
-      return Failure::kUnreachable;
+      return ConnectionFailure::kUnreachable;
   }
 }
 
--- a/src/transport/failure.hpp
+++ b/src/transport/failure.hpp
@@ -6,18 +6,18 @@
 
 namespace ashbeam {
 
-enum class Failure : std::uint8_t {
+enum class ConnectionFailure : std::uint8_t {
   kNone,
   kLocal,        // by this machine, before anything left it
   kRefused,      // the other machine is there, and nobody listens
   kUnreachable,  // nothing came back
   kBroken,       // a connection that stood was reset or timed out
 };
-const char* name_of(Failure failure);
+const char* name_of(ConnectionFailure failure);
 
 // An error that socket() or connect() returned at once.
-Failure failure_at_once(int error);
+ConnectionFailure classify_immediate_error(int error);
 // An error that a pending connection ended with.
-Failure failure_of_pending(int error);
+ConnectionFailure classify_pending_error(int error);
 
 }  // namespace ashbeam
--- a/src/transport/handshake_scheduler.cpp
+++ b/src/transport/handshake_scheduler.cpp
@@ -16,11 +16,11 @@
 
 HandshakeScheduler::HandshakeScheduler(EventLoop& loop, const TlsSettings& settings)
     : loop_(loop),
-      limiter_(settings.max_handshakes, settings.handshake_cpu_per_second, kMinSilenceBeforeEviction),
+      limiter_(settings.max_handshakes, settings.max_handshake_cpu_fraction, kMinSilenceBeforeEviction),
       resumption_(loop, [this] { resume_deferred(); }) {}
 
 void HandshakeScheduler::set_limits(const TlsSettings& settings) {
-  limiter_.set_limits(settings.max_handshakes, settings.handshake_cpu_per_second);
+  limiter_.set_limits(settings.max_handshakes, settings.max_handshake_cpu_fraction);
 }
 
 std::optional<HandshakeScheduler::Id> HandshakeScheduler::admit() {
--- a/src/transport/listener.cpp
+++ b/src/transport/listener.cpp
@@ -38,10 +38,10 @@
   socket_.bind(Poco::Net::SocketAddress(address), true);
   socket_.listen(backlog);
   socket_.setBlocking(false);
-  pause(false);
+  set_paused(false);
 }
 
-void Listener::pause(bool on) {
+void Listener::set_paused(bool on) {
   if (closed_ || accepting_ != on) return;
   const Poco::NObserver<Listener, Poco::Net::ReadableNotification> observer(*this,
                                                                             &Listener::handle_readable);
@@ -50,7 +50,7 @@
   accepting_ = !on;
 }
 
-bool Listener::accept_all_waiting() {
+bool Listener::accept_pending() {
   while (!closed_ && accepting_) {
     const int fd = ::accept4(socket_.impl()->sockfd(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (fd < 0 && concerns_one_connection(errno)) continue;
@@ -63,7 +63,7 @@
 
 void Listener::close() {
   if (closed_) return;
-  pause(true);
+  set_paused(true);
   closed_ = true;
   socket_.close();
 }
--- a/src/transport/listener.hpp
+++ b/src/transport/listener.hpp
@@ -22,15 +22,15 @@
   Listener(const Listener&) = delete;
   Listener& operator=(const Listener&) = delete;
 
-  void pause(bool on);
+  void set_paused(bool on);
   // Hands on all connections that the kernel has accepted already. False where it had to pause before the
   // last of them.
-  bool accept_all_waiting();
+  bool accept_pending();
   void close();
   std::uint16_t port() const { return socket_.address().port(); }
 
  private:
-  void handle_readable(const Poco::AutoPtr<Poco::Net::ReadableNotification>&) { accept_all_waiting(); }
+  void handle_readable(const Poco::AutoPtr<Poco::Net::ReadableNotification>&) { accept_pending(); }
 
   EventLoop& loop_;
   std::function<void(int fd)> on_accept_;
--- a/src/transport/tls_credentials.cpp
+++ b/src/transport/tls_credentials.cpp
@@ -32,7 +32,7 @@
 
 TlsCredentials::TlsCredentials(const TlsSettings& settings, const TlsFiles& files)
     : context_(SSL_CTX_new(TLS_server_method())) {
-  if (!context_) throw FileError(settings.certificate, "TLS can't be had: " + take_openssl_error());
+  if (!context_) throw FileError(settings.certificate_path, "TLS can't be had: " + take_openssl_error());
   configure(settings);
   use_certificate(settings, files);
   use_private_key(settings, files);
@@ -62,7 +62,7 @@
   const auto pem = bio_over(files.certificate);
   const OpensslPtr<X509> leaf(PEM_read_bio_X509_AUX(pem.get(), nullptr, refuse_pass_phrase, nullptr));
   if (!leaf || SSL_CTX_use_certificate(context_.get(), leaf.get()) != 1)
-    throw FileError(settings.certificate, "no PEM certificate: " + take_openssl_error());
+    throw FileError(settings.certificate_path, "no PEM certificate: " + take_openssl_error());
   while (X509* const intermediate = PEM_read_bio_X509(pem.get(), nullptr, refuse_pass_phrase, nullptr))
     SSL_CTX_add0_chain_cert(context_.get(), intermediate);  // which owns it from then on
   ERR_clear_error();
@@ -71,9 +71,9 @@
 void TlsCredentials::use_private_key(const TlsSettings& settings, const TlsFiles& files) {
   const auto pem = bio_over(files.key);
   const OpensslPtr<EVP_PKEY> key(PEM_read_bio_PrivateKey(pem.get(), nullptr, refuse_pass_phrase, nullptr));
-  if (!key) throw FileError(settings.key, "no PEM private key: " + take_openssl_error());
+  if (!key) throw FileError(settings.key_path, "no PEM private key: " + take_openssl_error());
   if (SSL_CTX_use_PrivateKey(context_.get(), key.get()) != 1)
-    throw FileError(settings.key, "does not belong to the certificate: " + take_openssl_error());
+    throw FileError(settings.key_path, "does not belong to the certificate: " + take_openssl_error());
 }
 
 }  // namespace ashbeam
--- a/src/transport/tls_server_stream.cpp
+++ b/src/transport/tls_server_stream.cpp
@@ -38,15 +38,15 @@
 
 // ---- Handshake ----
 
-TlsStream::HandshakeStep TlsServerStream::handshake() {
+TlsStream::HandshakeResult TlsServerStream::handshake() {
   if (evicted_) return fail_handshake("gave way to another handshake");
   // Once the handshake has ended, no handshake of the scheduler is meant.
   const auto id = handshake_id_.value_or(calling::HandshakeLimiter::kNone);
-  if (!acceptor_.scheduler_.may_proceed(id)) return HandshakeStep::kDeferred;
+  if (!acceptor_.scheduler_.may_proceed(id)) return HandshakeResult::kDeferred;
   return continue_handshake();
 }
 
-TlsStream::HandshakeStep TlsServerStream::continue_handshake() {
+TlsStream::HandshakeResult TlsServerStream::continue_handshake() {
   ERR_clear_error();
   const Duration cpu_time_before = thread_cpu_time();
   const int result = SSL_do_handshake(ssl_.get());
@@ -54,9 +54,9 @@
   if (result == 1) return complete_handshake();
   switch (SSL_get_error(ssl_.get(), result)) {
     case SSL_ERROR_WANT_READ:
-      return HandshakeStep::kWantRead;
+      return HandshakeResult::kWantRead;
     case SSL_ERROR_WANT_WRITE:
-      return HandshakeStep::kWantWrite;
+      return HandshakeResult::kWantWrite;
     case SSL_ERROR_SSL:
       return fail_handshake(take_openssl_error());
     default:
@@ -64,7 +64,7 @@
   }
 }
 
-TlsStream::HandshakeStep TlsServerStream::complete_handshake() {
+TlsStream::HandshakeResult TlsServerStream::complete_handshake() {
   established_ = true;
   const bool resumed = SSL_session_reused(ssl_.get()) == 1;
   ++(resumed ? acceptor_.counts_.resumed : acceptor_.counts_.full);
@@ -75,15 +75,15 @@
   verified_epoch_ = credentials_current ? acceptor_.trust_epoch_ : kNoTrustEpoch;
   peer_leaf_.reset(SSL_get1_peer_certificate(ssl_.get()));
   if (peer_leaf_) peer_certificate_ = describe_certificate(peer_leaf_.get());
-  return HandshakeStep::kDone;
+  return HandshakeResult::kDone;
 }
 
-TlsStream::HandshakeStep TlsServerStream::fail_handshake(const std::string& reason) {
+TlsStream::HandshakeResult TlsServerStream::fail_handshake(const std::string& reason) {
   ++acceptor_.counts_.failed;
   // OpenSSL's words for a request line in place of a handshake.
   acceptor_.log_fault(reason == "http request" ? "plain HTTP on the TLS port" : reason);
   leave_scheduler();
-  return HandshakeStep::kFailed;
+  return HandshakeResult::kFailed;
 }
 
 void TlsServerStream::leave_scheduler() {
@@ -154,7 +154,7 @@
 
 // ---- Peer proof ----
 
-TlsStream::PeerProof TlsServerStream::peer_proof(Instant now) {
+TlsStream::PeerCertificate TlsServerStream::peer_certificate(Instant now) {
   if (!peer_leaf_) return {};
   if (verified_epoch_ != acceptor_.trust_epoch_) {
     peer_valid_ = still_valid();
--- a/src/transport/tls_server_stream.hpp
+++ b/src/transport/tls_server_stream.hpp
@@ -24,13 +24,13 @@
   TlsServerStream(const TlsServerStream&) = delete;
   TlsServerStream& operator=(const TlsServerStream&) = delete;
 
-  HandshakeStep handshake() override;
+  HandshakeResult handshake() override;
   void set_handshake_resume_callback(std::function<void()> callback) override;
   IoResult receive(char* buffer, std::size_t size) override;
   IoResult send(const char* bytes, std::size_t size) override;
   bool has_buffered_bytes() const override;
   void shutdown() override;
-  PeerProof peer_proof(Instant now) override;
+  PeerCertificate peer_certificate(Instant now) override;
 
   // For the scheduler: a deferred handshake may go on.
   void resume_handshake();
@@ -40,9 +40,9 @@
  private:
   static void observe_message(int sent, int version, int content_type, const void* bytes, std::size_t size,
                               ssl_st* ssl, void* self);
-  HandshakeStep continue_handshake();
-  HandshakeStep complete_handshake();
-  HandshakeStep fail_handshake(const std::string& reason);
+  HandshakeResult continue_handshake();
+  HandshakeResult complete_handshake();
+  HandshakeResult fail_handshake(const std::string& reason);
   void leave_scheduler();
   IoResult result_of_failed_call();
   bool still_valid() const;
--- a/src/transport/tls_stream.hpp
+++ b/src/transport/tls_stream.hpp
@@ -15,22 +15,22 @@
 
 class TlsStream {
  public:
-  enum class HandshakeStep : std::uint8_t {
+  enum class HandshakeResult : std::uint8_t {
     kDone,
     kWantRead,   // call again once the socket is readable
     kWantWrite,  // call again once the socket is readable or writable
     kDeferred,   // its CPU budget is spent: call again when the callback says so
     kFailed,
   };
-  struct PeerProof {
+  struct PeerCertificate {
     const calling::ClientCertificate* certificate = nullptr;  // null: none was shown
-    bool refused = false;                                     // one was shown, and is not valid any more
+    bool is_rejected = false;                                 // one was shown, and is not valid any more
   };
 
   virtual ~TlsStream() = default;
 
   // Takes the handshake as far as it goes without blocking.
-  virtual HandshakeStep handshake() = 0;
+  virtual HandshakeResult handshake() = 0;
   // `callback` says that handshake() is to be called again: a deferred one may go on, or one has been evicted
   // and fails. It may come without a deferral.
   virtual void set_handshake_resume_callback(std::function<void()> callback) = 0;
@@ -42,7 +42,7 @@
   virtual void shutdown() = 0;
   // Who the other side has proven to be, as things stand now: a certificate that was revoked since, or has
   // expired, is refused. `now` is the event loop's time.
-  virtual PeerProof peer_proof(Instant now) = 0;
+  virtual PeerCertificate peer_certificate(Instant now) = 0;
 };
 
 }  // namespace ashbeam
--- a/tests/local_failures_test.cpp
+++ b/tests/local_failures_test.cpp
@@ -11,11 +11,11 @@
 
 TEST(Failures, AnErrorAtOnceIsOfThisMachineUnlessTheOtherRefuses) {
   for (const int error : {ENFILE, EMFILE, ENOBUFS, ENOMEM, EADDRNOTAVAIL, ENETUNREACH, EAGAIN})
-    EXPECT_EQ(failure_at_once(error), Failure::kLocal) << error;
-  EXPECT_EQ(failure_at_once(ECONNREFUSED), Failure::kRefused);
-  EXPECT_EQ(failure_of_pending(ECONNREFUSED), Failure::kRefused);
+    EXPECT_EQ(classify_immediate_error(error), ConnectionFailure::kLocal) << error;
+  EXPECT_EQ(classify_immediate_error(ECONNREFUSED), ConnectionFailure::kRefused);
+  EXPECT_EQ(classify_pending_error(ECONNREFUSED), ConnectionFailure::kRefused);
   for (const int error : {ETIMEDOUT, EHOSTUNREACH, ENETUNREACH})
-    EXPECT_EQ(failure_of_pending(error), Failure::kUnreachable) << error;
+    EXPECT_EQ(classify_pending_error(error), ConnectionFailure::kUnreachable) << error;
 }
 
 // An unsafe request as well: it provably never ran.
--- a/tests/tls_test.cpp
+++ b/tests/tls_test.cpp
@@ -49,7 +49,7 @@
 
   void SetUp() override {
     std::signal(SIGPIPE, SIG_IGN);
-    tls_settings_.listen = "127.0.0.1:0";
+    tls_settings_.listen_address = "127.0.0.1:0";
     tls_settings_.client_certificates = TlsSettings::ClientCertificates::kOptional;
     tls_files_ = {server_identity_.certificate_pem, server_identity_.key_pem, authority_.pem(), "", ""};
   }
@@ -287,10 +287,10 @@
         break;
       case Revocation::kByCrl:
         tls_files_.crl = authority_.revocation_list(revoked.serial);
-        tls_settings_.crl = "crl";
+        tls_settings_.crl_path = "crl";
         break;
     }
-    tls_settings_.revoked = "revoked";
+    tls_settings_.revoked_path = "revoked";
     replace_credentials();
     run_on(fakes_loop_, [&] { mid_request->send_rest(request.substr(request.size() - 1)); });
     EXPECT_EQ(mid_request_status.get_future().get(), 401U) << trace;
@@ -308,7 +308,7 @@
 TEST_F(TlsTest, AHandshakeAcrossARevocationLeavesNoTicketThatOpens) {
   start_router();
   ClientPtr client = make_client(tls(&client_identity_, true));
-  tls_settings_.revoked = "revoked";
+  tls_settings_.revoked_path = "revoked";
   tls_files_.revoked = "serial:" + client_identity_.serial + "\n";
   std::promise<unsigned> status;
   const std::string request = get();
@@ -343,7 +343,7 @@
   for (ClientPtr* client : {&direct, &with_chain, &resumed}) EXPECT_EQ(send(*client).status, 200U);
   disconnect(direct);
   EXPECT_TRUE(send(direct).resumed);  // the trust did not change
-  tls_settings_.revoked = "revoked";
+  tls_settings_.revoked_path = "revoked";
   tls_files_.revoked = "serial:12\n";
   replace_credentials();
   for (ClientPtr* client : {&direct, &with_chain, &resumed}) {
@@ -431,7 +431,7 @@
 }
 
 TEST_F(TlsTest, AFloodOfHandshakesKeepsToItsBudget) {
-  tls_settings_.handshake_cpu_per_second = 0.02;
+  tls_settings_.max_handshake_cpu_fraction = 0.02;
   tls_settings_.handshake_timeout = Duration::ms(400);
   start_router();
   ClientPtr established = make_client(tls(&client_identity_));
@@ -464,11 +464,11 @@
     }
     return "";
   };
-  tls_settings_.certificate = "c.pem";
-  tls_settings_.key = "k.pem";
-  tls_settings_.trust = "t.pem";
-  tls_settings_.crl = "l.pem";
-  tls_settings_.revoked = "r";
+  tls_settings_.certificate_path = "c.pem";
+  tls_settings_.key_path = "k.pem";
+  tls_settings_.trust_path = "t.pem";
+  tls_settings_.crl_path = "l.pem";
+  tls_settings_.revoked_path = "r";
   tls_files_.crl = authority_.revocation_list("12");
   EXPECT_EQ(error_of(tls_settings_, tls_files_), "");
   const auto error_with = [&](std::string TlsFiles::*part, const std::string& text) {
