--- a/src/store/worker.cpp
+++ b/src/store/worker.cpp
@@ -7,6 +7,7 @@
 
 namespace {
 
+// How long the destructor waits for the running task.
 constexpr std::chrono::seconds kStopTimeout{1};
 
 }  // namespace
@@ -14,9 +15,9 @@
 struct Worker::State {
   explicit State(EventLoop& event_loop) : loop(event_loop) {}
 
-  EventLoop& loop;  // used under the mutex, and not once stopping
+  EventLoop& loop;  // accessed only while holding the mutex, and only if not `stopping`
   std::mutex mutex;
-  std::condition_variable changed;
+  std::condition_variable changed;  // notified when a task is queued, or `stopping` or `ended` is set
   std::deque<Task> queue;
   bool stopping = false;
   bool ended = false;
@@ -24,7 +25,7 @@
 
 Worker::Worker(EventLoop& loop) : state_(std::make_shared<State>(loop)) {
   loop.enable_posts_from_threads();
-  thread_ = std::thread([state = state_] { run(*state); });
+  thread_ = std::thread([state = state_] { run_tasks(*state); });
 }
 
 Worker::~Worker() {
@@ -47,7 +48,7 @@
   return true;
 }
 
-void Worker::run(State& state) {
+void Worker::run_tasks(State& state) {
   std::unique_lock lock(state.mutex);
   for (;;) {
     state.changed.wait(lock, [&] { return state.stopping || !state.queue.empty(); });
--- a/src/store/worker.hpp
+++ b/src/store/worker.hpp
@@ -1,7 +1,8 @@
-// One thread for what blocks (files, loading of keys): runs tasks in the order of their submission, and hands
-// their results to the event loop.
+// A thread for blocking work, such as reading files and loading keys. It runs tasks in the order in which
+// they were submitted, and posts the completion function that each task returns to the event loop.
 //
-// Made and destroyed on the loop's thread, which must outlive it. Errors: none; a task must not throw.
+// The worker must be constructed and destroyed on the thread of the event loop, which must outlive it. A task
+// must not throw.
 #pragma once
 #include <condition_variable>
 #include <cstddef>
@@ -19,24 +20,27 @@
  public:
   static constexpr std::size_t kMaxQueuedTasks = 64;
 
-  // Runs on the event loop, once its task has run.
+  // Called on the event loop's thread after its task has run.
   using Completion = std::function<void()>;
-  // Runs on the worker's thread. It may outlive the worker, so it has to own all that it reads.
+  // Called on the worker's thread. A task may still run after the worker's destruction, so it must own all
+  // data that it accesses.
   using Task = std::function<Completion()>;
 
   explicit Worker(EventLoop& loop);
-  // Drops the queued tasks and waits for the one that runs, but no longer than kStopTimeout: a file system
-  // may hang, and a task that does not end by then is left behind, its completion dropped.
+  // Drops the queued tasks and waits for the running one, but at most for kStopTimeout, because a file system
+  // may hang. If the task has not ended by then, its thread is detached and its completion function is
+  // dropped.
   ~Worker();
   Worker(const Worker&) = delete;
   Worker& operator=(const Worker&) = delete;
 
-  // False where too many tasks are queued.
+  // Queues a task. Returns false, and drops the task, if kMaxQueuedTasks tasks are queued.
   bool submit(Task task);
 
  private:
   struct State;  // shared with the thread, which may outlive the worker
-  static void run(State& state);
+  // The thread's function: runs the queued tasks until the worker stops.
+  static void run_tasks(State& state);
 
   std::shared_ptr<State> state_;
   std::thread thread_;
--- a/tests/access_config_loader_test.cpp
+++ b/tests/access_config_loader_test.cpp
@@ -101,7 +101,7 @@
     unsigned mode;
   } const rows[] = {
       {"wanted a JSON object", good.substr(0, good.size() / 2), 0644},
-      {"a private key that others may read",
+      {"private key file is accessible by its group or by others",
        "{\"keys\":[{\"kid\":\"p\"," + signer_.key.jwk_members(true) + "}]}", 0644},
       {"'x' is no base64url", R"({"keys":[{"kty":"OKP","crv":"Ed25519","kid":"a","x":"*"}]})", 0644},
   };
