--- a/src/transport/client_certificate_verifier.cpp
+++ b/src/transport/client_certificate_verifier.cpp
@@ -12,10 +12,11 @@
 namespace {
 
 constexpr int kMaxChainDepth = 4;
-constexpr int kMaxIntermediates = 64;
+constexpr int kMaxCachedIntermediates = 64;
 
-// A CRL that is past its next update still revokes what it lists, and a missing CRL revokes nothing.
-int accept_stale_or_missing_crl(int valid, X509_STORE_CTX* context) {
+// The callback of X509_STORE_set_verify_cb(3). A CRL whose nextUpdate time has passed still revokes the
+// certificates that it lists. Certificates of an authority without a CRL count as not revoked.
+int accept_expired_or_missing_crl(int valid, X509_STORE_CTX* context) {
   const int error = X509_STORE_CTX_get_error(context);
   if (valid == 1 || (error != X509_V_ERR_CRL_HAS_EXPIRED && error != X509_V_ERR_UNABLE_TO_GET_CRL))
     return valid;
@@ -23,7 +24,8 @@
   return 1;
 }
 
-void push_shared(STACK_OF(X509) * stack, X509* certificate) {
+// The stack holds a reference of its own to the certificate.
+void push_with_reference(STACK_OF(X509) * stack, X509* certificate) {
   X509_up_ref(certificate);
   sk_X509_push(stack, certificate);
 }
@@ -39,39 +41,40 @@
   if (!settings.crl_path.empty()) read_crls(settings, files);
   if (!settings.revoked_path.empty()) {
     revoked_.parse(settings.revoked_path, files.revoked);
-    trust_fingerprint_ += files.revoked;
+    trust_file_contents_ += files.revoked;
   }
-  X509_STORE_set_verify_cb(store_.get(), accept_stale_or_missing_crl);
+  X509_STORE_set_verify_cb(store_.get(), accept_expired_or_missing_crl);
   install(context, settings.client_certificates == TlsSettings::ClientCertificates::kRequired);
 }
 
 void ClientCertificateVerifier::read_authorities(ssl_ctx_st* context, const TlsSettings& settings,
                                                  const TlsFiles& files) {
-  const auto pem = bio_over(files.trust);
+  const auto pem = make_memory_bio(files.trust);
   unsigned count = 0;
-  while (
-      const OpensslPtr<X509> authority{PEM_read_bio_X509(pem.get(), nullptr, refuse_pass_phrase, nullptr)}) {
+  while (const OpensslPtr<X509> authority{
+      PEM_read_bio_X509(pem.get(), nullptr, reject_passphrase_prompt, nullptr)}) {
     X509_STORE_add_cert(store_.get(), authority.get());
     SSL_CTX_add_client_CA(context, authority.get());
     ++count;
   }
   ERR_clear_error();
-  if (count == 0) throw FileError(settings.trust_path, "no PEM certificates");
-  trust_fingerprint_ = files.trust;
+  if (count == 0)
+    throw FileError(settings.trust_path, "contains no PEM certificate of a certificate authority");
+  trust_file_contents_ = files.trust;
 }
 
 void ClientCertificateVerifier::read_crls(const TlsSettings& settings, const TlsFiles& files) {
-  const auto pem = bio_over(files.crl);
+  const auto pem = make_memory_bio(files.crl);
   unsigned count = 0;
   while (const OpensslPtr<X509_CRL> crl{
-      PEM_read_bio_X509_CRL(pem.get(), nullptr, refuse_pass_phrase, nullptr)}) {
+      PEM_read_bio_X509_CRL(pem.get(), nullptr, reject_passphrase_prompt, nullptr)}) {
     X509_STORE_add_crl(store_.get(), crl.get());
     ++count;
   }
   ERR_clear_error();
-  if (count == 0) throw FileError(settings.crl_path, "no PEM revocation lists");
+  if (count == 0) throw FileError(settings.crl_path, "contains no PEM certificate revocation list (CRL)");
   X509_STORE_set_flags(store_.get(), X509_V_FLAG_CRL_CHECK);
-  trust_fingerprint_ += files.crl;
+  trust_file_contents_ += files.crl;
 }
 
 void ClientCertificateVerifier::install(ssl_ctx_st* context, bool certificate_required) {
@@ -92,11 +95,11 @@
     X509_STORE_CTX_set_error(context, X509_V_ERR_CERT_REVOKED);
     return 0;
   }
-  verifier->remember_intermediates(chain);
+  verifier->cache_intermediates(chain);
   return 1;
 }
 
-bool ClientCertificateVerifier::still_valid(x509_st* leaf, stack_st_X509* sent_chain) {
+bool ClientCertificateVerifier::is_still_valid(x509_st* leaf, stack_st_X509* sent_chain) {
   const OpensslPtr<X509_STORE_CTX> context(X509_STORE_CTX_new());
   STACK_OF(X509)* const untrusted = sent_chain ? sent_chain : intermediates_.get();
   if (X509_STORE_CTX_init(context.get(), store_.get(), leaf, untrusted) != 1) return false;
@@ -107,27 +110,26 @@
   return valid;
 }
 
-// The first of a chain is its leaf and the last a trusted authority.
-void ClientCertificateVerifier::remember_intermediates(stack_st_X509* chain) {
+void ClientCertificateVerifier::cache_intermediates(stack_st_X509* chain) {
   for (int i = 1; i + 1 < sk_X509_num(chain); ++i) {
     X509* const intermediate = sk_X509_value(chain, i);
-    if (remembers(intermediate)) continue;
-    if (sk_X509_num(intermediates_.get()) >= kMaxIntermediates)
+    if (has_cached_intermediate(intermediate)) continue;
+    if (sk_X509_num(intermediates_.get()) >= kMaxCachedIntermediates)
       X509_free(sk_X509_shift(intermediates_.get()));
-    push_shared(intermediates_.get(), intermediate);
+    push_with_reference(intermediates_.get(), intermediate);
   }
 }
 
-bool ClientCertificateVerifier::remembers(x509_st* certificate) const {
+bool ClientCertificateVerifier::has_cached_intermediate(x509_st* certificate) const {
   for (int i = 0; i < sk_X509_num(intermediates_.get()); ++i) {
     if (X509_cmp(sk_X509_value(intermediates_.get(), i), certificate) == 0) return true;
   }
   return false;
 }
 
-void ClientCertificateVerifier::inherit_intermediates(const ClientCertificateVerifier& former) {
-  for (int i = 0; i < sk_X509_num(former.intermediates_.get()); ++i)
-    push_shared(intermediates_.get(), sk_X509_value(former.intermediates_.get(), i));
+void ClientCertificateVerifier::copy_intermediates(const ClientCertificateVerifier& other) {
+  for (int i = 0; i < sk_X509_num(other.intermediates_.get()); ++i)
+    push_with_reference(intermediates_.get(), sk_X509_value(other.intermediates_.get(), i));
 }
 
 }  // namespace ashbeam
--- a/src/transport/client_certificate_verifier.hpp
+++ b/src/transport/client_certificate_verifier.hpp
@@ -1,7 +1,8 @@
-// Verifies clients' certificate chains (RFC 5280): signed by a trusted authority, and neither the leaf nor
-// what leads up to it revoked, by CRL or by the operator's own list.
+// Verifies the certificate chains of TLS clients (RFC 5280). A chain is valid if a trusted certificate
+// authority signed it and no certificate of the chain is revoked, neither by a CRL nor by the operator's list
+// of revoked certificates (see revoked_certificates.hpp).
 //
-// Made with the credentials on any thread; then used on the event loop's thread only.
+// Any thread may construct the verifier. After that only the event loop's thread may use it.
 #pragma once
 #include <cstddef>
 #include <string>
@@ -14,35 +15,42 @@
 
 class ClientCertificateVerifier {
  public:
-  // From now on handshakes of `context`, which this must outlive, verify clients with this. Where clients are
-  // not asked for certificates, nothing is read and set. Throws FileError.
+  // Registers the verifier with `context`, whose handshakes then call it. The verifier must outlive
+  // `context`. `files` holds the contents of the files that `settings` names. If the settings do not request
+  // client certificates, the files are not parsed and `context` is not changed. Throws FileError if the file
+  // of authorities, the CRLs or the list of revoked certificates cannot be parsed.
   ClientCertificateVerifier(ssl_ctx_st* context, const TlsSettings& settings, const TlsFiles& files);
   ClientCertificateVerifier(const ClientCertificateVerifier&) = delete;
   ClientCertificateVerifier& operator=(const ClientCertificateVerifier&) = delete;
 
-  // Are clients asked for certificates?
-  bool enabled() const { return store_ != nullptr; }
-  // Only where enabled. Verifies again, as the trust stands now, a chain that was verified before.
-  // `sent_chain`: what the client sent, or null for a resumed session, which has its leaf alone; the
-  // intermediates seen before stand in.
-  bool still_valid(x509_st* leaf, stack_st_X509* sent_chain);
-  // Equal texts: what one verifier has proven stands under the other.
-  const std::string& trust_fingerprint() const { return trust_fingerprint_; }
-  // Takes over the intermediates that the former verifier has seen.
-  void inherit_intermediates(const ClientCertificateVerifier& former);
+  // Returns whether the server requests certificates from clients.
+  bool is_enabled() const { return store_ != nullptr; }
+  // Verifies a chain that this or a former verifier has accepted, against the authorities and revocations of
+  // this one. May be called only if is_enabled(). `sent_chain` is the chain that the client sent. It is null
+  // for a resumed session, which contains the leaf alone; the cached intermediates are used in its place.
+  bool is_still_valid(x509_st* leaf, stack_st_X509* sent_chain);
+  // Returns the contents of the authorities, CRL and revocation files, one after the other. If two verifiers
+  // return equal texts, a chain that one of them accepted need not be verified by the other.
+  const std::string& trust_file_contents() const { return trust_file_contents_; }
+  // Adds the cached intermediates of `other` to those of this verifier.
+  void copy_intermediates(const ClientCertificateVerifier& other);
 
  private:
+  // The callback of SSL_CTX_set_cert_verify_callback(3). Returns 1 if the chain is valid.
   static int verify(x509_store_ctx_st* context, void* self);
   void read_authorities(ssl_ctx_st* context, const TlsSettings& settings, const TlsFiles& files);
   void read_crls(const TlsSettings& settings, const TlsFiles& files);
   void install(ssl_ctx_st* context, bool certificate_required);
-  void remember_intermediates(stack_st_X509* chain);
-  bool remembers(x509_st* certificate) const;
+  // Caches the intermediates of a verified chain, whose first certificate is the leaf and whose last one is a
+  // trusted authority.
+  void cache_intermediates(stack_st_X509* chain);
+  bool has_cached_intermediate(x509_st* certificate) const;
 
-  OpensslPtr<x509_store_st> store_;
-  OpensslPtr<stack_st_X509> intermediates_;  // of verified chains; the oldest is forgotten at the bound
+  OpensslPtr<x509_store_st> store_;  // null if the server requests no client certificates
+  // The cached intermediates of verified chains, oldest first. At the maximum the oldest one is evicted.
+  OpensslPtr<stack_st_X509> intermediates_;
   RevokedCertificates revoked_;
-  std::string trust_fingerprint_;
+  std::string trust_file_contents_;
 };
 
 }  // namespace ashbeam
--- a/src/transport/connection.cpp
+++ b/src/transport/connection.cpp
@@ -25,13 +25,14 @@
 constexpr int kMaxConnectAttempts = 2;
 constexpr unsigned kMaxPort = 65535;
 
-// POCO offers a socket of a given descriptor to derived classes only.
+// A socket that takes ownership of an open descriptor. In POCO that constructor is accessible only to derived
+// classes.
 class AdoptedSocket : public Poco::Net::StreamSocket {
  public:
   explicit AdoptedSocket(int fd) : StreamSocket(new Poco::Net::StreamSocketImpl(fd)) {}
 };
 
-// Throws Poco::InvalidArgumentException where it is not one.
+// Throws Poco::InvalidArgumentException if `address` is not a numeric IP address with a port.
 Poco::Net::SocketAddress parse_numeric_address(const std::string& address) {
   const std::size_t colon = std::min(address.rfind(':'), address.size());
   std::string host = address.substr(0, colon);
@@ -46,7 +47,7 @@
 
   Poco::Net::IPAddress ip;
   if (!port_valid || !Poco::Net::IPAddress::tryParse(host, ip))
-    throw Poco::InvalidArgumentException("not a numeric address: " + address);
+    throw Poco::InvalidArgumentException("expected a numeric IP address with a port, got '" + address + "'");
   return {ip, static_cast<Poco::UInt16>(port)};
 }
 
@@ -60,7 +61,7 @@
   }
 }
 
-// ---- Opening ----
+// ---- Connecting ----
 
 Connection::Connection(EventLoop& loop, const Limits& limits, Owner& owner, const std::string& address,
                        TlsStreamFactory make_tls_stream)
@@ -79,15 +80,16 @@
       tls_stream_(std::move(tls_stream)) {
   socket_.setBlocking(false);
   socket_.setNoDelay(true);
-  watch(true, writing_);
+  watch(true, watching_writable_);
   if (!tls_stream_) return;
   tls_stream_->set_handshake_resume_callback([this] {
     if (state_ == State::kHandshaking) continue_handshake();
   });
 }
 
-// An interrupted connect(2) goes on by itself, as one in progress does. A failure of this machine, which may
-// be short of something for a moment only, is tried once more at once: it says nothing of the other side.
+// A connect(2) that a signal interrupts continues asynchronously, like one that returns EINPROGRESS. If an
+// error of this machine prevents the connection, one more attempt follows at once: the lack of a resource may
+// be momentary, and the error says nothing about the peer.
 void Connection::connect(const std::string& address) {
   const Poco::Net::SocketAddress remote = parse_numeric_address(address);
   ConnectionFailure failure = ConnectionFailure::kLocal;
@@ -120,7 +122,7 @@
   }
   state_ = State::kOpen;
   was_open_ = true;
-  watch(true, writing_);
+  watch(true, watching_writable_);
   flush();
   if (state_ == State::kOpen) owner_.on_connected();
 }
@@ -142,7 +144,7 @@
   was_open_ = true;
   watch(true, false);
   flush();
-  read_buffered_tls_bytes();
+  schedule_read_of_buffered_tls_bytes();
   if (state_ == State::kOpen) owner_.on_connected();
 }
 
@@ -155,8 +157,8 @@
     consumed_ = 0;
   }
   if (state_ != State::kOpen || unread().size() >= limits_.max_unread_bytes) return;
-  if (!reading_) read_buffered_tls_bytes();
-  watch(true, writing_);
+  if (!watching_readable_) schedule_read_of_buffered_tls_bytes();
+  watch(true, watching_writable_);
 }
 
 void Connection::handle_readable(const AutoPtr<ReadableNotification>&) {
@@ -177,39 +179,38 @@
   if (result.status == IoResult::Status::kWouldBlock) return;
   broken_ = result.status != IoResult::Status::kEnded;
   if (result.status != IoResult::Status::kDone) return end();
-  if (unread().size() >= limits_.max_unread_bytes) watch(false, writing_);  // until the owner consumes some
-  else read_buffered_tls_bytes();
+  if (unread().size() >= limits_.max_unread_bytes) watch(false, watching_writable_);  // until consume()
+  else schedule_read_of_buffered_tls_bytes();
   owner_.on_data();
 }
 
-// MSG_TRUNC: the kernel drops the bytes without copying them.
+// With MSG_TRUNC the kernel discards the bytes without copying them (tcp(7)).
 void Connection::read_and_discard() {
-  const IoResult result = receive_from(fd(), nullptr, limits_.discard_chunk_bytes, MSG_TRUNC);
+  const IoResult result = receive_from_socket(fd(), nullptr, limits_.discard_chunk_bytes, MSG_TRUNC);
   if (result.status == IoResult::Status::kDone) has_discarded_input_ = true;
   else if (result.status != IoResult::Status::kWouldBlock) end();
 }
 
-// The socket does not become readable for bytes that TLS has read from it already.
-void Connection::read_buffered_tls_bytes() {
+void Connection::schedule_read_of_buffered_tls_bytes() {
   if (!has_buffered_tls_bytes()) return;
   loop_.post([this, lifetime = std::weak_ptr<int>(lifetime_)] {
-    if (!lifetime.expired() && state_ == State::kOpen && reading_) handle_readable({});
+    if (!lifetime.expired() && state_ == State::kOpen && watching_readable_) handle_readable({});
   });
 }
 
 IoResult Connection::receive(char* buffer, std::size_t size) {
-  return tls_stream_ ? tls_stream_->receive(buffer, size) : receive_from(fd(), buffer, size);
+  return tls_stream_ ? tls_stream_->receive(buffer, size) : receive_from_socket(fd(), buffer, size);
 }
 
 void Connection::discard_input() {
   discarding_input_ = true;
   clear_input();
-  if (state_ == State::kOpen) watch(true, writing_);
+  if (state_ == State::kOpen) watch(true, watching_writable_);
 }
 
 IoResult Connection::peek() const {
   char byte = 0;
-  return receive_from(fd(), &byte, sizeof byte, MSG_PEEK | MSG_DONTWAIT);
+  return receive_from_socket(fd(), &byte, sizeof byte, MSG_PEEK | MSG_DONTWAIT);
 }
 
 bool Connection::is_idle() const {
@@ -230,9 +231,9 @@
 // ---- Writing ----
 
 void Connection::write(std::string_view bytes) {
-  if (!alive()) return;
+  if (!is_active()) return;
   output_.append(bytes);
-  if (state_ == State::kOpen && !writing_) flush();
+  if (state_ == State::kOpen && !watching_writable_) flush();
 }
 
 void Connection::handle_writable(const AutoPtr<WritableNotification>&) {
@@ -250,12 +251,12 @@
     written_ += result.bytes;
   }
   if (!may_have_unwritten_output()) clear_output();
-  watch(reading_, may_have_unwritten_output());
+  watch(watching_readable_, may_have_unwritten_output());
 }
 
 IoResult Connection::send(std::string_view bytes) {
   return tls_stream_ ? tls_stream_->send(bytes.data(), bytes.size())
-                     : send_to(fd(), bytes.data(), bytes.size());
+                     : send_to_socket(fd(), bytes.data(), bytes.size());
 }
 
 void Connection::clear_output() {
@@ -269,17 +270,16 @@
   ::shutdown(fd(), SHUT_WR);
 }
 
-// ---- The end ----
+// ---- End of the connection ----
 
 void Connection::handle_error(const AutoPtr<ErrorNotification>&) {
-  // Reading brings what came before the error, and then the error.
-  if (state_ == State::kOpen && reading_) return;
-  if (alive()) end();
+  // A read returns the bytes that arrived before the error, and then the error.
+  if (state_ == State::kOpen && watching_readable_) return;
+  if (is_active()) end();
 }
 
-// The owner hears of it after the call at hand.
 void Connection::end(ConnectionFailure failure) {
-  // `broken_` is set until the other side ends in order, which is no failure.
+  // `broken_` is false only after an orderly shutdown of the peer, which is not a failure.
   if (broken_) failure_ = failure;
   state_ = State::kEnded;
   watch(false, false);
@@ -296,31 +296,32 @@
   socket_.close();
 }
 
-// ---- The reactor ----
+// ---- Event registration ----
 
 template <class Notification>
-void Connection::observe(bool on, void (Connection::*handler)(const AutoPtr<Notification>&)) {
+void Connection::set_handler(bool on, void (Connection::*handler)(const AutoPtr<Notification>&)) {
   const NObserver<Connection, Notification> observer(*this, handler);
   if (on) loop_.reactor().addEventHandler(socket_, observer);
   else loop_.reactor().removeEventHandler(socket_, observer);
 }
 
-// The reactor reports errors whether they are watched for or not, and without an observer it would spin. POCO
-// 1.11 goes on polling for what a removed observer wanted; adding any observer, even again, sets the mode
-// right.
-void Connection::watch(bool reading, bool writing) {
-  const bool watches_less = (reading_ && !reading) || (writing_ && !writing);
-  if (reading_ != reading) {
-    reading_ = reading;
-    observe(reading, &Connection::handle_readable);
+// The reactor polls for errors even without a handler for them, and would then loop without waiting: an error
+// handler is registered until the connection has ended. POCO 1.11 also continues to poll for the event of a
+// handler that was removed. Adding any handler, even one that is registered already, makes it compute the
+// polled events again.
+void Connection::watch(bool readable, bool writable) {
+  const bool event_removed = (watching_readable_ && !readable) || (watching_writable_ && !writable);
+  if (watching_readable_ != readable) {
+    watching_readable_ = readable;
+    set_handler(readable, &Connection::handle_readable);
   }
-  if (writing_ != writing) {
-    writing_ = writing;
-    observe(writing, &Connection::handle_writable);
+  if (watching_writable_ != writable) {
+    watching_writable_ = writable;
+    set_handler(writable, &Connection::handle_writable);
   }
-  if (alive() != watching_errors_ || (alive() && watches_less)) {
-    watching_errors_ = alive();
-    observe(watching_errors_, &Connection::handle_error);
+  if (is_active() != watching_errors_ || (is_active() && event_removed)) {
+    watching_errors_ = is_active();
+    set_handler(watching_errors_, &Connection::handle_error);
   }
 }
 
--- a/src/transport/event_loop.cpp
+++ b/src/transport/event_loop.cpp
@@ -10,7 +10,10 @@
 
 #include <algorithm>
 #include <array>
+#include <cerrno>
 #include <chrono>
+#include <cstring>
+#include <string>
 
 namespace ashbeam {
 
@@ -24,8 +27,8 @@
   return std::chrono::duration_cast<std::chrono::microseconds>(Clock::now().time_since_epoch()).count();
 }
 
-// An exception of one callback must not keep the others from running; the program's error handler logs it.
-void run_guarded(const std::function<void()>& function) {
+// Passes an exception to the program's error handler, which logs it, so that the other callbacks still run.
+void run_and_handle_exceptions(const std::function<void()>& function) {
   try {
     function();
   } catch (const std::exception& exception) {
@@ -35,14 +38,15 @@
 
 }  // namespace
 
-// Ends the loop's wait from another thread. POCO 1.11's wakeUp() does not end its poll; a byte on a socket
-// that the loop reads does.
+// Ends the loop's wait for events from another thread, by a byte that is sent to a socket of the loop. The
+// wakeUp() of POCO 1.11 does not interrupt its poll.
 class EventLoop::WakeupEvent {
  public:
-  // Throws Poco::IOException where the machine has no descriptors left.
+  // Throws Poco::IOException if no descriptors are available.
   explicit WakeupEvent(EventLoop& loop) : WakeupEvent(loop, make_socket_pair()) {}
 
-  // From any thread. A socket that is full wakes the loop already.
+  // May be called from any thread. An error is ignored: if the send buffer is full, the loop has bytes to
+  // read and wakes up anyway.
   void signal() { ::send(write_end_.impl()->sockfd(), "!", 1, MSG_DONTWAIT | MSG_NOSIGNAL); }
 
  private:
@@ -55,7 +59,8 @@
   static std::array<int, 2> make_socket_pair() {
     std::array<int, 2> fds{};
     if (::socketpair(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0, fds.data()) != 0)
-      throw Poco::IOException("no socket pair can be had");
+      throw Poco::IOException(std::string("cannot create a socket pair to wake the event loop: ") +
+                              std::strerror(errno));
     return fds;
   }
 
@@ -69,8 +74,9 @@
     char bytes[kReadBytes];
     while (::recv(read_end_.impl()->sockfd(), bytes, sizeof bytes, MSG_DONTWAIT) == sizeof bytes) {
     }
-    // A function that was posted since this turn began has lost its byte just now: it must not wait for the
-    // next event.
+    // A function that another thread posted after this iteration began may have had its byte read here. The
+    // empty function makes the next poll return at once, so that the other one does not wait for the next
+    // event.
     loop_.post([] {});
   }
 
@@ -126,14 +132,12 @@
 
 void EventLoop::run_posted() {
   running_.swap(posted_);
-  for (const auto& function : running_) run_guarded(function);
+  for (const auto& function : running_) run_and_handle_exceptions(function);
   running_.clear();
 }
 
-// ---- Turns ----
+// ---- Iterations ----
 
-// Posted functions run first, then the timers that are due; what is posted or set meanwhile waits for the
-// next turn.
 void EventLoop::run_due() {
   collect_posts_from_threads();
   run_posted();
@@ -142,16 +146,16 @@
 }
 
 void EventLoop::run_timers() {
-  const TimerOrder last{now(), next_timer_number_};
+  const TimerOrder last{now(), next_timer_sequence_number_};
   while (!timers_.empty() && timers_.begin()->first <= last) {
     Timer* const timer = timers_.begin()->second;
     timer->cancel();
-    run_guarded(timer->callback_);
+    run_and_handle_exceptions(timer->callback_);
   }
 }
 
-// POCO waits in whole milliseconds and cuts off fractions: the time is rounded up, or the loop would spin
-// through the last millisecond.
+// POCO truncates the timeout to whole milliseconds. It is rounded up here, because the loop would otherwise
+// poll without waiting during the last millisecond before a timer.
 void EventLoop::update_poll_timeout() {
   std::int64_t wait_us = kMaxPollTimeoutUs;
   if (!posted_.empty()) {
@@ -168,7 +172,7 @@
 
 void Timer::schedule_at(Instant due) {
   cancel();
-  order_ = {due, loop_.next_timer_number_++};
+  order_ = {due, loop_.next_timer_sequence_number_++};
   scheduled_ = true;
   const auto position = loop_.timers_.emplace(order_, this).first;
   if (position == loop_.timers_.begin()) loop_.update_poll_timeout();
--- a/src/transport/handshake_scheduler.cpp
+++ b/src/transport/handshake_scheduler.cpp
@@ -8,8 +8,9 @@
 
 namespace {
 
-// A handshake that has waited less for its client's bytes is not evicted.
+// A handshake is not evicted before its client has sent nothing for this time.
 constexpr Duration kMinSilenceBeforeEviction = Duration::ms(100);
+// Minimum delay before deferred handshakes are resumed.
 constexpr Duration kMinDeferral = Duration::ms(1);
 
 }  // namespace
@@ -17,7 +18,7 @@
 HandshakeScheduler::HandshakeScheduler(EventLoop& loop, const TlsSettings& settings)
     : loop_(loop),
       limiter_(settings.max_handshakes, settings.max_handshake_cpu_fraction, kMinSilenceBeforeEviction),
-      resumption_(loop, [this] { resume_deferred(); }) {}
+      resume_timer_(loop, [this] { resume_deferred(); }) {}
 
 void HandshakeScheduler::set_limits(const TlsSettings& settings) {
   limiter_.set_limits(settings.max_handshakes, settings.max_handshake_cpu_fraction);
@@ -35,7 +36,7 @@
 
 bool HandshakeScheduler::may_proceed(Id id) {
   const bool may = limiter_.may_continue(id, loop_.now());
-  if (!may) schedule_resumption();
+  if (!may) schedule_resume();
   return may;
 }
 
@@ -53,12 +54,12 @@
     const auto deferred = streams_.find(id);
     if (deferred != streams_.end()) deferred->second->resume_handshake();
   }
-  schedule_resumption();
+  schedule_resume();
 }
 
-void HandshakeScheduler::schedule_resumption() {
-  if (!limiter_.any_waiting() || resumption_.is_scheduled()) return;
-  resumption_.schedule_after(std::max(kMinDeferral, limiter_.wait(loop_.now())));
+void HandshakeScheduler::schedule_resume() {
+  if (!limiter_.any_waiting() || resume_timer_.is_scheduled()) return;
+  resume_timer_.schedule_after(std::max(kMinDeferral, limiter_.wait(loop_.now())));
 }
 
 }  // namespace ashbeam
--- a/src/transport/io_result.cpp
+++ b/src/transport/io_result.cpp
@@ -6,15 +6,15 @@
 
 namespace ashbeam {
 
-// An interrupted read is left to the next readiness event.
-IoResult receive_from(int socket, char* buffer, std::size_t size, int flags) {
+// After EINTR the caller reads again at the next readiness event.
+IoResult receive_from_socket(int socket, char* buffer, std::size_t size, int flags) {
   const auto count = ::recv(socket, buffer, size, flags);
   if (count > 0) return IoResult::done(static_cast<std::size_t>(count));
   if (count == 0) return IoResult::ended();
   return errno == EAGAIN || errno == EINTR ? IoResult::would_block() : IoResult::broken();
 }
 
-IoResult send_to(int socket, const char* bytes, std::size_t size) {
+IoResult send_to_socket(int socket, const char* bytes, std::size_t size) {
   for (;;) {
     const auto count = ::send(socket, bytes, size, MSG_NOSIGNAL);
     if (count >= 0) return IoResult::done(static_cast<std::size_t>(count));
--- a/src/transport/io_result.hpp
+++ b/src/transport/io_result.hpp
@@ -1,5 +1,5 @@
-// What one read or write of a byte stream came to. The system's errno, or a library's error, is turned into
-// this at the call and read nowhere else.
+// The result of one read from or write to a byte stream. It is derived from errno, or from the error of the
+// TLS library, right after the call, so that no other code reads those.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -8,10 +8,10 @@
 
 struct IoResult {
   enum class Status : std::uint8_t {
-    kDone,        // `bytes` were read or written
-    kWouldBlock,  // nothing for now: wait until the socket is ready
-    kEnded,       // the other side has ended the stream in order
-    kBroken,      // the stream was reset, or failed
+    kDone,        // `bytes` bytes were read or written
+    kWouldBlock,  // no byte was read or written; the caller has to wait until the socket is ready
+    kEnded,       // the peer has ended the stream in order
+    kBroken,      // the stream was reset or failed
   };
   Status status = Status::kBroken;
   std::size_t bytes = 0;
@@ -22,8 +22,9 @@
   static IoResult broken() { return {Status::kBroken, 0}; }
 };
 
-// recv(2) and send(2) on a non-blocking socket; bytes that are sent raise no SIGPIPE.
-IoResult receive_from(int socket, char* buffer, std::size_t size, int flags = 0);
-IoResult send_to(int socket, const char* bytes, std::size_t size);
+// Calls recv(2) on a non-blocking socket, with `flags` as there.
+IoResult receive_from_socket(int socket, char* buffer, std::size_t size, int flags = 0);
+// Calls send(2) on a non-blocking socket. Does not raise SIGPIPE.
+IoResult send_to_socket(int socket, const char* bytes, std::size_t size);
 
 }  // namespace ashbeam
--- a/src/transport/listener.cpp
+++ b/src/transport/listener.cpp
@@ -10,9 +10,10 @@
 
 namespace {
 
-// Linux passes on errors of the connection that was to be accepted: the next one may be accepted all the same
-// (accept(2), "Error handling").
-bool concerns_one_connection(int error) {
+// Returns whether an error of accept4(2) is one of the connection that was to be accepted. Linux reports
+// pending network errors of that connection by accept4(2) (see accept(2), "Error handling"); the next
+// connection may be accepted all the same.
+bool is_connection_error(int error) {
   switch (error) {
     case EINTR:
     case ECONNABORTED:
@@ -41,19 +42,19 @@
   set_paused(false);
 }
 
-void Listener::set_paused(bool on) {
-  if (closed_ || accepting_ != on) return;
+void Listener::set_paused(bool paused) {
+  if (closed_ || accepting_ != paused) return;
   const Poco::NObserver<Listener, Poco::Net::ReadableNotification> observer(*this,
                                                                             &Listener::handle_readable);
-  if (on) loop_.reactor().removeEventHandler(socket_, observer);
+  if (paused) loop_.reactor().removeEventHandler(socket_, observer);
   else loop_.reactor().addEventHandler(socket_, observer);
-  accepting_ = !on;
+  accepting_ = !paused;
 }
 
 bool Listener::accept_pending() {
   while (!closed_ && accepting_) {
     const int fd = ::accept4(socket_.impl()->sockfd(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
-    if (fd < 0 && concerns_one_connection(errno)) continue;
+    if (fd < 0 && is_connection_error(errno)) continue;
     if (fd < 0 && errno == EAGAIN) return true;
     on_accept_(fd);
     if (fd < 0) return false;
--- a/src/transport/listener.hpp
+++ b/src/transport/listener.hpp
@@ -1,5 +1,5 @@
-// Accepts TCP connections and hands their descriptors on; may pause. All calls come from the event loop's
-// thread.
+// Listens on a TCP address and passes the descriptor of each accepted connection to a callback. Accepting can
+// be paused. All functions must be called on the event loop's thread.
 #pragma once
 #include <Poco/Net/ServerSocket.h>
 #include <Poco/Net/SocketNotification.h>
@@ -14,19 +14,23 @@
 
 class Listener {
  public:
-  // The callback owns the descriptor that it is given. A negative one says that the machine has none left,
-  // and that the callback must pause the listener, which would be readable again and again. Throws
-  // Poco::Exception where the address can't be bound.
+  // Binds `address` and starts to accept connections. `on_accept` takes ownership of the descriptor that it
+  // is called with. A negative value means that accept4(2) failed because this machine lacks a resource, such
+  // as descriptors; the callback must then pause the listener, which would otherwise be reported as readable
+  // without end. `backlog` is that of listen(2). Throws Poco::Exception if the address cannot be bound.
   Listener(EventLoop& loop, const std::string& address, int backlog, std::function<void(int fd)> on_accept);
   ~Listener() { close(); }
   Listener(const Listener&) = delete;
   Listener& operator=(const Listener&) = delete;
 
-  void set_paused(bool on);
-  // Hands on all connections that the kernel has accepted already. False where it had to pause before the
-  // last of them.
+  // While paused, new connections stay in the kernel's accept queue.
+  void set_paused(bool paused);
+  // Accepts all connections that are in the kernel's accept queue. Returns false if the listener was paused
+  // before the queue was empty.
   bool accept_pending();
+  // Closes the listening socket. on_accept is not called after this.
   void close();
+  // Returns the port that is bound, also if the address has port 0.
   std::uint16_t port() const { return socket_.address().port(); }
 
  private:
--- a/src/transport/openssl_ptr.cpp
+++ b/src/transport/openssl_ptr.cpp
@@ -27,15 +27,15 @@
 
 std::string take_openssl_error() {
   const char* const reason = ERR_reason_error_string(ERR_peek_last_error());
-  std::string text = reason ? reason : "broken off";
+  std::string text = reason ? reason : "no error reported by OpenSSL";
   ERR_clear_error();
   return text;
 }
 
-OpensslPtr<bio_st> bio_over(const std::string& bytes) {
+OpensslPtr<bio_st> make_memory_bio(const std::string& bytes) {
   return OpensslPtr<bio_st>(BIO_new_mem_buf(bytes.data(), static_cast<int>(bytes.size())));
 }
 
-int refuse_pass_phrase(char*, int, int, void*) { return -1; }
+int reject_passphrase_prompt(char*, int, int, void*) { return -1; }
 
 }  // namespace ashbeam
--- a/src/transport/openssl_ptr.hpp
+++ b/src/transport/openssl_ptr.hpp
@@ -1,5 +1,6 @@
-// Owning pointers to OpenSSL's objects, and its error queue as text. Only forward declarations of OpenSSL's
-// types, so that headers may hold such pointers without its headers.
+// Owning pointers to OpenSSL objects, and helpers for OpenSSL's error queue and for PEM files. This header
+// only forward-declares OpenSSL's types, so that other headers can declare such pointers without including
+// OpenSSL.
 #pragma once
 #include <memory>
 #include <string>
@@ -23,7 +24,7 @@
   void operator()(evp_pkey_st* key) const;
   void operator()(ssl_ctx_st* context) const;
   void operator()(ssl_st* ssl) const;
-  void operator()(stack_st_X509* certificates) const;  // and what is on the stack
+  void operator()(stack_st_X509* certificates) const;  // frees the certificates, too
   void operator()(x509_st* certificate) const;
   void operator()(x509_store_ctx_st* context) const;
   void operator()(x509_store_st* store) const;
@@ -33,20 +34,22 @@
 template <class T>
 using OpensslPtr = std::unique_ptr<T, OpensslDeleter>;
 
-// A buffer that OpenSSL allocated and hands over.
+// Frees a buffer that OpenSSL has allocated for the caller.
 struct OpensslBufferDeleter {
   void operator()(void* buffer) const;
 };
 template <class T>
 using OpensslBuffer = std::unique_ptr<T, OpensslBufferDeleter>;
 
-// The last error of this thread's queue, which is emptied; "broken off" where there is none.
+// Returns the reason text of the last error in this thread's error queue, and clears the queue. Returns
+// "no error reported by OpenSSL" if the queue is empty or OpenSSL has no text for the error.
 std::string take_openssl_error();
 
-// Reads `bytes`, which must outlive it.
-OpensslPtr<bio_st> bio_over(const std::string& bytes);
+// Creates a BIO that reads `bytes`, which must outlive it.
+OpensslPtr<bio_st> make_memory_bio(const std::string& bytes);
 
-// A pass phrase callback for PEM files: none is known, and no terminal is asked for one.
-int refuse_pass_phrase(char* buffer, int size, int writing, void* user);
+// A passphrase callback for PEM files (see PEM_read_bio_PrivateKey(3)) that always fails. Without it OpenSSL
+// would ask for the passphrase of an encrypted key on the terminal.
+int reject_passphrase_prompt(char* buffer, int size, int writing, void* user);
 
 }  // namespace ashbeam
--- a/src/transport/rate_limited_log.hpp
+++ b/src/transport/rate_limited_log.hpp
@@ -1,5 +1,5 @@
-// Log lines that a peer can cause at will: at most one a second of each text, with the number of those left
-// out, and a bounded number of texts.
+// Limits the rate of log lines that a peer can cause at will. Each distinct text is written at most once per
+// second, with the number of repetitions that were suppressed since it was last written.
 #pragma once
 #include <cstddef>
 #include <functional>
@@ -14,32 +14,34 @@
 
 class RateLimitedLog {
  public:
-  using Write = std::function<void(std::string_view)>;
-  static constexpr std::size_t kMaxTexts = 32;  // a further one is never written
+  using Sink = std::function<void(std::string_view)>;
+  // Once this many distinct texts have been written, further ones are dropped, which bounds the memory.
+  static constexpr std::size_t kMaxDistinctTexts = 32;
 
-  RateLimitedLog(std::string prefix, Write write) : prefix_(std::move(prefix)), write_(std::move(write)) {}
+  // Passes each line to `sink`, with `prefix` before its text.
+  RateLimitedLog(std::string prefix, Sink sink) : prefix_(std::move(prefix)), sink_(std::move(sink)) {}
 
-  void line(const std::string& text, Instant now) {
-    if (!texts_.contains(text) && texts_.size() >= kMaxTexts) return;
+  void write_line(const std::string& text, Instant now) {
+    if (!texts_.contains(text) && texts_.size() >= kMaxDistinctTexts) return;
     Text& state = texts_[text];
     if (now - state.last_written < Duration::s(1)) {
-      ++state.left_out;
+      ++state.suppressed;
       return;
     }
-    const std::string more =
-        state.left_out > 0 ? ", and " + std::to_string(state.left_out) + " more since" : "";
-    write_(prefix_ + text + more);
+    const std::string suppressed =
+        state.suppressed > 0 ? " (" + std::to_string(state.suppressed) + " repetitions suppressed)" : "";
+    sink_(prefix_ + text + suppressed);
     state = {now, 0};
   }
 
  private:
   struct Text {
     Instant last_written;
-    unsigned left_out = 0;
+    unsigned suppressed = 0;  // lines since last_written
   };
 
   std::string prefix_;
-  Write write_;
+  Sink sink_;
   std::map<std::string, Text> texts_;
 };
 
--- a/src/transport/session_tickets.hpp
+++ b/src/transport/session_tickets.hpp
@@ -1,9 +1,10 @@
-// The keys of TLS session tickets (RFC 5077; RFC 8446, section 4.6.1): replaced after their lifetime, and
-// when the trust in clients' certificates changes, so that what was proven under a former trust is not
-// resumed.
+// Manages the keys that encrypt TLS session tickets (RFC 5077; RFC 8446, section 4.6.1). The key is replaced
+// after its lifetime, and when the trust in client certificates changes, so that a session which was
+// authenticated before that change is not resumed.
 //
-// Used by OpenSSL's ticket callback: `seal` for a new ticket, `open` for one that a client brings. Both say
-// what the callback returns (SSL_CTX_set_tlsext_ticket_key_evp_cb(3)). Not thread-safe.
+// OpenSSL's ticket callback calls seal() for a ticket that the server issues and open() for one that a client
+// presents. Both return the result for that callback, as in SSL_CTX_set_tlsext_ticket_key_evp_cb(3). Not
+// thread-safe.
 #pragma once
 #include <array>
 #include <cstdint>
@@ -18,25 +19,28 @@
 
 class SessionTickets {
  public:
-  // What the callback is given.
+  // The arguments of OpenSSL's ticket callback.
   struct Ticket {
-    unsigned char* key_name;  // 16 bytes
-    unsigned char* initialization_vector;
+    unsigned char* key_name;               // 16 bytes
+    unsigned char* initialization_vector;  // EVP_MAX_IV_LENGTH bytes
     evp_cipher_ctx_st* cipher;
     evp_mac_ctx_st* mac;
   };
-  // How things stand at the call.
+  // The state of the acceptor at the time of the call.
   struct Conditions {
     Instant now;
-    Duration key_lifetime;
-    std::uint64_t trust_epoch = 0;
+    Duration key_lifetime;          // a key seals tickets for this time, and opens them for twice this time
+    std::uint64_t trust_epoch = 0;  // see TlsAcceptor
   };
 
   SessionTickets(Instant now, std::uint64_t trust_epoch);
 
-  // `resumable` false: the ticket can never be opened. The client gets one all the same, since TLS 1.3
-  // doesn't let a ticket be left out once its sealing has begun.
+  // Prepares the encryption of a new ticket. If `resumable` is false, the ticket is encrypted with a key that
+  // is not kept, and therefore can never be opened. The client receives a ticket all the same, because TLS
+  // 1.3 does not allow a ticket to be omitted once its encryption has begun.
   int seal(const Ticket& ticket, const Conditions& conditions, bool resumable);
+  // Prepares the decryption of a ticket. If its key is unknown, expired or of another trust epoch, the result
+  // makes OpenSSL continue with a full handshake.
   int open(const ssl_st* ssl, const Ticket& ticket, const Conditions& conditions);
 
  private:
@@ -47,8 +51,10 @@
     Instant created_at;
     std::uint64_t trust_epoch = 0;
   };
-  static Key generate(Instant now, std::uint64_t trust_epoch);
-  static bool set_up(const Ticket& ticket, const Key& key, bool sealing);
+  static Key generate_key(Instant now, std::uint64_t trust_epoch);
+  // Initializes the cipher and MAC contexts of the ticket. Returns false on an error of OpenSSL.
+  static bool initialize_contexts(const Ticket& ticket, const Key& key, bool sealing);
+  // Replaces the current key if its lifetime has passed or the trust epoch has changed.
   void rotate(const Conditions& conditions);
 
   Key current_;
--- a/src/transport/tls_acceptor.hpp
+++ b/src/transport/tls_acceptor.hpp
@@ -1,9 +1,11 @@
-// The server's side of TLS for one listener: makes a stream of each accepted connection, resumes sessions by
-// tickets, and replaces its credentials while it runs.
+// The server side of TLS for one listener. Creates a TLS stream for each accepted connection, resumes
+// sessions by session tickets, and can replace its credentials at run time. All functions must be called on
+// the event loop's thread.
 //
-// The trust in clients' certificates has an epoch, which begins anew with each change of it. What was proven
-// in a former epoch is verified again before it counts: on open connections at their next request, and by a
-// full handshake where a ticket would have resumed the session.
+// The trust epoch is a number that increases whenever the trusted authorities, the revocations or the mode of
+// client authentication change. A client certificate that was verified in a former epoch is verified again:
+// on an open connection at its next request, and by a full handshake if the client presents a ticket of a
+// former epoch.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -24,11 +26,12 @@
 class TlsAcceptor {
  public:
   using Log = std::function<void(std::string_view)>;
-  struct Counts {  // of handshakes
+  // Numbers of handshakes since the start.
+  struct Counts {
     std::uint64_t full = 0;
     std::uint64_t resumed = 0;
     std::uint64_t failed = 0;
-    std::uint64_t rejected = 0;  // for want of room
+    std::uint64_t rejected = 0;  // because the maximum number of handshakes was in progress
   };
 
   TlsAcceptor(EventLoop& loop, const TlsSettings& settings, std::shared_ptr<TlsCredentials> credentials,
@@ -36,12 +39,14 @@
   TlsAcceptor(const TlsAcceptor&) = delete;
   TlsAcceptor& operator=(const TlsAcceptor&) = delete;
 
-  // New connections have these credentials from now on; open ones stand. The listener's address stays as it
-  // is.
+  // Uses these settings and credentials for new connections. Open connections are kept. A changed listen
+  // address in `settings` has no effect.
   void replace_credentials(const TlsSettings& settings, std::shared_ptr<TlsCredentials> credentials);
-  // A stream for an accepted socket, which the caller goes on owning. Null: there is no room for another
-  // handshake, and the connection is to be closed.
+  // Creates the stream of an accepted socket, which the caller continues to own. Returns null if the maximum
+  // number of handshakes is in progress; the caller must then close the connection. The acceptor must outlive
+  // the stream.
   std::unique_ptr<TlsStream> accept(int fd);
+  // The maximum time from accepting a connection to the end of its handshake, which the caller enforces.
   Duration handshake_timeout() const { return settings_.handshake_timeout; }
   std::size_t handshakes_in_progress() const { return scheduler_.in_progress(); }
   const Counts& counts() const { return counts_; }
@@ -50,9 +55,11 @@
  private:
   friend class TlsServerStream;
 
-  void install(std::shared_ptr<TlsCredentials> credentials);
-  void log_fault(const std::string& fault) { faults_.line(fault, loop_.now()); }
-  // OpenSSL's callback: sealing 1 for a new ticket, 0 for one that a client brings.
+  void set_credentials(std::shared_ptr<TlsCredentials> credentials);
+  // Logs an error that a client can cause at will, rate-limited.
+  void log_client_error(const std::string& error) { client_error_log_.write_line(error, loop_.now()); }
+  // OpenSSL's ticket callback. `sealing` is 1 for a ticket that the server issues and 0 for one that a client
+  // presents.
   static int process_ticket(ssl_st* ssl, unsigned char* key_name, unsigned char* initialization_vector,
                             evp_cipher_ctx_st* cipher, evp_mac_ctx_st* mac, int sealing);
 
@@ -63,7 +70,7 @@
   std::uint64_t trust_epoch_ = 1;
   SessionTickets tickets_;
   HandshakeScheduler scheduler_;
-  RateLimitedLog faults_;
+  RateLimitedLog client_error_log_;
   Counts counts_;
 };
 
--- a/src/transport/tls_credentials.cpp
+++ b/src/transport/tls_credentials.cpp
@@ -12,12 +12,16 @@
 
 namespace {
 
+// Maximum size of the certificate chain that a client sends.
 constexpr long kMaxClientChainBytes = 16L * 1024;
+// Sessions are resumed only within the same session id context (SSL_CTX_set_session_id_context(3)).
 constexpr std::string_view kSessionIdContext = "ashbeam";
 
-// The application protocols that are offered to ALPN (RFC 7301): each with its length before it.
+// The supported application protocols for ALPN (RFC 7301). Each name is preceded by its length in one byte.
 constexpr unsigned char kAlpnProtocols[] = "\x08http/1.1";
 
+// The callback of SSL_CTX_set_alpn_select_cb(3). The handshake fails if the client offers none of the
+// protocols.
 int select_application_protocol(SSL*, const unsigned char** selected, unsigned char* selected_size,
                                 const unsigned char* offered, unsigned offered_size, void*) {
   unsigned char* chosen = nullptr;
@@ -32,7 +36,8 @@
 
 TlsCredentials::TlsCredentials(const TlsSettings& settings, const TlsFiles& files)
     : context_(SSL_CTX_new(TLS_server_method())) {
-  if (!context_) throw FileError(settings.certificate_path, "TLS can't be had: " + take_openssl_error());
+  if (!context_)
+    throw FileError(settings.certificate_path, "cannot create a TLS context: " + take_openssl_error());
   configure(settings);
   use_certificate(settings, files);
   use_private_key(settings, files);
@@ -46,11 +51,11 @@
                                    SSL_OP_CIPHER_SERVER_PREFERENCE | SSL_OP_IGNORE_UNEXPECTED_EOF);
   SSL_CTX_set_mode(context, SSL_MODE_ENABLE_PARTIAL_WRITE | SSL_MODE_ACCEPT_MOVING_WRITE_BUFFER |
                                 SSL_MODE_RELEASE_BUFFERS);
-  // One system call reads a record's header and its body.
+  // Reads the header and the body of a record with one system call.
   SSL_CTX_set_read_ahead(context, 1);
   SSL_CTX_set_max_cert_list(context, kMaxClientChainBytes);
   SSL_CTX_set_alpn_select_cb(context, select_application_protocol, nullptr);
-  // Sessions are resumed by tickets, which clients keep; nothing is kept here.
+  // Sessions are resumed by tickets, which the clients store. The server stores no sessions.
   SSL_CTX_set_session_cache_mode(context, SSL_SESS_CACHE_OFF);
   SSL_CTX_set_num_tickets(context, 1);
   SSL_CTX_set_timeout(context, static_cast<long>(settings.ticket_key_lifetime.s() * 2));
@@ -59,21 +64,23 @@
 }
 
 void TlsCredentials::use_certificate(const TlsSettings& settings, const TlsFiles& files) {
-  const auto pem = bio_over(files.certificate);
-  const OpensslPtr<X509> leaf(PEM_read_bio_X509_AUX(pem.get(), nullptr, refuse_pass_phrase, nullptr));
+  const auto pem = make_memory_bio(files.certificate);
+  const OpensslPtr<X509> leaf(PEM_read_bio_X509_AUX(pem.get(), nullptr, reject_passphrase_prompt, nullptr));
   if (!leaf || SSL_CTX_use_certificate(context_.get(), leaf.get()) != 1)
-    throw FileError(settings.certificate_path, "no PEM certificate: " + take_openssl_error());
-  while (X509* const intermediate = PEM_read_bio_X509(pem.get(), nullptr, refuse_pass_phrase, nullptr))
-    SSL_CTX_add0_chain_cert(context_.get(), intermediate);  // which owns it from then on
+    throw FileError(settings.certificate_path, "cannot load a PEM certificate: " + take_openssl_error());
+  while (X509* const intermediate = PEM_read_bio_X509(pem.get(), nullptr, reject_passphrase_prompt, nullptr))
+    SSL_CTX_add0_chain_cert(context_.get(), intermediate);  // takes ownership
   ERR_clear_error();
 }
 
 void TlsCredentials::use_private_key(const TlsSettings& settings, const TlsFiles& files) {
-  const auto pem = bio_over(files.key);
-  const OpensslPtr<EVP_PKEY> key(PEM_read_bio_PrivateKey(pem.get(), nullptr, refuse_pass_phrase, nullptr));
-  if (!key) throw FileError(settings.key_path, "no PEM private key: " + take_openssl_error());
+  const auto pem = make_memory_bio(files.key);
+  const OpensslPtr<EVP_PKEY> key(
+      PEM_read_bio_PrivateKey(pem.get(), nullptr, reject_passphrase_prompt, nullptr));
+  if (!key) throw FileError(settings.key_path, "cannot load a PEM private key: " + take_openssl_error());
   if (SSL_CTX_use_PrivateKey(context_.get(), key.get()) != 1)
-    throw FileError(settings.key_path, "does not belong to the certificate: " + take_openssl_error());
+    throw FileError(settings.key_path, "private key does not match the certificate '" +
+                                           settings.certificate_path + "': " + take_openssl_error());
 }
 
 }  // namespace ashbeam
--- a/src/transport/tls_credentials.hpp
+++ b/src/transport/tls_credentials.hpp
@@ -1,5 +1,5 @@
-// The server's TLS context (RFC 8446, RFC 5246): certificate, key, and who signs clients' certificates and
-// what of those is revoked. Complete once constructed; changed credentials are a new object.
+// The server's TLS context (TLS 1.3: RFC 8446, TLS 1.2: RFC 5246), with its certificate, its private key, and
+// the authorities and revocations for client certificates. Changed credentials are loaded into a new object.
 #pragma once
 #include <memory>
 
@@ -11,7 +11,9 @@
 
 class TlsCredentials {
  public:
-  // May be made on any thread; after that the event loop's thread alone uses it. Throws FileError.
+  // `files` holds the contents of the files that `settings` names. Any thread may call the constructor. After
+  // that only the event loop's thread may use the object. Throws FileError if the content of a file cannot be
+  // used.
   TlsCredentials(const TlsSettings& settings, const TlsFiles& files);
   TlsCredentials(const TlsCredentials&) = delete;
   TlsCredentials& operator=(const TlsCredentials&) = delete;
@@ -25,7 +27,7 @@
   void use_certificate(const TlsSettings& settings, const TlsFiles& files);
   void use_private_key(const TlsSettings& settings, const TlsFiles& files);
 
-  std::unique_ptr<ClientCertificateVerifier> verifier_;  // outlives the context
+  std::unique_ptr<ClientCertificateVerifier> verifier_;  // declared first, since it must outlive the context
   OpensslPtr<ssl_ctx_st> context_;
 };
 
--- a/src/transport/tls_server_stream.cpp
+++ b/src/transport/tls_server_stream.cpp
@@ -12,9 +12,10 @@
 
 namespace {
 
+// A number that no trust epoch has.
 constexpr std::uint64_t kNoTrustEpoch = 0;
 constexpr unsigned char kAlertNoRenegotiation = 100;  // RFC 5246, section 7.2
-constexpr std::size_t kAlertBytes = 2;                // its level and its description
+constexpr std::size_t kAlertBytes = 2;                // AlertLevel and AlertDescription, one byte each
 
 Duration thread_cpu_time() {
   timespec time{};
@@ -34,13 +35,14 @@
   SSL_set_msg_callback_arg(ssl_.get(), this);
 }
 
-TlsServerStream::~TlsServerStream() { leave_scheduler(); }
+TlsServerStream::~TlsServerStream() { finish_in_scheduler(); }
 
 // ---- Handshake ----
 
 TlsStream::HandshakeResult TlsServerStream::handshake() {
-  if (evicted_) return fail_handshake("gave way to another handshake");
-  // Once the handshake has ended, no handshake of the scheduler is meant.
+  if (evicted_)
+    return fail_handshake("evicted for a new handshake at the maximum number of concurrent handshakes");
+  // The scheduler does not know the handshake any more once it has ended.
   const auto id = handshake_id_.value_or(calling::HandshakeLimiter::kNone);
   if (!acceptor_.scheduler_.may_proceed(id)) return HandshakeResult::kDeferred;
   return continue_handshake();
@@ -60,7 +62,7 @@
     case SSL_ERROR_SSL:
       return fail_handshake(take_openssl_error());
     default:
-      return fail_handshake("broken off");
+      return fail_handshake("connection closed or reset");
   }
 }
 
@@ -68,25 +70,27 @@
   established_ = true;
   const bool resumed = SSL_session_reused(ssl_.get()) == 1;
   ++(resumed ? acceptor_.counts_.resumed : acceptor_.counts_.full);
-  leave_scheduler();
-  // A ticket of another epoch is not opened, so a resumed session was proven under this one. Where the
-  // credentials were replaced during the handshake, the proof is checked again before it counts.
+  finish_in_scheduler();
+  // Only tickets of the current epoch are opened, so the certificate of a resumed session was verified in
+  // that epoch. If the credentials were replaced during the handshake, the certificate is verified again
+  // before it is used.
   const bool credentials_current = credentials_ == acceptor_.credentials_;
   verified_epoch_ = credentials_current ? acceptor_.trust_epoch_ : kNoTrustEpoch;
   peer_leaf_.reset(SSL_get1_peer_certificate(ssl_.get()));
-  if (peer_leaf_) peer_certificate_ = describe_certificate(peer_leaf_.get());
+  if (peer_leaf_) peer_certificate_ = read_client_certificate(peer_leaf_.get());
   return HandshakeResult::kDone;
 }
 
 TlsStream::HandshakeResult TlsServerStream::fail_handshake(const std::string& reason) {
   ++acceptor_.counts_.failed;
-  // OpenSSL's words for a request line in place of a handshake.
-  acceptor_.log_fault(reason == "http request" ? "plain HTTP on the TLS port" : reason);
-  leave_scheduler();
+  // OpenSSL reports a plain HTTP request, in place of a handshake, with this reason.
+  acceptor_.log_client_error(reason == "http request" ? "handshake failed: plain HTTP request on the TLS port"
+                                                      : "handshake failed: " + reason);
+  finish_in_scheduler();
   return HandshakeResult::kFailed;
 }
 
-void TlsServerStream::leave_scheduler() {
+void TlsServerStream::finish_in_scheduler() {
   if (handshake_id_) acceptor_.scheduler_.finish(*handshake_id_);
   handshake_id_.reset();
 }
@@ -104,7 +108,7 @@
   resume_handshake();
 }
 
-// ---- Bytes ----
+// ---- Reading and writing ----
 
 IoResult TlsServerStream::receive(char* buffer, std::size_t size) {
   ERR_clear_error();
@@ -124,12 +128,12 @@
   const int error = SSL_get_error(ssl_.get(), 0);
   if (error == SSL_ERROR_ZERO_RETURN) return IoResult::ended();
   if (renegotiation_refused_) {
-    acceptor_.log_fault("renegotiation");
+    acceptor_.log_client_error("connection closed: client requested a renegotiation, which is not supported");
     broken_ = true;
     return IoResult::broken();
   }
   if (error == SSL_ERROR_WANT_READ || error == SSL_ERROR_WANT_WRITE) return IoResult::would_block();
-  if (error == SSL_ERROR_SSL) acceptor_.log_fault(take_openssl_error());
+  if (error == SSL_ERROR_SSL) acceptor_.log_client_error("connection failed: " + take_openssl_error());
   broken_ = true;
   return IoResult::broken();
 }
@@ -143,8 +147,9 @@
   ERR_clear_error();
 }
 
-// OpenSSL answers each renegotiation with a warning alone, and a client could go on asking for the CPU time
-// of handshakes: seen here, the connection is ended instead.
+// OpenSSL answers each request for renegotiation only with the warning alert no_renegotiation, and a client
+// could repeat such requests to use CPU time. When that alert is sent, the connection is marked here, and is
+// closed after the call that sent it.
 void TlsServerStream::observe_message(int sent, int, int content_type, const void* bytes, std::size_t size,
                                       ssl_st*, void* self) {
   const bool alert_sent = sent == 1 && content_type == SSL3_RT_ALERT && size == kAlertBytes;
@@ -152,24 +157,24 @@
     static_cast<TlsServerStream*>(self)->renegotiation_refused_ = true;
 }
 
-// ---- Peer proof ----
+// ---- Certificate of the peer ----
 
 TlsStream::PeerCertificate TlsServerStream::peer_certificate(Instant now) {
   if (!peer_leaf_) return {};
   if (verified_epoch_ != acceptor_.trust_epoch_) {
-    peer_valid_ = still_valid();
+    peer_valid_ = is_peer_still_valid();
     verified_epoch_ = acceptor_.trust_epoch_;
   }
   const bool expired = now + acceptor_.loop_.wall_clock_offset() > peer_certificate_.not_after;
   return {&peer_certificate_, !peer_valid_ || expired};
 }
 
-// Where clients are no longer asked for certificates, none proves anything.
-bool TlsServerStream::still_valid() const {
+// A certificate is not valid any more if the current credentials do not request client certificates.
+bool TlsServerStream::is_peer_still_valid() const {
   ClientCertificateVerifier& verifier = acceptor_.credentials_->verifier();
-  if (!verifier.enabled()) return false;
+  if (!verifier.is_enabled()) return false;
   const bool resumed = SSL_session_reused(ssl_.get()) == 1;
-  return verifier.still_valid(peer_leaf_.get(), resumed ? nullptr : SSL_get_peer_cert_chain(ssl_.get()));
+  return verifier.is_still_valid(peer_leaf_.get(), resumed ? nullptr : SSL_get_peer_cert_chain(ssl_.get()));
 }
 
 }  // namespace ashbeam
--- a/src/transport/tls_server_stream.hpp
+++ b/src/transport/tls_server_stream.hpp
@@ -1,4 +1,5 @@
-// The server's side of one TLS connection, by OpenSSL. Made by TlsAcceptor, which must outlive it.
+// The server side of one TLS connection, implemented with OpenSSL. TlsAcceptor creates it and must outlive
+// it.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -18,6 +19,8 @@
 
 class TlsServerStream : public TlsStream {
  public:
+  // `fd` remains owned by the caller and must stay open while the stream exists. `handshake_id` is the id
+  // that HandshakeScheduler::admit() returned.
   TlsServerStream(TlsAcceptor& acceptor, std::shared_ptr<TlsCredentials> credentials, int fd,
                   HandshakeScheduler::Id handshake_id);
   ~TlsServerStream() override;
@@ -32,34 +35,39 @@
   void shutdown() override;
   PeerCertificate peer_certificate(Instant now) override;
 
-  // For the scheduler: a deferred handshake may go on.
+  // Called by the scheduler when a deferred handshake may continue.
   void resume_handshake();
-  // For the scheduler: the handshake is to fail, since another one needs its place.
+  // Called by the scheduler to make the handshake fail, so that another one can be admitted in its place.
   void evict();
 
  private:
+  // The callback of SSL_set_msg_callback(3), which is called for each protocol message that is sent or
+  // received.
   static void observe_message(int sent, int version, int content_type, const void* bytes, std::size_t size,
                               ssl_st* ssl, void* self);
   HandshakeResult continue_handshake();
   HandshakeResult complete_handshake();
   HandshakeResult fail_handshake(const std::string& reason);
-  void leave_scheduler();
+  // Reports the end of the handshake to the scheduler, once.
+  void finish_in_scheduler();
+  // Returns the result of an SSL_read_ex(3) or SSL_write_ex(3) that has failed.
   IoResult result_of_failed_call();
-  bool still_valid() const;
+  // Verifies the certificate of the peer again with the acceptor's current credentials.
+  bool is_peer_still_valid() const;
 
   TlsAcceptor& acceptor_;
-  std::shared_ptr<TlsCredentials> credentials_;  // outlives ssl_
+  std::shared_ptr<TlsCredentials> credentials_;  // declared before ssl_, which it must outlive
   OpensslPtr<ssl_st> ssl_;
-  OpensslPtr<x509_st> peer_leaf_;  // null: none was shown
+  OpensslPtr<x509_st> peer_leaf_;  // null if the peer sent no certificate
   calling::ClientCertificate peer_certificate_;
-  std::optional<HandshakeScheduler::Id> handshake_id_;  // until the handshake has ended
+  std::optional<HandshakeScheduler::Id> handshake_id_;  // empty once the handshake has ended
   std::function<void()> resume_callback_;
   bool established_ = false;
   bool evicted_ = false;
   bool broken_ = false;
   bool renegotiation_refused_ = false;
   bool peer_valid_ = true;
-  std::uint64_t verified_epoch_ = 0;  // the trust epoch that `peer_valid_` holds for; 0: none
+  std::uint64_t verified_epoch_ = 0;  // the trust epoch in which `peer_valid_` was determined; 0 if in none
 };
 
 }  // namespace ashbeam
--- a/src/transport/tls_stream.hpp
+++ b/src/transport/tls_stream.hpp
@@ -1,7 +1,8 @@
-// Encrypted bytes of one connection: what stands between its socket and its plain bytes.
+// The interface of a TLS connection on a non-blocking socket. It encrypts the bytes that are sent and
+// decrypts those that are received.
 //
-// Order of calls: `handshake` until it is done or has failed, then `receive` and `send`, at last `shutdown`.
-// All calls come from the event loop's thread.
+// The caller calls handshake() until it returns kDone or kFailed, then receive() and send(), and finally
+// shutdown(). All calls must be made on the event loop's thread.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -17,31 +18,35 @@
  public:
   enum class HandshakeResult : std::uint8_t {
     kDone,
-    kWantRead,   // call again once the socket is readable
-    kWantWrite,  // call again once the socket is readable or writable
-    kDeferred,   // its CPU budget is spent: call again when the callback says so
+    kWantRead,   // call handshake() again when the socket is readable
+    kWantWrite,  // call handshake() again when the socket is readable or writable
+    kDeferred,   // no CPU time is available; call handshake() again from the resume callback
     kFailed,
   };
   struct PeerCertificate {
-    const calling::ClientCertificate* certificate = nullptr;  // null: none was shown
-    bool is_rejected = false;                                 // one was shown, and is not valid any more
+    const calling::ClientCertificate* certificate = nullptr;  // null if the peer sent none
+    bool is_rejected = false;                                 // the peer sent one that is not valid any more
   };
 
   virtual ~TlsStream() = default;
 
-  // Takes the handshake as far as it goes without blocking.
+  // Continues the handshake as far as possible without blocking.
   virtual HandshakeResult handshake() = 0;
-  // `callback` says that handshake() is to be called again: a deferred one may go on, or one has been evicted
-  // and fails. It may come without a deferral.
+  // Sets the function that is called when handshake() must be called again, because a deferred handshake may
+  // continue, or because the handshake was evicted and will fail. It may also be called if the handshake was
+  // not deferred.
   virtual void set_handshake_resume_callback(std::function<void()> callback) = 0;
+  // Reads up to `size` decrypted bytes into `buffer`.
   virtual IoResult receive(char* buffer, std::size_t size) = 0;
+  // Encrypts and writes up to `size` bytes. The result says how many bytes were written.
   virtual IoResult send(const char* bytes, std::size_t size) = 0;
-  // Are there bytes that left the socket and were not received yet?
+  // Returns whether the stream holds bytes that it has read from the socket and that receive() has not
+  // returned.
   virtual bool has_buffered_bytes() const = 0;
-  // Tells the other side that nothing more comes (RFC 8446, section 6.1).
+  // Sends the closure alert close_notify (RFC 8446, section 6.1).
   virtual void shutdown() = 0;
-  // Who the other side has proven to be, as things stand now: a certificate that was revoked since, or has
-  // expired, is refused. `now` is the event loop's time.
+  // Returns the certificate with which the peer authenticated in the handshake. It is rejected if it has
+  // expired, or has been revoked since the handshake. `now` is the event loop's time.
   virtual PeerCertificate peer_certificate(Instant now) = 0;
 };
 
--- a/src/transport/x509_fields.cpp
+++ b/src/transport/x509_fields.cpp
@@ -29,7 +29,8 @@
   return hex;
 }
 
-std::string subject_entry(X509* certificate, int nid) {
+// Returns the value in UTF-8 of the subject's first attribute of the type `nid`, or an empty string.
+std::string subject_attribute(X509* certificate, int nid) {
   const X509_NAME* const subject = X509_get_subject_name(certificate);
   const int index = X509_NAME_get_index_by_NID(subject, nid, -1);
   if (index < 0) return {};
@@ -38,12 +39,13 @@
   if (size < 0) return {};
   const OpensslBuffer<unsigned char> owned(utf8);
   std::string text(reinterpret_cast<char*>(utf8), static_cast<std::size_t>(size));
-  // Other programs would read such a name up to its zero byte only, and take it for another principal's.
+  // A program that handles names as C strings would read such a name only up to its zero byte, and could
+  // mistake it for the name of another principal.
   if (text.size() > kMaxNameBytes || text.find('\0') != std::string::npos) return {};
   return text;
 }
 
-// The far past where the time can't be read.
+// Returns Instant(), which is in the distant past, if the time cannot be parsed.
 Instant to_instant(const ASN1_TIME* time) {
   std::tm parts{};
   if (ASN1_TIME_to_tm(time, &parts) != 1) return Instant();
@@ -52,7 +54,7 @@
 
 }  // namespace
 
-std::string serial_number_of(x509_st* certificate) {
+std::string serial_number_hex(x509_st* certificate) {
   const OpensslPtr<BIGNUM> number(ASN1_INTEGER_to_BN(X509_get0_serialNumber(certificate), nullptr));
   const OpensslBuffer<char> hex(BN_bn2hex(number.get()));
   std::string text(hex.get());
@@ -60,7 +62,7 @@
   return text.substr(std::min(text.find_first_not_of('0'), text.size() - 1));
 }
 
-std::string public_key_digest_of(x509_st* certificate) {
+std::string public_key_sha256_hex(x509_st* certificate) {
   unsigned char* der = nullptr;
   const int size = i2d_X509_PUBKEY(X509_get_X509_PUBKEY(certificate), &der);
   if (size <= 0) return {};
@@ -69,15 +71,15 @@
   return to_hex({reinterpret_cast<const char*>(digest.data()), digest.size()});
 }
 
-calling::ClientCertificate describe_certificate(x509_st* certificate) {
-  calling::ClientCertificate described;
-  described.organisation = subject_entry(certificate, NID_organizationName);
-  described.common_name = subject_entry(certificate, NID_commonName);
-  auto size = static_cast<unsigned>(described.sha256.size());
-  X509_digest(certificate, EVP_sha256(), described.sha256.data(), &size);
-  described.not_before = to_instant(X509_get0_notBefore(certificate));
-  described.not_after = to_instant(X509_get0_notAfter(certificate));
-  return described;
+calling::ClientCertificate read_client_certificate(x509_st* certificate) {
+  calling::ClientCertificate fields;
+  fields.organisation = subject_attribute(certificate, NID_organizationName);
+  fields.common_name = subject_attribute(certificate, NID_commonName);
+  auto size = static_cast<unsigned>(fields.sha256.size());
+  X509_digest(certificate, EVP_sha256(), fields.sha256.data(), &size);
+  fields.not_before = to_instant(X509_get0_notBefore(certificate));
+  fields.not_after = to_instant(X509_get0_notAfter(certificate));
+  return fields;
 }
 
 }  // namespace ashbeam
--- a/tests/tls_test.cpp
+++ b/tests/tls_test.cpp
@@ -1,5 +1,6 @@
-// The TLS listener: which clients it trusts, revocation, replaced credentials, and invalid bytes. The router
-// runs on one event loop, the fakes on another, each with its thread.
+// Tests of the TLS listener: client authentication, revocation, replacement of credentials, invalid input and
+// the limits on handshakes. The router runs on one event loop and the fakes on another, each on a thread of
+// its own.
 #include <Poco/Exception.h>
 #include <openssl/ssl.h>
 #include <openssl/x509.h>
@@ -33,7 +34,7 @@
   TlsFiles tls_files_;
   calling::CallingSettings calling_settings_ = shop_settings();
   Limits limits_;
-  // The fakes, on a thread of their own.
+  // The fakes, which run on fakes_thread_.
   EventLoop fakes_loop_;
   std::string seen_principal_;
   std::unique_ptr<fakes::Endpoint> endpoint_;
@@ -41,11 +42,11 @@
   std::unique_ptr<fakes::ReleasePlatform> release_platform_;
   std::string answer_body_ = "ok";
   std::thread fakes_thread_;
-  // The router, on another.
+  // The router, which runs on router_thread_.
   EventLoop router_loop_;
   std::unique_ptr<Service> service_;
   std::thread router_thread_;
-  std::vector<std::string> log_lines_;  // read once both have ended
+  std::vector<std::string> log_lines_;  // written by the router's thread, read after stop_router()
 
   void SetUp() override {
     std::signal(SIGPIPE, SIG_IGN);
@@ -53,7 +54,7 @@
     tls_settings_.client_certificates = TlsSettings::ClientCertificates::kOptional;
     tls_files_ = {server_identity_.certificate_pem, server_identity_.key_pem, authority_.pem(), "", ""};
   }
-  void make_fakes() {
+  void create_fakes() {
     const auto serve = [this](const http::Head& head, const std::string&) {
       seen_principal_ = std::string(head.find("X-Caller").value_or("-"));
       fakes::EndpointAnswer answer;
@@ -66,7 +67,7 @@
                                                                  [](const fakes::ReleasePlatform::State&) {});
     discovery_->put({"h", endpoint_->address(), fakes::ListedState::kUp, 1, Instant()});
   }
-  void make_router() {
+  void create_router() {
     const WireSettings wire_settings{{"look", "book", "pay"}, {"shop"},       {"one"}, {"usual"}, {},
                                      Duration::ms(250),       Duration::s(20)};
     RouterSettings settings = default_settings();
@@ -82,46 +83,47 @@
                              false);
     service_->start();
   }
-  // Returns once the router is ready: it rejects requests (503) until discovery has confirmed its list.
+  // Returns once the router is ready. Until discovery has confirmed the endpoint list, the router answers
+  // requests with status 503.
   void start_router() {
-    make_fakes();
-    make_router();
+    create_fakes();
+    create_router();
     fakes_loop_.enable_posts_from_threads();
     router_loop_.enable_posts_from_threads();
     fakes_thread_ = std::thread([this] { fakes_loop_.run(); });
     router_thread_ = std::thread([this] { router_loop_.run(); });
-    ASSERT_TRUE(becomes_true([this] { return is_ready(); }));
+    ASSERT_TRUE(wait_until([this] { return is_ready(); }));
   }
   bool is_ready() const {
     Stream connection = connect_to(service_->port());
     connection.send("GET /health/ready HTTP/1.1\r\n\r\n");
     return status_of(connection.read_message()) == 200;
   }
-  // Waits for a condition of another thread.
-  static bool becomes_true(const std::function<bool()>& condition) {
-    constexpr auto kPatience = std::chrono::seconds(5);
-    const auto give_up_at = std::chrono::steady_clock::now() + kPatience;
+  // Waits until another thread has made the condition true. Returns false after a timeout.
+  static bool wait_until(const std::function<bool()>& condition) {
+    constexpr auto kTimeout = std::chrono::seconds(5);
+    const auto deadline = std::chrono::steady_clock::now() + kTimeout;
     while (!condition()) {
-      if (std::chrono::steady_clock::now() >= give_up_at) return false;
+      if (std::chrono::steady_clock::now() >= deadline) return false;
       usleep(1000);
     }
     return true;
   }
   void stop_router() {
     if (!router_thread_.joinable()) return;
-    run_on(router_loop_, [this] { router_loop_.stop(); });
+    run_on_loop(router_loop_, [this] { router_loop_.stop(); });
     router_thread_.join();
-    run_on(fakes_loop_, [this] { fakes_loop_.stop(); });
+    run_on_loop(fakes_loop_, [this] { fakes_loop_.stop(); });
     fakes_thread_.join();
   }
   void TearDown() override { stop_router(); }
-  bool logged(const std::string& part) const {
+  bool has_log_line(const std::string& part) const {
     return std::any_of(log_lines_.begin(), log_lines_.end(),
                        [&](const std::string& line) { return line.find(part) != std::string::npos; });
   }
-  // Runs `function` on the loop's thread, and returns once it has run.
-  static void run_on(EventLoop& loop, const std::function<void()>& function) {
-    // Shared: the loop may still hold it once this has returned.
+  // Runs `function` on the loop's thread and returns after it has run.
+  static void run_on_loop(EventLoop& loop, const std::function<void()>& function) {
+    // Shared, because the loop may destroy its copy after this function has returned.
     const auto done = std::make_shared<std::promise<void>>();
     auto future = done->get_future();
     loop.post_from_thread([&function, done] {
@@ -135,21 +137,21 @@
     future.wait();
   }
   void replace_credentials() {
-    run_on(router_loop_, [this] {
+    run_on_loop(router_loop_, [this] {
       service_->tls_acceptor()->replace_credentials(
           tls_settings_, std::make_shared<TlsCredentials>(tls_settings_, tls_files_));
     });
   }
   std::size_t handshakes_in_progress() {
     std::size_t count = 0;
-    run_on(router_loop_, [&] { count = service_->tls_acceptor()->handshakes_in_progress(); });
+    run_on_loop(router_loop_, [&] { count = service_->tls_acceptor()->handshakes_in_progress(); });
     return count;
   }
   std::string address() const { return "127.0.0.1:" + std::to_string(service_->tls_port()); }
-  std::shared_ptr<ClientTls> tls(const fakes::Identity* id, bool resume = false,
-                                 int newest_version = TLS1_3_VERSION,
-                                 const fakes::Identity* intermediate = nullptr) {
-    return std::make_shared<ClientTls>(id, intermediate, resume, newest_version);
+  std::shared_ptr<ClientTls> client_tls(const fakes::Identity* identity, bool resume = false,
+                                        int max_version = TLS1_3_VERSION,
+                                        const fakes::Identity* intermediate = nullptr) {
+    return std::make_shared<ClientTls>(identity, intermediate, resume, max_version);
   }
   struct Response {
     unsigned status = 0;
@@ -157,14 +159,15 @@
     bool resumed = false;
     bool closed = false;
   };
-  // Clients belong to the fakes' loop: they are made and destroyed there.
+  // Clients use the fakes' event loop, and therefore are created and destroyed on its thread.
   using ClientPtr = std::shared_ptr<Client>;
-  ClientPtr make_client(std::shared_ptr<ClientTls> tls) {
+  ClientPtr create_client(std::shared_ptr<ClientTls> tls) {
     ClientPtr client;
-    run_on(fakes_loop_, [&] { client = std::make_shared<Client>(fakes_loop_, limits_, address(), tls); });
+    run_on_loop(fakes_loop_,
+                [&] { client = std::make_shared<Client>(fakes_loop_, limits_, address(), tls); });
     return client;
   }
-  // Sends a request and waits for its response; status 0 where the connection ended instead.
+  // Sends a request and waits for its response. The status is 0 if the connection ended without one.
   Response send(ClientPtr& client, const std::string& request = get()) {
     const auto response = std::make_shared<std::promise<Response>>();
     auto future = response->get_future();
@@ -177,11 +180,11 @@
     return future.get();
   }
   void disconnect(ClientPtr& client) {
-    usleep(20000);  // a ticket comes after the handshake
-    run_on(fakes_loop_, [&] { client->disconnect(); });
+    usleep(20000);  // for the session ticket, which arrives after the handshake
+    run_on_loop(fakes_loop_, [&] { client->disconnect(); });
   }
   void destroy(ClientPtr& client) {
-    run_on(fakes_loop_, [&] { client.reset(); });
+    run_on_loop(fakes_loop_, [&] { client.reset(); });
   }
   static Stream connect_to(std::uint16_t port) {
     const int fd = ::socket(AF_INET, SOCK_STREAM, 0);
@@ -195,11 +198,11 @@
   Stream open_connection() const { return connect_to(service_->tls_port()); }
 };
 
-TEST_F(TlsTest, ACertificateProvesThePrincipalAndItsSessionIsResumed) {
+TEST_F(TlsTest, AuthenticatesClientByCertificateAndResumesItsSession) {
   answer_body_ = std::string(60'000, 'b');
   start_router();
-  for (const int newest : {TLS1_2_VERSION, TLS1_3_VERSION}) {
-    ClientPtr client = make_client(tls(&client_identity_, true, newest));
+  for (const int max_version : {TLS1_2_VERSION, TLS1_3_VERSION}) {
+    ClientPtr client = create_client(client_tls(&client_identity_, true, max_version));
     const Response first = send(client);
     EXPECT_EQ(first.status, 200U);
     EXPECT_EQ(first.body, answer_body_);
@@ -209,29 +212,30 @@
     disconnect(client);
     const Response second = send(client);
     EXPECT_EQ(second.status, 200U);
-    EXPECT_TRUE(second.resumed) << newest;
+    EXPECT_TRUE(second.resumed) << max_version;
     destroy(client);
   }
 }
 
-TEST_F(TlsTest, UntrustedClientsAreRefused) {
-  const fakes::CertificateAuthority stranger("authority");  // of the same name
-  const fakes::Identity forged = stranger.issue("shop", "van", Duration::s(3600));
+TEST_F(TlsTest, RejectsClientsWithUntrustedOrMissingCertificates) {
+  // Has the same name as the trusted authority, but another key.
+  const fakes::CertificateAuthority untrusted_authority("authority");
+  const fakes::Identity untrusted = untrusted_authority.issue("shop", "van", Duration::s(3600));
   const fakes::Identity expired = authority_.issue("shop", "van", Duration::s(-30));
-  const fakes::Identity elsewhere = authority_.issue("elsewhere", "van", Duration::s(3600));
+  const fakes::Identity unknown_tenant = authority_.issue("elsewhere", "van", Duration::s(3600));
   start_router();
-  const auto status_for = [&](const fakes::Identity* id) {
-    ClientPtr client = make_client(tls(id));
+  const auto status_for = [&](const fakes::Identity* identity) {
+    ClientPtr client = create_client(client_tls(identity));
     const unsigned status = send(client).status;
     destroy(client);
     return status;
   };
   EXPECT_EQ(status_for(&client_identity_), 200U);
   EXPECT_EQ(status_for(nullptr), 401U);
-  EXPECT_EQ(status_for(&elsewhere), 403U);
-  EXPECT_EQ(status_for(&forged), 0U);
+  EXPECT_EQ(status_for(&unknown_tenant), 403U);
+  EXPECT_EQ(status_for(&untrusted), 0U);
   EXPECT_EQ(status_for(&expired), 0U);
-  EXPECT_EQ(status_for(&server_identity_), 0U);  // its purpose is not client authentication
+  EXPECT_EQ(status_for(&server_identity_), 0U);  // its extended key usage is not client authentication
   tls_settings_.client_certificates = TlsSettings::ClientCertificates::kRequired;
   replace_credentials();
   EXPECT_EQ(status_for(nullptr), 0U);
@@ -240,7 +244,7 @@
 
 enum class Revocation { kBySerial, kByKey, kByCrl };
 
-// HEX in upper case, which the list of revoked certificates allows as well.
+// Returns upper-case digits, to test that the list of revoked certificates ignores case.
 std::string public_key_digest_of(const fakes::Identity& identity) {
   unsigned char* der = nullptr;
   const int size = i2d_PUBKEY(identity.key.get(), &der);
@@ -255,30 +259,30 @@
   return hex;
 }
 
-TEST_F(TlsTest, ARevokedCertificateIsRefusedHoweverItConnects) {
+TEST_F(TlsTest, RejectsRevokedCertificateOnOpenResumedAndNewConnections) {
   const fakes::Identity other = authority_.issue("shop", "other", Duration::s(3600));
   start_router();
-  for (const Revocation how : {Revocation::kBySerial, Revocation::kByKey, Revocation::kByCrl}) {
-    const auto trace = testing::Message() << "revocation " << static_cast<int>(how);
-    const fakes::Identity revoked = authority_.issue("shop", "gone", Duration::s(3600));
-    ClientPtr connected = make_client(tls(&revoked));
-    ClientPtr resuming = make_client(tls(&revoked, true));
-    ClientPtr mid_request = make_client(tls(&revoked));
-    ClientPtr not_revoked = make_client(tls(&other, true));
+  for (const Revocation kind : {Revocation::kBySerial, Revocation::kByKey, Revocation::kByCrl}) {
+    const auto trace = testing::Message() << "revocation " << static_cast<int>(kind);
+    const fakes::Identity revoked = authority_.issue("shop", "revoked", Duration::s(3600));
+    ClientPtr connected = create_client(client_tls(&revoked));
+    ClientPtr resuming = create_client(client_tls(&revoked, true));
+    ClientPtr mid_request = create_client(client_tls(&revoked));
+    ClientPtr not_revoked = create_client(client_tls(&other, true));
     EXPECT_EQ(send(connected).status, 200U);
     EXPECT_EQ(send(resuming).status, 200U);
     EXPECT_EQ(send(not_revoked).status, 200U);
     EXPECT_EQ(send(mid_request).status, 200U);
     disconnect(resuming);
-    // A request whose body is still to come when its client is revoked.
+    // The last byte of this request is sent only after the certificate has been revoked.
     const std::string request = post("pay");
     std::promise<unsigned> mid_request_status;
-    run_on(fakes_loop_, [&] {
+    run_on_loop(fakes_loop_, [&] {
       mid_request->send(request.substr(0, request.size() - 1),
                         [&](const Client::Answer& answer) { mid_request_status.set_value(answer.status); });
     });
     usleep(30000);
-    switch (how) {
+    switch (kind) {
       case Revocation::kBySerial:
         tls_files_.revoked += "# stolen\nserial: 00" + revoked.serial + "\n";
         break;
@@ -292,31 +296,31 @@
     }
     tls_settings_.revoked_path = "revoked";
     replace_credentials();
-    run_on(fakes_loop_, [&] { mid_request->send_rest(request.substr(request.size() - 1)); });
+    run_on_loop(fakes_loop_, [&] { mid_request->send_rest(request.substr(request.size() - 1)); });
     EXPECT_EQ(mid_request_status.get_future().get(), 401U) << trace;
     const Response refused = send(connected);
     EXPECT_EQ(refused.status, 401U) << trace;
     EXPECT_TRUE(refused.closed);
-    EXPECT_EQ(send(connected).status, 0U) << trace;  // by a new handshake
-    const Response by_ticket = send(resuming);
-    EXPECT_EQ(by_ticket.status, 0U) << trace;
-    EXPECT_EQ(send(not_revoked).status, 200U) << trace;  // on the connection that it has
+    EXPECT_EQ(send(connected).status, 0U) << trace;  // its new handshake fails
+    const Response resumed_response = send(resuming);
+    EXPECT_EQ(resumed_response.status, 0U) << trace;
+    EXPECT_EQ(send(not_revoked).status, 200U) << trace;  // on its open connection
     for (ClientPtr* client : {&connected, &resuming, &mid_request, &not_revoked}) destroy(*client);
   }
 }
 
-TEST_F(TlsTest, AHandshakeAcrossARevocationLeavesNoTicketThatOpens) {
+TEST_F(TlsTest, IssuesNoUsableTicketIfCertificateIsRevokedDuringHandshake) {
   start_router();
-  ClientPtr client = make_client(tls(&client_identity_, true));
+  ClientPtr client = create_client(client_tls(&client_identity_, true));
   tls_settings_.revoked_path = "revoked";
   tls_files_.revoked = "serial:" + client_identity_.serial + "\n";
   std::promise<unsigned> status;
   const std::string request = get();
-  run_on(fakes_loop_, [&] {
+  run_on_loop(fakes_loop_, [&] {
     client->send(request, [&](const Client::Answer& answer) { status.set_value(answer.status); });
-    // The router has accepted the connection under the former credentials; nothing of the handshake has been
-    // sent, since the client's loop waits here.
-    EXPECT_TRUE(becomes_true([this] { return handshakes_in_progress() == 1; }));
+    // Waits until the router has accepted the connection with the former credentials. The client has not sent
+    // any part of the handshake, because its event loop is blocked here.
+    EXPECT_TRUE(wait_until([this] { return handshakes_in_progress() == 1; }));
     replace_credentials();
   });
   EXPECT_EQ(status.get_future().get(), 401U);
@@ -325,24 +329,24 @@
   destroy(client);
 }
 
-TEST_F(TlsTest, CredentialsAreReplacedWithoutDroppingAConnection) {
-  const fakes::CertificateAuthority intermediate = authority_.intermediate("between");
-  const fakes::Identity leaf = authority_.issue("shop", "led", Duration::s(3600), false, &intermediate);
+TEST_F(TlsTest, KeepsOpenConnectionsWhenCredentialsAreReplaced) {
+  const fakes::CertificateAuthority intermediate = authority_.intermediate("intermediate");
+  const fakes::Identity leaf = authority_.issue("shop", "chained", Duration::s(3600), false, &intermediate);
   const fakes::Identity intermediate_identity = intermediate.self();
   start_router();
-  ClientPtr direct = make_client(tls(&client_identity_, true));
-  ClientPtr with_chain = make_client(tls(&leaf, true, TLS1_3_VERSION, &intermediate_identity));
-  ClientPtr resumed = make_client(tls(&leaf, true, TLS1_3_VERSION, &intermediate_identity));
+  ClientPtr direct = create_client(client_tls(&client_identity_, true));
+  ClientPtr with_chain = create_client(client_tls(&leaf, true, TLS1_3_VERSION, &intermediate_identity));
+  ClientPtr resumed = create_client(client_tls(&leaf, true, TLS1_3_VERSION, &intermediate_identity));
   for (ClientPtr* client : {&direct, &with_chain, &resumed}) EXPECT_EQ(send(*client).status, 200U);
   disconnect(resumed);
-  EXPECT_TRUE(send(resumed).resumed);  // a resumed session has its leaf alone
+  EXPECT_TRUE(send(resumed).resumed);  // a resumed session contains the leaf certificate alone
   server_identity_ = authority_.issue("", "router", Duration::s(3600), true);
   tls_files_.certificate = server_identity_.certificate_pem;
   tls_files_.key = server_identity_.key_pem;
   replace_credentials();
   for (ClientPtr* client : {&direct, &with_chain, &resumed}) EXPECT_EQ(send(*client).status, 200U);
   disconnect(direct);
-  EXPECT_TRUE(send(direct).resumed);  // the trust did not change
+  EXPECT_TRUE(send(direct).resumed);  // the server certificate does not affect the trust in clients
   tls_settings_.revoked_path = "revoked";
   tls_files_.revoked = "serial:12\n";
   replace_credentials();
@@ -352,20 +356,19 @@
     EXPECT_FALSE(response.closed);
   }
   disconnect(direct);
-  EXPECT_FALSE(send(direct).resumed);  // verified by a full handshake
-  tls_files_.revoked =
-      "serial:12\nserial:" + intermediate_identity.serial + "\n";  // the intermediate is revoked
+  EXPECT_FALSE(send(direct).resumed);  // the ticket is of a former trust epoch
+  tls_files_.revoked = "serial:12\nserial:" + intermediate_identity.serial + "\n";
   replace_credentials();
   EXPECT_EQ(send(with_chain).status, 401U);
   EXPECT_EQ(send(resumed).status, 401U);
   EXPECT_EQ(send(direct).status, 200U);
   for (ClientPtr* client : {&direct, &with_chain, &resumed}) destroy(*client);
   stop_router();
-  EXPECT_TRUE(logged("trust as it was, epoch 1"));
-  EXPECT_TRUE(logged("trust changed, epoch 3"));
+  EXPECT_TRUE(has_log_line("trust in client certificates unchanged, trust epoch 1"));
+  EXPECT_TRUE(has_log_line("trust in client certificates changed, trust epoch 3"));
 }
 
-TEST_F(TlsTest, InvalidBytesEndTheConnectionAndAreLoggedOnceASecond) {
+TEST_F(TlsTest, ClosesConnectionOnInvalidBytesAndLogsEachErrorOncePerSecond) {
   tls_settings_.handshake_timeout = Duration::ms(300);
   start_router();
   for (int i = 0; i < 20; ++i) {
@@ -373,33 +376,33 @@
     plain_http.send(get());
     EXPECT_TRUE(plain_http.closed_by_peer());
   }
-  Stream noise = open_connection();
+  Stream invalid_bytes = open_connection();
   Stream long_record = open_connection();
   Stream silent = open_connection();
   Stream partial_record = open_connection();
-  noise.send(std::string(300, '\x7f'));
+  invalid_bytes.send(std::string(300, '\x7f'));
   long_record.send(std::string("\x16\x03\x01\xff\xff", 5) +
-                   std::string(1000, 'a'));  // a record over 2^14 bytes
+                   std::string(1000, 'a'));  // a record length of more than 2^14 bytes
   partial_record.send(std::string("\x16\x03\x01\x00\x80", 5));
-  for (Stream* stream : {&noise, &long_record}) {
-    while (stream->receive(500)) {  // the alert
+  for (Stream* stream : {&invalid_bytes, &long_record}) {
+    while (stream->receive(500)) {  // reads the TLS alert
     }
     EXPECT_TRUE(stream->closed_by_peer());
   }
   EXPECT_TRUE(silent.closed_by_peer(600));
   EXPECT_TRUE(partial_record.closed_by_peer(600));
-  ClientPtr client = make_client(tls(&client_identity_));
+  ClientPtr client = create_client(client_tls(&client_identity_));
   EXPECT_EQ(send(client).status, 200U);
   destroy(client);
   stop_router();
   const auto plain_http_lines = std::count_if(log_lines_.begin(), log_lines_.end(), [](const auto& line) {
-    return line.find("plain HTTP") != std::string::npos;
+    return line.find("plain HTTP request on the TLS port") != std::string::npos;
   });
   EXPECT_LE(plain_http_lines, 2);
-  EXPECT_TRUE(logged("tls: plain HTTP on the TLS port"));
+  EXPECT_TRUE(has_log_line("tls: handshake failed: plain HTTP request on the TLS port"));
 }
 
-TEST_F(TlsTest, ARenegotiationEndsTheConnection) {
+TEST_F(TlsTest, ClosesConnectionOnRenegotiation) {
   start_router();
   Stream connection = open_connection();
   const std::unique_ptr<SSL_CTX, decltype(&SSL_CTX_free)> context(SSL_CTX_new(TLS_client_method()),
@@ -413,10 +416,10 @@
   EXPECT_TRUE(connection.closed_by_peer() || SSL_get_error(ssl.get(), -1) == SSL_ERROR_SSL);
   usleep(30000);
   stop_router();
-  EXPECT_TRUE(logged("tls: renegotiation"));
+  EXPECT_TRUE(has_log_line("tls: connection closed: client requested a renegotiation"));
 }
 
-TEST_F(TlsTest, SilentHandshakesAreEvictedForOthers) {
+TEST_F(TlsTest, EvictsSilentHandshakesForNewClients) {
   tls_settings_.max_handshakes = 8;
   tls_settings_.handshake_timeout = Duration::s(5);
   start_router();
@@ -424,38 +427,38 @@
   for (int i = 0; i < 40; ++i) silent.push_back(open_connection());
   usleep(150000);
   for (int i = 0; i < 5; ++i) {
-    ClientPtr client = make_client(tls(&client_identity_));
+    ClientPtr client = create_client(client_tls(&client_identity_));
     EXPECT_EQ(send(client).status, 200U) << i;
     destroy(client);
   }
 }
 
-TEST_F(TlsTest, AFloodOfHandshakesKeepsToItsBudget) {
+TEST_F(TlsTest, LimitsCpuTimeOfHandshakeFlood) {
   tls_settings_.max_handshake_cpu_fraction = 0.02;
   tls_settings_.handshake_timeout = Duration::ms(400);
   start_router();
-  ClientPtr established = make_client(tls(&client_identity_));
+  ClientPtr established = create_client(client_tls(&client_identity_));
   EXPECT_EQ(send(established).status, 200U);
   std::vector<ClientPtr> flood;
   std::atomic<int> answered = 0;
   for (int i = 0; i < 60; ++i) {
-    flood.push_back(make_client(tls(&client_identity_)));
-    run_on(fakes_loop_, [&] {
+    flood.push_back(create_client(client_tls(&client_identity_)));
+    run_on_loop(fakes_loop_, [&] {
       flood.back()->send(get(), [&](const Client::Answer& answer) { answered += answer.status == 200; });
     });
   }
-  // A connection whose handshake is done is not concerned.
+  // The limit does not affect a connection whose handshake is complete.
   for (int i = 0; i < 20; ++i) EXPECT_EQ(send(established).status, 200U);
   usleep(700000);
   EXPECT_LT(answered, 60);
   EXPECT_GT(answered, 0);
-  run_on(fakes_loop_, [&] {
+  run_on_loop(fakes_loop_, [&] {
     flood.clear();
     established.reset();
   });
 }
 
-TEST_F(TlsTest, UnusableFilesAreNamed) {
+TEST_F(TlsTest, NamesUnusableFileInError) {
   const auto error_of = [&](const TlsSettings& settings, const TlsFiles& files) -> std::string {
     try {
       TlsCredentials credentials(settings, files);
@@ -471,20 +474,22 @@
   tls_settings_.revoked_path = "r";
   tls_files_.crl = authority_.revocation_list("12");
   EXPECT_EQ(error_of(tls_settings_, tls_files_), "");
-  const auto error_with = [&](std::string TlsFiles::*part, const std::string& text) {
+  const auto error_with = [&](std::string TlsFiles::*member, const std::string& text) {
     TlsFiles files = tls_files_;
-    files.*part = text;
+    files.*member = text;
     return error_of(tls_settings_, files);
   };
-  EXPECT_TRUE(error_with(&TlsFiles::certificate, "x").starts_with("c.pem: no PEM certificate"));
-  EXPECT_TRUE(
-      error_with(&TlsFiles::key, tls_files_.key.substr(0, 80)).starts_with("k.pem: no PEM private key"));
+  EXPECT_TRUE(error_with(&TlsFiles::certificate, "x").starts_with("c.pem: cannot load a PEM certificate: "));
+  EXPECT_TRUE(error_with(&TlsFiles::key, tls_files_.key.substr(0, 80))
+                  .starts_with("k.pem: cannot load a PEM private key: "));
   EXPECT_TRUE(error_with(&TlsFiles::key, client_identity_.key_pem)
-                  .starts_with("k.pem: does not belong to the certificate"));
-  EXPECT_TRUE(error_with(&TlsFiles::trust, "").starts_with("t.pem: no PEM certificates"));
-  EXPECT_TRUE(error_with(&TlsFiles::crl, "no").starts_with("l.pem: no PEM revocation lists"));
+                  .starts_with("k.pem: private key does not match the certificate 'c.pem': "));
+  EXPECT_TRUE(error_with(&TlsFiles::trust, "")
+                  .starts_with("t.pem: contains no PEM certificate of a certificate authority"));
+  EXPECT_TRUE(error_with(&TlsFiles::crl, "no")
+                  .starts_with("l.pem: contains no PEM certificate revocation list (CRL)"));
   EXPECT_EQ(error_with(&TlsFiles::revoked, "serial:12\nserial 13\n"),
-            "r: line 2: wanted serial:HEX or key:SHA-256 in HEX");
+            "r: line 2: expected serial:HEX or key:HEX with the 64 hexadecimal digits of a SHA-256 digest");
 }
 
 }  // namespace
