--- a/src/store/worker.cpp
+++ b/src/store/worker.cpp
@@ -7,16 +7,17 @@
 
 namespace {
 
-constexpr std::chrono::seconds kMaxStopTime{1};
+// How long the destructor waits for the running task.
+constexpr std::chrono::seconds kStopTimeout{1};
 
 }  // namespace
 
 struct Worker::State {
   explicit State(EventLoop& event_loop) : loop(event_loop) {}
 
-  EventLoop& loop;  // used under the mutex, and not once stopping
+  EventLoop& loop;  // accessed only while holding the mutex, and only if not `stopping`
   std::mutex mutex;
-  std::condition_variable changed;
+  std::condition_variable changed;  // notified when a task is queued, or `stopping` or `ended` is set
   std::deque<Task> queue;
   bool stopping = false;
   bool ended = false;
@@ -24,14 +25,14 @@
 
 Worker::Worker(EventLoop& loop) : state_(std::make_shared<State>(loop)) {
   loop.enable_posts_from_threads();
-  thread_ = std::thread([state = state_] { run(*state); });
+  thread_ = std::thread([state = state_] { run_tasks(*state); });
 }
 
 Worker::~Worker() {
   std::unique_lock lock(state_->mutex);
   state_->stopping = true;
   state_->changed.notify_all();
-  const bool ended = state_->changed.wait_for(lock, kMaxStopTime, [this] { return state_->ended; });
+  const bool ended = state_->changed.wait_for(lock, kStopTimeout, [this] { return state_->ended; });
   lock.unlock();
   if (ended) thread_.join();
   else thread_.detach();
@@ -47,7 +48,7 @@
   return true;
 }
 
-void Worker::run(State& state) {
+void Worker::run_tasks(State& state) {
   std::unique_lock lock(state.mutex);
   for (;;) {
     state.changed.wait(lock, [&] { return state.stopping || !state.queue.empty(); });
--- a/src/transport/failure.hpp
+++ b/src/transport/failure.hpp
@@ -1,23 +1,24 @@
-// Why a connection could not be made or did not last: what this machine refused, kept distinct from what the
-// other side did. An error of this machine (no descriptor, no port, no memory, no route) says nothing about
-// the other one. Source: socket(7), connect(2), send(2) and recv(2) of Linux.
+// Classifies why a connection could not be established or ended. Errors of this machine (no descriptor, no
+// port, no memory, no route) are kept apart from those of the peer, because they say nothing about the peer's
+// health. The classification follows the Linux manual pages socket(7), connect(2), send(2) and recv(2).
 #pragma once
 #include <cstdint>
 
 namespace ashbeam {
 
-enum class Failure : std::uint8_t {
+enum class ConnectionFailure : std::uint8_t {
   kNone,
-  kLocal,        // by this machine, before anything left it
-  kRefused,      // the other machine is there, and nobody listens
-  kUnreachable,  // nothing came back
-  kBroken,       // a connection that stood was reset or timed out
+  kLocal,        // an error of this machine, before any packet was sent
+  kRefused,      // the peer's machine answered with a reset, because no process listens on the port
+  kUnreachable,  // no answer arrived
+  kBroken,       // an established connection was reset or timed out
 };
-const char* name_of(Failure failure);
+// Returns the name of the failure for log lines.
+const char* name_of(ConnectionFailure failure);
 
-// An error that socket() or connect() returned at once.
-Failure failure_at_once(int error);
-// An error that a pending connection ended with.
-Failure failure_of_pending(int error);
+// Classifies an errno value that socket(2) or connect(2) returned at once.
+ConnectionFailure classify_immediate_error(int error);
+// Classifies the errno value (SO_ERROR) with which an asynchronous connect(2) ended.
+ConnectionFailure classify_pending_error(int error);
 
 }  // namespace ashbeam
