--- a/proofs/discovery_queue.cpp
+++ b/proofs/discovery_queue.cpp
@@ -77,7 +77,7 @@
   void schedule_call(Instant at, unsigned router) { events_.push({at, router, CallEventKind::kCall}); }
 
   void on_failure(const CallEvent& event) {
-    const Duration wait = pacing_[event.router].wait_after_failure(random_.next_double());
+    const Duration wait = pacing_[event.router].on_failure(random_.next_double());
     schedule_call(event.at + wait, event.router);
   }
 
--- a/proofs/fleet/fleet.cpp
+++ b/proofs/fleet/fleet.cpp
@@ -31,7 +31,7 @@
   settings_ = fleet_settings(fleet.routers, kQuotaShare * capacity_per_s_);
   if (release_ != FleetRelease::kNone) {
     settings_.bake_time = Duration::ms(1200);
-    settings_.platform_calls_per_s = fleet.routers / 4.0;
+    settings_.max_platform_calls_per_s = fleet.routers / 4.0;
   }
   share_out_traffic();
   for (SimulatedRouter& router : routers_) start_router(router);
--- a/proofs/fleet/fleet_settings.hpp
+++ b/proofs/fleet/fleet_settings.hpp
@@ -26,18 +26,18 @@
   settings.drain_grace = Duration::s(1);
   settings.slow_start_window = Duration::s(1);
   settings.slow_start_duration = Duration::s(3);
-  settings.clock_tick = Duration::ms(1);
-  settings.initial_capacity = 0.33;
+  settings.clock_tolerance = Duration::ms(1);
+  settings.initial_capacity_fraction = 0.33;
   settings.cross_zone_cost = 0.08;
   settings.exposure_caps = {0.1, 0.4, 1.0};
-  settings.stage_fractions = {0.08, 0.25, 1.0};
+  settings.stage_endpoint_fractions = {0.08, 0.25, 1.0};
   settings.exposure_per_class = true;
   settings.exposure_allowance = 2;
   settings.exposure_window = Duration::s(2);
   settings.vote_ttl = Duration::s(10);
   settings.bake_time = Duration::s(2);
   settings.abort_votes_needed = routers / 6;
-  settings.platform_calls_per_s = 16;
+  settings.max_platform_calls_per_s = 16;
   return settings;
 }
 
--- a/proofs/fleet/simulated_endpoint.cpp
+++ b/proofs/fleet/simulated_endpoint.cpp
@@ -33,7 +33,7 @@
 
 double SimulatedEndpoint::failing_work_ms(Instant now, const RouterSettings& settings) const {
   const double budget_ms =
-      settings.overload_multiple * capacity(now, settings) * cores * settings.slow_start_window.ms();
+      settings.overload_factor * capacity(now, settings) * cores * settings.slow_start_window.ms();
   // The work of a request is distributed exponentially.
   return budget_ms + kOverloadDeviations * std::sqrt(2 * budget_ms * kMeanWorkMs);
 }
@@ -45,7 +45,7 @@
 
 double SimulatedEndpoint::capacity(Instant now, const RouterSettings& settings) const {
   const double warmed = std::clamp((now - started_at) / settings.slow_start_duration, 0.0, 1.0);
-  return settings.initial_capacity + (1 - settings.initial_capacity) * warmed;
+  return settings.initial_capacity_fraction + (1 - settings.initial_capacity_fraction) * warmed;
 }
 
 }  // namespace ashbeam
--- a/proofs/fleet/simulated_platform.cpp
+++ b/proofs/fleet/simulated_platform.cpp
@@ -18,8 +18,8 @@
     offered_at_ = now;
     begin_stage(0, now);
   }
-  available_calls_ =
-      std::min(available_calls_ + settings_.platform_calls_per_s * step.s(), settings_.platform_calls_per_s);
+  available_calls_ = std::min(available_calls_ + settings_.max_platform_calls_per_s * step.s(),
+                              settings_.max_platform_calls_per_s);
   if (phase_ != ReleasePhase::kCanary) return;
   if (now - published_at_ >= kSampleInterval) publish_outcome_samples(now);
   const VoteCounts votes = count_votes(now);
@@ -35,7 +35,7 @@
   stage_ = stage;
   stage_began_at_ = now;
   actions_.notify_release_state();
-  const Duration last_start = actions_.start_canary_endpoints(settings_.stage_fractions[stage]);
+  const Duration last_start = actions_.start_canary_endpoints(settings_.stage_endpoint_fractions[stage]);
   bake_began_at_ = now + last_start + kBakeMargin;
 }
 
@@ -63,7 +63,7 @@
 }
 
 void SimulatedPlatform::promote(Instant now) {
-  if (stage_ + 1 < settings_.stage_fractions.size()) {
+  if (stage_ + 1 < settings_.stage_endpoint_fractions.size()) {
     begin_stage(stage_ + 1, now);
     return;
   }
--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -10,17 +10,17 @@
 constexpr double kExploringRouters = 4;
 
 // Patience grows from the first of these, by the second for the best weight.
-constexpr double kMinPatience = 0.25;
-constexpr double kPatienceRange = 0.5;
+constexpr double kMinLatencyFraction = 0.25;
+constexpr double kLatencyFractionRange = 0.5;
 
-constexpr double kBestWeightDecay = 0.999;  // a request
-constexpr double kMeanWeightUpdate = 0.01;
+constexpr double kMaxWeightDecayFactor = 0.999;  // a request
+constexpr double kMeanWeightUpdateFactor = 0.01;
 constexpr double kMinMeanWeight = 1e-9;
 
 }  // namespace
 
 Admission::Admission(const RouterSettings& settings)
-    : settings_(settings), exploration_part_(kExploringRouters / settings.router_count) {
+    : settings_(settings), exploration_fraction_(kExploringRouters / settings.router_count) {
   for (const double quota_per_s : settings.tenant_quota_per_s) {
     const double own_quota_per_s = quota_per_s / settings.router_count;
     tenants_.push_back({own_quota_per_s, own_quota_per_s});
@@ -29,19 +29,19 @@
 
 void Admission::on_request(Request& request, unsigned tenant, double class_mean_ms) {
   const double weight = weight_per_ms(request, tenant, class_mean_ms);
-  mean_weight_ += kMeanWeightUpdate * (weight * class_mean_ms - mean_weight_);
+  mean_weight_ += kMeanWeightUpdateFactor * (weight * class_mean_ms - mean_weight_);
   request.weight = weight * class_mean_ms / std::max(mean_weight_, kMinMeanWeight);
   // One of many routers predicts by its zone's mean, which says less of a single endpoint: it is up to twice
   // as patient.
-  request.patience =
-      (kMinPatience + kPatienceRange * weight / best_weight_per_ms_) * (2 - std::min(1.0, exploration_part_));
+  request.max_latency_fraction = (kMinLatencyFraction + kLatencyFractionRange * weight / max_weight_per_ms_) *
+                                 (2 - std::min(1.0, exploration_fraction_));
 }
 
 double Admission::weight_per_ms(const Request& request, unsigned tenant, double class_mean_ms) {
   const double weight = settings_.request_classes[request.request_class].priority_weight / class_mean_ms;
-  best_weight_per_ms_ = std::max(best_weight_per_ms_ * kBestWeightDecay, weight);
+  max_weight_per_ms_ = std::max(max_weight_per_ms_ * kMaxWeightDecayFactor, weight);
   if (tenant >= tenants_.size()) return weight;
-  if (tenants_[tenant].tokens < 1) return weight * settings_.over_quota_weight;
+  if (tenants_[tenant].tokens < 1) return weight * settings_.over_quota_weight_factor;
   tenants_[tenant].tokens -= 1;
   return weight;
 }
@@ -55,8 +55,8 @@
 
 bool Admission::admits(const Request& request, const Selection& selection, bool endpoint_is_idle, Instant now,
                        Pcg& random) const {
-  if (endpoint_is_idle && random.next_double() < exploration_part_) return true;
-  return selection.predicted_ms <= request.ms_to_objective(now) * request.patience;
+  if (endpoint_is_idle && random.next_double() < exploration_fraction_) return true;
+  return selection.predicted_ms <= request.ms_to_objective(now) * request.max_latency_fraction;
 }
 
 }  // namespace ashbeam::policy
--- a/src/policy/admission.hpp
+++ b/src/policy/admission.hpp
@@ -38,9 +38,9 @@
   double weight_per_ms(const Request& request, unsigned tenant, double class_mean_ms);
 
   const RouterSettings& settings_;
-  double exploration_part_;  // of requests whose selection is an idle endpoint
+  double exploration_fraction_;  // of requests whose selection is an idle endpoint
   std::vector<Tenant> tenants_;
-  double best_weight_per_ms_ = 0;
+  double max_weight_per_ms_ = 0;
   double mean_weight_ = 1;
 };
 
--- a/src/policy/arrival_counter.hpp
+++ b/src/policy/arrival_counter.hpp
@@ -16,12 +16,12 @@
     all_.add(now);
   }
   // Arrivals no older than `since`. Older ones are forgotten: a wider window asked for afterwards is short.
-  std::size_t all_since(Instant since) { return all_.count_since(since); }
-  std::size_t class_since(unsigned request_class, Instant since) {
+  std::size_t count_all_since(Instant since) { return all_.count_since(since); }
+  std::size_t count_class_since(unsigned request_class, Instant since) {
     return by_class_[request_class].count_since(since);
   }
-  // The sum over all classes, whose windows are apart from that of all_since().
-  double sum_of_classes_since(Instant since) {
+  // The sum over all classes, whose windows are apart from that of count_all_since().
+  double sum_class_counts_since(Instant since) {
     double sum = 0;
     for (SlidingWindowCounter& arrivals : by_class_) sum += static_cast<double>(arrivals.count_since(since));
     return sum;
--- a/src/policy/attempt_outcomes.cpp
+++ b/src/policy/attempt_outcomes.cpp
@@ -22,12 +22,12 @@
 namespace {
 
 // Results that say nothing of the endpoint's health or speed.
-bool says_nothing(AttemptResult result) {
+bool is_uninformative(AttemptResult result) {
   return result == AttemptResult::kRejected || result == AttemptResult::kCancelledBeforeSent ||
          result == AttemptResult::kLocalFailure;
 }
 
-bool has_latency(AttemptResult result) {
+bool has_latency_evidence(AttemptResult result) {
   return result == AttemptResult::kOk || result == AttemptResult::kCancelled ||
          result == AttemptResult::kTimeout;
 }
@@ -37,9 +37,9 @@
 void AttemptOutcomes::on_attempt_end(Request& request, const Attempt& attempt, AttemptResult result,
                                      Duration duration, Instant now) {
   Endpoint& endpoint = parts_.endpoints[attempt.endpoint];
-  if (says_nothing(result)) return;
+  if (is_uninformative(result)) return;
   if (attempt.sent_at < endpoint.started_at || attempt.version != endpoint.version) return;
-  learn_connectivity(endpoint, result, now);
+  update_connectivity(endpoint, result, now);
   if (result == AttemptResult::kError) return errors_.add_error(request, attempt);
   if (result != AttemptResult::kCancelled)
     parts_.monitor.add_outcome(attempt.endpoint, result == AttemptResult::kOk ? 0 : 1, now);
@@ -48,7 +48,7 @@
     endpoint.answers.total += 1;
     endpoint.last_success_at = now;
   }
-  if (has_latency(result)) learn_latency(endpoint, request, attempt, result, duration.ms(), now);
+  if (has_latency_evidence(result)) update_latency(endpoint, request, attempt, result, duration.ms(), now);
 }
 
 void AttemptOutcomes::on_request_end(Request& request, bool served, Instant now) {
@@ -60,21 +60,21 @@
     add_evidence(endpoint, request.request_class, error->failure, now);
 }
 
-void AttemptOutcomes::learn_connectivity(Endpoint& endpoint, AttemptResult result, Instant now) {
+void AttemptOutcomes::update_connectivity(Endpoint& endpoint, AttemptResult result, Instant now) {
   if (result == AttemptResult::kConnectFailed || result == AttemptResult::kReset)
     parts_.regression.on_outside_fault(now);
   if (result == AttemptResult::kConnectFailed) parts_.slow_start.on_connect_failed(endpoint, now);
   else if (endpoint_answered(result)) parts_.slow_start.on_answer(endpoint);
 }
 
-void AttemptOutcomes::learn_latency(Endpoint& endpoint, const Request& request, const Attempt& attempt,
-                                    AttemptResult result, double latency_ms, Instant now) {
+void AttemptOutcomes::update_latency(Endpoint& endpoint, const Request& request, const Attempt& attempt,
+                                     AttemptResult result, double latency_ms, Instant now) {
   const bool answered = result == AttemptResult::kOk;
   // Given up early, or at an ejected endpoint, it says nothing of latency.
   if (!answered && (latency_ms < attempt.predicted_ms || endpoint.outlier.ejected)) return;
   const double normalized_ms = parts_.latency.normalized_ms(latency_ms, request.request_class, attempt.load,
                                                             parts_.slow_start.capacity(endpoint, now));
-  parts_.latency.learn_peers(endpoint, normalized_ms, now);
+  parts_.latency.update_peers(endpoint, normalized_ms, now);
   const bool warm = parts_.slow_start.is_warm(endpoint, now);
   if (warm && endpoint.version <= parts_.release.version()) {
     parts_.regression.add_latency(parts_.release.judged_role(endpoint.version), endpoint.machine_type,
@@ -82,8 +82,8 @@
   }
   // An endpoint that has answered nobody since is failing, not slow.
   if (!answered && endpoint.last_success_at <= attempt.sent_at) return;
-  parts_.latency.learn_endpoint(endpoint, normalized_ms, now);
-  if (warm) parts_.latency.learn_means(request.request_class, latency_ms, normalized_ms);
+  parts_.latency.update_endpoint_estimate(endpoint, normalized_ms, now);
+  if (warm) parts_.latency.update_means(request.request_class, latency_ms, normalized_ms);
 }
 
 // An endpoint that warms up says nothing of its release.
--- a/src/policy/attempt_outcomes.hpp
+++ b/src/policy/attempt_outcomes.hpp
@@ -40,9 +40,9 @@
   void on_request_end(Request& request, bool served, Instant now);
 
  private:
-  void learn_connectivity(Endpoint& endpoint, AttemptResult result, Instant now);
-  void learn_latency(Endpoint& endpoint, const Request& request, const Attempt& attempt, AttemptResult result,
-                     double latency_ms, Instant now);
+  void update_connectivity(Endpoint& endpoint, AttemptResult result, Instant now);
+  void update_latency(Endpoint& endpoint, const Request& request, const Attempt& attempt,
+                      AttemptResult result, double latency_ms, Instant now);
   void add_evidence(Endpoint& endpoint, unsigned request_class, double failure, Instant now);
 
   Parts parts_;
--- a/src/policy/call_pacing.hpp
+++ b/src/policy/call_pacing.hpp
@@ -16,20 +16,20 @@
 
 class CallPacing {
  public:
-  // `usual`: the mean wait before the second retry.
-  explicit CallPacing(Duration usual) : waits_{kFirst, usual, usual, usual * 2} {}
+  // `usual_wait`: the mean wait before the second retry.
+  explicit CallPacing(Duration usual_wait) : waits_{kFirstWait, usual_wait, usual_wait, usual_wait * 2} {}
 
-  void succeeded() { failed_ = 0; }
-  Duration wait_after_failure(double chance) {
-    const Duration mean = waits_[failed_];
-    if (failed_ + 1 < waits_.size()) ++failed_;
-    return mean * (0.5 + chance);
+  void on_success() { failure_count_ = 0; }
+  Duration on_failure(double random_fraction) {
+    const Duration mean = waits_[failure_count_];
+    if (failure_count_ + 1 < waits_.size()) ++failure_count_;
+    return mean * (0.5 + random_fraction);
   }
 
  private:
-  static constexpr Duration kFirst = Duration::ms(300);
+  static constexpr Duration kFirstWait = Duration::ms(300);
   std::array<Duration, 4> waits_;
-  std::size_t failed_ = 0;
+  std::size_t failure_count_ = 0;
 };
 
 }  // namespace ashbeam::policy
--- a/src/policy/capacity_model.hpp
+++ b/src/policy/capacity_model.hpp
@@ -16,21 +16,21 @@
 class CapacityModel {
  public:
   explicit CapacityModel(const RouterSettings& settings)
-      : own_zone_(settings.zone), crossing_costs_(settings.cross_zone_cost > 0), zones_(settings.zone_count) {
-  }
+      : own_zone_(settings.zone), has_cross_zone_cost_(settings.cross_zone_cost > 0),
+        zones_(settings.zone_count) {}
 
   void ensure_zone(unsigned zone) {
     if (zone >= zones_.size()) zones_.resize(zone + 1);
   }
 
   void begin_scan();
-  // `usual_attempts`: what the endpoint would get at its age; 0 where it is counted among neither role.
-  void add(const Endpoint& endpoint, ReleaseRole role, double usual_attempts);
+  // `expected_attempts`: what the endpoint would get at its age; 0 where it is counted among neither role.
+  void add(const Endpoint& endpoint, ReleaseRole role, double expected_attempts);
   void end_scan();
 
   // The part of requests that the canary's endpoints should carry.
   double canary_fraction() const { return canary_fraction_; }
-  bool most_ejected() const { return most_ejected_; }
+  bool all_zones_mostly_ejected() const { return all_zones_mostly_ejected_; }
 
  private:
   struct Zone {
@@ -42,10 +42,10 @@
   double compute_canary_fraction() const;
 
   unsigned own_zone_;
-  bool crossing_costs_;
+  bool has_cross_zone_cost_;
   std::vector<Zone> zones_;
   double canary_fraction_ = 0;
-  bool most_ejected_ = false;
+  bool all_zones_mostly_ejected_ = false;
 };
 
 }  // namespace ashbeam::policy
--- a/src/policy/endpoint.hpp
+++ b/src/policy/endpoint.hpp
@@ -26,7 +26,7 @@
 
   // ---- Our attempts there: RequestRouter; silence: EndpointMonitor; successes: AttemptOutcomes ----
   unsigned attempts_in_flight = 0;
-  Instant last_heard_at;     // its last answer, or when its silence was last counted as a failure
+  Instant last_response_at;  // its last answer, or when its silence was last counted as a failure
   Instant unanswered_since;  // the first attempt after its last answer was sent
   Instant last_success_at;
 
--- a/src/policy/endpoint_lease.cpp
+++ b/src/policy/endpoint_lease.cpp
@@ -16,34 +16,34 @@
   return "unknown";
 }
 
-void EndpointLease::confirmed(Instant now) {
+void EndpointLease::on_line_received(Instant now) {
   // A line says how things stood as it was written: its first byte is nearest to that.
-  confirmed_at_ = renewed_at_ = std::min(now, begun_at_);
-  begun_at_ = Instant::never();
-  watched_ = true;
+  confirmed_at_ = renewed_at_ = std::min(now, line_started_at_);
+  line_started_at_ = Instant::never();
+  is_watched_ = true;
 }
 
-void EndpointLease::line_begun(Instant now) { begun_at_ = std::min(begun_at_, now); }
+void EndpointLease::on_line_started(Instant now) { line_started_at_ = std::min(line_started_at_, now); }
 
-void EndpointLease::watch_lost() { watched_ = false; }
+void EndpointLease::on_watch_lost() { is_watched_ = false; }
 
-void EndpointLease::unreachable(Instant now) {
-  watched_ = false;
+void EndpointLease::on_discovery_unreachable(Instant now) {
+  is_watched_ = false;
   if (now < valid_until()) renewed_at_ = now;
 }
 
 LeaseState EndpointLease::state(Instant now) const {
   if (now >= valid_until()) return LeaseState::kExpired;
-  const bool fresh = watched_ && begun_at_ == Instant::never();
+  const bool fresh = is_watched_ && line_started_at_ == Instant::never();
   return fresh ? LeaseState::kFresh : LeaseState::kUnconfirmed;
 }
 
 Instant EndpointLease::valid_until() const {
-  return std::min(renewed_at_ + terms_.notified_within + grace_left(), pending_until());
+  return std::min(renewed_at_ + settings_.max_notification_delay + usable_drain_grace(), blocked_from());
 }
 
-Instant EndpointLease::pending_until() const {
-  return begun_at_ == Instant::never() ? Instant::never() : begun_at_ + grace_left();
+Instant EndpointLease::blocked_from() const {
+  return line_started_at_ == Instant::never() ? Instant::never() : line_started_at_ + usable_drain_grace();
 }
 
 }  // namespace ashbeam::policy
--- a/src/policy/endpoint_lease.hpp
+++ b/src/policy/endpoint_lease.hpp
@@ -16,7 +16,7 @@
 namespace ashbeam::policy {
 
 struct EndpointLeaseSettings {
-  Duration notified_within =
+  Duration max_notification_delay =
       Duration::s(6);    // after discovery had a change it counts as notified, at the latest
   Duration drain_grace;  // after that nothing new goes to the endpoint
   Duration send_delay;   // from the decision for an attempt to its first byte, at the most
@@ -31,39 +31,41 @@
 
 class EndpointLease {
  public:
-  explicit EndpointLease(const EndpointLeaseSettings& terms) : terms_(terms) {}
+  explicit EndpointLease(const EndpointLeaseSettings& settings) : settings_(settings) {}
 
   // A whole line came on a watch: the list stands as discovery has it now.
-  void confirmed(Instant now);
+  void on_line_received(Instant now);
   // The bytes of a line, or of the answer to a call, have begun to come: what they say counts as notified.
-  void line_begun(Instant now);
+  void on_line_started(Instant now);
   // The watch ended, fell silent or was given up.
-  void watch_lost();
+  void on_watch_lost();
   // Discovery's machine refuses connections, so that it can have announced nothing: a lease that still runs
   // starts anew.
-  void unreachable(Instant now);
+  void on_discovery_unreachable(Instant now);
 
   LeaseState state(Instant now) const;
   // Attempts may begin before this, whatever endpoint they go to.
   Instant valid_until() const;
-  // No attempt may begin after this, not even to an endpoint that vouches for itself; never where nothing is
-  // pending.
-  Instant pending_until() const;
+  // No attempt may begin after this, not even to an endpoint that vouches for itself; never where
+  // nothing is pending.
+  Instant blocked_from() const;
   // An endpoint has accepted a request sent then, on a connection that opened before the list was last
   // confirmed: the same process as listed had not begun to drain. Attempts to it may begin before this.
-  Instant valid_after_answer(Instant sent) const { return sent + terms_.notified_within + grace_left(); }
+  Instant valid_until_after_answer(Instant sent) const {
+    return sent + settings_.max_notification_delay + usable_drain_grace();
+  }
   // May an answer on a connection that opened then vouch for its endpoint?
-  bool vouches(Instant opened) const { return opened <= confirmed_at_; }
+  bool may_extend_validity(Instant opened) const { return opened <= confirmed_at_; }
   Instant confirmed_at() const { return confirmed_at_; }
 
  private:
-  Duration grace_left() const { return terms_.drain_grace - terms_.send_delay; }
+  Duration usable_drain_grace() const { return settings_.drain_grace - settings_.send_delay; }
 
-  EndpointLeaseSettings terms_;
-  Instant confirmed_at_;                 // far past: never
-  Instant renewed_at_;                   // the same, or when discovery was last known to be unreachable
-  Instant begun_at_ = Instant::never();  // the first byte of what has not come whole yet
-  bool watched_ = false;
+  EndpointLeaseSettings settings_;
+  Instant confirmed_at_;  // far past: never
+  Instant renewed_at_;    // the same, or when discovery was last known to be unreachable
+  Instant line_started_at_ = Instant::never();  // the first byte of what has not come whole yet
+  bool is_watched_ = false;
 };
 
 }  // namespace ashbeam::policy
--- a/src/policy/endpoint_monitor.hpp
+++ b/src/policy/endpoint_monitor.hpp
@@ -48,9 +48,9 @@
  private:
   void scan_endpoint(EndpointIndex index, Endpoint& endpoint, Instant now);
   // The endpoint has attempts in flight: one that has been silent for long counts as failed once.
-  void count_silence(EndpointIndex index, Endpoint& endpoint, Instant now);
+  void count_unresponsiveness(EndpointIndex index, Endpoint& endpoint, Instant now);
   // What it would get from this router at its age, by what warm stable endpoints get.
-  double usual_attempts(const Endpoint& endpoint, double capacity) const;
+  double expected_attempts(const Endpoint& endpoint, double capacity) const;
   OutlierPeers peers_of(const Endpoint& endpoint) const;
 
   Parts parts_;
--- a/src/policy/endpoint_start.hpp
+++ b/src/policy/endpoint_start.hpp
@@ -10,16 +10,17 @@
 namespace ashbeam::policy {
 
 // The list may tell of a start this much later than it happened.
-inline constexpr Duration kLongestListLag = Duration::s(10);
+inline constexpr Duration kMaxListLag = Duration::s(10);
 
-// `known_since`: when the list was last confirmed without this start; far past where it never was. Zero
+// `list_confirmed_at`: when the list was last confirmed without this start; far past where it never was. Zero
 // `boot_ms` says that the endpoint started long ago.
-inline Instant endpoint_start(double boot_ms, Instant now, Duration wall_ahead, Instant known_since) {
+inline Instant compute_endpoint_start(double boot_ms, Instant now, Duration wall_clock_offset,
+                                      Instant list_confirmed_at) {
   if (boot_ms <= 0) return Instant();
-  const Duration age = now + wall_ahead - Instant::at_ms(boot_ms);
-  const Duration oldest = now - known_since + kLongestListLag;
-  const bool fits = age >= Duration() && (known_since == Instant() || age <= oldest);
-  return fits ? now - age : now;
+  const Duration age = now + wall_clock_offset - Instant::at_ms(boot_ms);
+  const Duration max_age = now - list_confirmed_at + kMaxListLag;
+  const bool is_plausible = age >= Duration() && (list_confirmed_at == Instant() || age <= max_age);
+  return is_plausible ? now - age : now;
 }
 
 }  // namespace ashbeam::policy
--- a/src/policy/endpoint_table.cpp
+++ b/src/policy/endpoint_table.cpp
@@ -20,7 +20,7 @@
     endpoint.attempts_in_flight = former.attempts_in_flight;
     endpoint.slow_start.attempts = std::move(former.slow_start.attempts);
     endpoint.outcomes_by_class.resize(class_count_ + 1);
-    endpoint.last_heard_at = now;
+    endpoint.last_response_at = now;
     endpoint.slow_start.jitter = random.next_double();
   }
   endpoint.named_in_update = true;
--- a/src/policy/exposure_cap.hpp
+++ b/src/policy/exposure_cap.hpp
@@ -30,12 +30,13 @@
     const bool announced = release.known() && version == release.version();
     const unsigned stage = announced ? release.stage() : 0;
     const Idempotency idempotency = settings_.request_classes[request.request_class].idempotency;
-    if (stage < settings_.idempotent_only_stages && idempotency != Idempotency::kIdempotent) return false;
+    if (stage < settings_.idempotent_only_stage_count && idempotency != Idempotency::kIdempotent)
+      return false;
     const double cap = announced ? release.exposure_cap() : settings_.exposure_caps.front();
     if (cap <= 0 || traffic_weight <= 0) return false;
     const auto attempts =
         static_cast<double>(canary_attempts_[counted_class(request.request_class)].count_since(
-            now - settings_.exposure_window - settings_.clock_tick));
+            now - settings_.exposure_window - settings_.clock_tolerance));
     const auto arrivals = static_cast<double>(arrivals_in_window(request.request_class, now));
     // A retry takes half of the allowance at the most: the other half is kept for first attempts.
     const double allowance =
@@ -49,9 +50,9 @@
     return settings_.exposure_per_class ? request_class : 0;
   }
   std::size_t arrivals_in_window(unsigned request_class, Instant now) {
-    const Instant since = now - settings_.exposure_window + settings_.clock_tick;
-    return settings_.exposure_per_class ? arrivals_.class_since(request_class, since)
-                                        : arrivals_.all_since(since);
+    const Instant since = now - settings_.exposure_window + settings_.clock_tolerance;
+    return settings_.exposure_per_class ? arrivals_.count_class_since(request_class, since)
+                                        : arrivals_.count_all_since(since);
   }
 
   const RouterSettings& settings_;
--- a/src/policy/latency_estimator.cpp
+++ b/src/policy/latency_estimator.cpp
@@ -13,15 +13,15 @@
 constexpr double kMinPeersWeight = 0.02;
 constexpr double kMinEndpointWeight = 0.1;
 constexpr double kMaxWeight = 0.3;
-constexpr double kClassWeight = 0.02;
-constexpr double kUsualWeight = 0.01;
-constexpr double kRecentWeight = 0.03;
+constexpr double kClassMeanWeight = 0.02;
+constexpr double kLongTermWeight = 0.01;
+constexpr double kShortTermWeight = 0.03;
 
 // One latency counts as at most so many times the estimate that it goes into.
-constexpr double kMaxOutlierRatio = 10;
+constexpr double kMaxSampleRatio = 10;
 
-constexpr Duration kUnheardAfter = Duration::s(1);
-constexpr double kUnheardDecay = 0.995;  // a tick
+constexpr Duration kStaleThreshold = Duration::s(1);
+constexpr double kStaleDecayFactor = 0.995;  // a tick
 
 }  // namespace
 
@@ -31,14 +31,14 @@
     class_mean_ms_.push_back(request_class.latency_objective.ms() / kInitialObjectiveDivisor);
   for (const double class_mean_ms : class_mean_ms_)
     mean_ms_ += class_mean_ms / static_cast<double>(class_mean_ms_.size());
-  usual_.mean = mean_ms_ / kOwnLoad;
-  recent_.mean = usual_.mean;
-  peers_.resize(std::size_t{settings.zone_count} * machine_type_count_, {usual_.mean, {}});
+  long_term_mean_.mean = mean_ms_ / kOwnLoad;
+  short_term_mean_.mean = long_term_mean_.mean;
+  peers_.resize(std::size_t{settings.zone_count} * machine_type_count_, {long_term_mean_.mean, {}});
 }
 
 void LatencyEstimator::ensure_zone(unsigned zone) {
   const std::size_t needed = std::size_t{zone + 1} * machine_type_count_;
-  if (needed > peers_.size()) peers_.resize(needed, {usual_.mean, {}});
+  if (needed > peers_.size()) peers_.resize(needed, {long_term_mean_.mean, {}});
 }
 
 double LatencyEstimator::normalized_ms(double latency_ms, unsigned request_class, double load,
@@ -46,38 +46,39 @@
   return latency_ms * capacity * mean_ms_ / class_mean_ms_[request_class] / (kOwnLoad + load);
 }
 
-void LatencyEstimator::learn_peers(const Endpoint& endpoint, double normalized_ms, Instant now) {
+void LatencyEstimator::update_peers(const Endpoint& endpoint, double normalized_ms, Instant now) {
   update(peers_[endpoint.zone * machine_type_count_ + endpoint.machine_type], normalized_ms, kMinPeersWeight,
          now);
 }
 
-void LatencyEstimator::learn_endpoint(Endpoint& endpoint, double normalized_ms, Instant now) const {
+void LatencyEstimator::update_endpoint_estimate(Endpoint& endpoint, double normalized_ms, Instant now) const {
   endpoint.latency.ms_per_load = estimate_ms(endpoint, now);
   update(endpoint.latency, normalized_ms, kMinEndpointWeight, now);
 }
 
-void LatencyEstimator::learn_means(unsigned request_class, double latency_ms, double normalized_ms) {
-  recent_.add(std::min(normalized_ms, recent_.mean * kMaxOutlierRatio), kRecentWeight);
-  usual_.add(std::min(normalized_ms, usual_.mean * kMaxOutlierRatio), kUsualWeight);
+void LatencyEstimator::update_means(unsigned request_class, double latency_ms, double normalized_ms) {
+  short_term_mean_.add(std::min(normalized_ms, short_term_mean_.mean * kMaxSampleRatio), kShortTermWeight);
+  long_term_mean_.add(std::min(normalized_ms, long_term_mean_.mean * kMaxSampleRatio), kLongTermWeight);
   double& class_mean_ms = class_mean_ms_[request_class];
-  class_mean_ms += kClassWeight * (std::min(latency_ms, class_mean_ms * kMaxOutlierRatio) - class_mean_ms);
-  mean_ms_ += kClassWeight * (std::min(latency_ms, mean_ms_ * kMaxOutlierRatio) - mean_ms_);
+  class_mean_ms += kClassMeanWeight * (std::min(latency_ms, class_mean_ms * kMaxSampleRatio) - class_mean_ms);
+  mean_ms_ += kClassMeanWeight * (std::min(latency_ms, mean_ms_ * kMaxSampleRatio) - mean_ms_);
 }
 
-void LatencyEstimator::age_estimates(Instant now) {
+void LatencyEstimator::decay_stale_estimates(Instant now) {
   double best = peers_.front().ms_per_load;
   for (const LatencyEstimate& estimate : peers_) best = std::min(best, estimate.ms_per_load);
   for (LatencyEstimate& estimate : peers_) {
-    if (now - estimate.updated_at > kUnheardAfter)
-      estimate.ms_per_load = std::max(estimate.ms_per_load * kUnheardDecay, best);
+    if (now - estimate.updated_at > kStaleThreshold)
+      estimate.ms_per_load = std::max(estimate.ms_per_load * kStaleDecayFactor, best);
   }
 }
 
 void LatencyEstimator::update(LatencyEstimate& estimate, double normalized_ms, double min_weight,
                               Instant now) {
-  const double weight = std::clamp((now - estimate.updated_at) / kEstimateLifetime, min_weight, kMaxWeight);
+  const double weight =
+      std::clamp((now - estimate.updated_at) / kEstimateTimeConstant, min_weight, kMaxWeight);
   estimate.ms_per_load +=
-      weight * (std::min(normalized_ms, estimate.ms_per_load * kMaxOutlierRatio) - estimate.ms_per_load);
+      weight * (std::min(normalized_ms, estimate.ms_per_load * kMaxSampleRatio) - estimate.ms_per_load);
   estimate.updated_at = now;
 }
 
--- a/src/policy/latency_estimator.hpp
+++ b/src/policy/latency_estimator.hpp
@@ -27,14 +27,14 @@
   // part of its capacity that the endpoint has at its age. Returns the estimate that this attempt speaks for.
   double normalized_ms(double latency_ms, unsigned request_class, double load, double capacity) const;
   // Takes it into the estimate of the endpoint's zone and machine type, ...
-  void learn_peers(const Endpoint& endpoint, double normalized_ms, Instant now);
+  void update_peers(const Endpoint& endpoint, double normalized_ms, Instant now);
   // ... into the endpoint's own, ...
-  void learn_endpoint(Endpoint& endpoint, double normalized_ms, Instant now) const;
+  void update_endpoint_estimate(Endpoint& endpoint, double normalized_ms, Instant now) const;
   // ... and, from a warm endpoint, into the means over all.
-  void learn_means(unsigned request_class, double latency_ms, double normalized_ms);
+  void update_means(unsigned request_class, double latency_ms, double normalized_ms);
   // Once a tick: estimates that nothing was heard of for a second fall slowly to the best one, so that their
   // endpoints are tried again.
-  void age_estimates(Instant now);
+  void decay_stale_estimates(Instant now);
 
   double class_mean_ms(unsigned request_class) const { return class_mean_ms_[request_class]; }
   // The estimate for an endpoint as it stands now.
@@ -42,7 +42,7 @@
     const double peers = peers_of(endpoint).ms_per_load;
     const LatencyEstimate& own = endpoint.latency;
     if (own.ms_per_load <= 0) return peers;
-    return peers + (own.ms_per_load - peers) * std::exp((own.updated_at - now) / kEstimateLifetime);
+    return peers + (own.ms_per_load - peers) * std::exp((own.updated_at - now) / kEstimateTimeConstant);
   }
   double peers_estimate_ms(const Endpoint& endpoint) const { return peers_of(endpoint).ms_per_load; }
   double peers_estimate_ms(unsigned zone, unsigned machine_type) const {
@@ -54,19 +54,19 @@
            (kOwnLoad + endpoint.attempts_in_flight) / capacity;
   }
   // How long an endpoint with attempts in flight usually stays silent.
-  double usual_silence_ms(const Endpoint& endpoint, Instant now) const {
+  double expected_response_gap_ms(const Endpoint& endpoint, Instant now) const {
     return estimate_ms(endpoint, now) * (kOwnLoad + endpoint.attempts_in_flight);
   }
   // How often it is drawn in load balancing, against the mean endpoint.
   double selection_weight(const Endpoint& endpoint, Instant now) const {
-    return std::sqrt(usual_.mean / estimate_ms(endpoint, now));
+    return std::sqrt(long_term_mean_.mean / estimate_ms(endpoint, now));
   }
   // Means over all warm endpoints: over a long time, and over the last seconds.
-  const DecayingMean& usual() const { return usual_; }
-  const DecayingMean& recent() const { return recent_; }
+  const DecayingMean& long_term_mean() const { return long_term_mean_; }
+  const DecayingMean& short_term_mean() const { return short_term_mean_; }
 
  private:
-  static constexpr Duration kEstimateLifetime = Duration::s(2);
+  static constexpr Duration kEstimateTimeConstant = Duration::s(2);
   static constexpr double kOwnLoad = 1;  // a request's own, in requests in flight
 
   const LatencyEstimate& peers_of(const Endpoint& endpoint) const {
@@ -78,8 +78,8 @@
   std::vector<LatencyEstimate> peers_;  // by zone and machine type
   std::vector<double> class_mean_ms_;   // by request class, at warm endpoints
   double mean_ms_ = 0;                  // over all classes
-  DecayingMean usual_;
-  DecayingMean recent_;
+  DecayingMean long_term_mean_;
+  DecayingMean short_term_mean_;
 };
 
 }  // namespace ashbeam::policy
--- a/src/policy/load_balancer.cpp
+++ b/src/policy/load_balancer.cpp
@@ -9,14 +9,14 @@
 namespace {
 
 // An endpoint is good enough if its predicted latency is within this part of the time to the objective.
-constexpr double kGoodEnoughPart = 0.6;
+constexpr double kMaxAcceptableLatencyFraction = 0.6;
 // The other side of the release is taken if it is predicted this much faster.
-constexpr double kOtherRoleSpeedup = 0.7;
+constexpr double kMaxOtherRoleLatencyRatio = 0.7;
 
 // Two draws; two more unless the better one is within this part of the time to the objective.
-constexpr int kFirstDraws = 2;
+constexpr int kMinDraws = 2;
 constexpr int kMaxDraws = 4;
-constexpr double kRoomyPart = 4;
+constexpr double kAmpleTimeDivisor = 4;
 
 // Maps a sticky key to a number that is spread evenly over [0, 1 / kKeySpread).
 constexpr std::uint64_t kKeyMultiplier = 0x9e3779b97f4a7c15ULL;  // 2^64 / golden ratio
@@ -27,43 +27,46 @@
 }  // namespace
 
 LoadBalancer::LoadBalancer(const Inputs& inputs, RuleGuards& guards, Pcg& random)
-    : in_(inputs), guards_(guards), random_(random) {}
+    : inputs_(inputs), guards_(guards), random_(random) {}
 
 std::optional<Selection> LoadBalancer::choose(const Request& request, const TrafficSplit& split,
                                               Instant now) {
-  if (const auto jittered = choose_jittered(request, split, now)) return jittered;
-  const bool canary = draws_canary(request, split);
+  if (const auto jittered = choose_slow_start_endpoint(request, split, now)) return jittered;
+  const bool canary = should_prefer_canary(request, split);
   const ReleaseRole drawn = canary ? ReleaseRole::kCanary : ReleaseRole::kStable;
-  const bool stable_ready = in_.endpoints.stable_ready() > 0;
+  const bool stable_ready = inputs_.endpoints.stable_ready() > 0;
   const auto first = choose_by_role(request, drawn, stable_ready ? split.canary_weight : 1.0, now);
-  if (first && first->predicted_ms <= request.ms_to_objective(now) * kGoodEnoughPart) return first;
+  if (first && first->predicted_ms <= request.ms_to_objective(now) * kMaxAcceptableLatencyFraction)
+    return first;
   if (!canary && split.canary_stopped && stable_ready) return first;
   // The other side may use the whole exposure cap, and no more.
   const ReleaseRole other = canary ? ReleaseRole::kStable : ReleaseRole::kCanary;
   const auto second = choose_by_role(request, other, 1.0, now);
-  if (second && (!first || second->predicted_ms < first->predicted_ms * kOtherRoleSpeedup)) return second;
+  if (second && (!first || second->predicted_ms < first->predicted_ms * kMaxOtherRoleLatencyRatio))
+    return second;
   return first;
 }
 
 // Slow start has rationed these endpoints by jitter already: drawing them by weight once more would leave
 // them with next to nothing.
-std::optional<Selection> LoadBalancer::choose_jittered(const Request& request, const TrafficSplit& split,
-                                                       Instant now) {
-  if (request.attempt_count > 0 || jittered_nearby_.empty()) return std::nullopt;
+std::optional<Selection> LoadBalancer::choose_slow_start_endpoint(const Request& request,
+                                                                  const TrafficSplit& split, Instant now) {
+  if (request.attempt_count > 0 || slow_start_endpoints_.empty()) return std::nullopt;
   own_zone_.clear();
-  for (const EndpointIndex index : jittered_nearby_) {
-    const Endpoint& endpoint = in_.endpoints[index];
-    const bool canary = in_.release.is_capped(endpoint.version);
-    if (canary && in_.sticky_keys.applies_to(request)) continue;
-    if (canary && endpoint.slow_start.jitter >= in_.slow_start.limit(endpoint, now) * split.canary_weight)
+  for (const EndpointIndex index : slow_start_endpoints_) {
+    const Endpoint& endpoint = inputs_.endpoints[index];
+    const bool canary = inputs_.release.is_capped(endpoint.version);
+    if (canary && inputs_.sticky_keys.applies_to(request)) continue;
+    if (canary &&
+        endpoint.slow_start.jitter >= inputs_.slow_start.attempt_limit(endpoint, now) * split.canary_weight)
       continue;
-    if (!may_use(endpoint, now)) continue;
+    if (!may_receive_attempts(endpoint, now)) continue;
     if (!guards_.may_send(request, index, canary ? split.canary_weight : 1.0, now)) continue;
-    own_zone_.push_back(candidate(index, now));
+    own_zone_.push_back(make_candidate(index, now));
   }
   const auto selection = power_of_two_choices(request, own_zone_, now);
   const bool good_enough =
-      selection && selection->predicted_ms <= request.ms_to_objective(now) * kGoodEnoughPart;
+      selection && selection->predicted_ms <= request.ms_to_objective(now) * kMaxAcceptableLatencyFraction;
   return good_enough ? selection : std::nullopt;
 }
 
@@ -79,7 +82,7 @@
     // The gain in the chance of an answer in time, were latencies spread exponentially.
     const double left_ms = request.ms_to_objective(now);
     const double gain = std::exp(-left_ms / near->predicted_ms) - std::exp(-left_ms / far->predicted_ms);
-    return gain * request.weight > in_.settings.cross_zone_cost ? far : near;
+    return gain * request.weight > inputs_.settings.cross_zone_cost ? far : near;
   }
   return std::nullopt;
 }
@@ -89,16 +92,17 @@
   own_zone_.clear();
   other_zones_.clear();
   // The loop runs over all endpoints for each attempt: what it reads is held locally.
-  const EndpointTable& endpoints = in_.endpoints;
-  const ReleaseTracker& release = in_.release;
-  const LatencyEstimator& latency = in_.latency;
-  const bool most_ejected = in_.capacity.most_ejected();
-  const unsigned own_zone = in_.settings.zone;
+  const EndpointTable& endpoints = inputs_.endpoints;
+  const ReleaseTracker& release = inputs_.release;
+  const LatencyEstimator& latency = inputs_.latency;
+  const bool all_zones_mostly_ejected = inputs_.capacity.all_zones_mostly_ejected();
+  const unsigned own_zone = inputs_.settings.zone;
   const bool canary = role == ReleaseRole::kCanary;
   const auto count = static_cast<EndpointIndex>(endpoints.size());
   for (EndpointIndex index = 0; index < count; ++index) {
     const Endpoint& endpoint = endpoints[index];
-    if (without_ejected && !OutlierDetector::may_use(endpoint, most_ejected, now)) continue;
+    if (without_ejected && !OutlierDetector::may_receive_attempts(endpoint, all_zones_mostly_ejected, now))
+      continue;
     if (release.is_capped(endpoint.version) != canary) continue;
     if (!guards_.may_send(request, index, traffic_weight, now)) continue;
     std::vector<Candidate>& candidates = endpoint.zone == own_zone ? own_zone_ : other_zones_;
@@ -108,15 +112,15 @@
 
 std::optional<Selection> LoadBalancer::power_of_two_choices(const Request& request,
                                                             std::vector<Candidate>& candidates, Instant now) {
-  const double roomy_ms = request.ms_to_objective(now) / kRoomyPart;
+  const double ample_time_ms = request.ms_to_objective(now) / kAmpleTimeDivisor;
   std::optional<Selection> best;
   for (int draws = 0; draws < kMaxDraws && !candidates.empty(); ++draws) {
-    if (draws == kFirstDraws && best->predicted_ms < roomy_ms) break;
-    const std::size_t drawn = draw(candidates);
+    if (draws == kMinDraws && best->predicted_ms < ample_time_ms) break;
+    const std::size_t drawn = draw_candidate(candidates);
     const EndpointIndex index = candidates[drawn].endpoint;
-    const Endpoint& endpoint = in_.endpoints[index];
-    const double predicted_ms = in_.latency.predicted_ms(request.request_class, endpoint,
-                                                         in_.slow_start.capacity(endpoint, now), now);
+    const Endpoint& endpoint = inputs_.endpoints[index];
+    const double predicted_ms = inputs_.latency.predicted_ms(request.request_class, endpoint,
+                                                             inputs_.slow_start.capacity(endpoint, now), now);
     if (!best || predicted_ms < best->predicted_ms) best = Selection{index, predicted_ms};
     candidates[drawn] = candidates.back();
     candidates.pop_back();
@@ -124,7 +128,7 @@
   return best;
 }
 
-std::size_t LoadBalancer::draw(const std::vector<Candidate>& candidates) {
+std::size_t LoadBalancer::draw_candidate(const std::vector<Candidate>& candidates) {
   double total = 0;
   for (const Candidate& candidate : candidates) total += candidate.weight;
   double left = random_.next_double() * total;
@@ -137,28 +141,29 @@
   return i;
 }
 
-bool LoadBalancer::draws_canary(const Request& request, const TrafficSplit& split) {
+bool LoadBalancer::should_prefer_canary(const Request& request, const TrafficSplit& split) {
   // After an error a stable endpoint tells whether the request is at fault.
   if (request.error.state == UnsettledError::State::kPending) return false;
-  const double draw = role_draw(request);
-  if (in_.endpoints.canary_ready() == 0) return false;
-  return draw < split.canary_weight * std::min(in_.release.exposure_cap(), in_.capacity.canary_fraction());
+  const double drawn = draw_role_fraction(request);
+  if (inputs_.endpoints.canary_ready() == 0) return false;
+  return drawn <
+         split.canary_weight * std::min(inputs_.release.exposure_cap(), inputs_.capacity.canary_fraction());
 }
 
 // A sticky key decides in place of a random number, so that the same keys go to the canary each time.
-double LoadBalancer::role_draw(const Request& request) {
-  if (!in_.sticky_keys.applies_to(request)) return random_.next_double();
+double LoadBalancer::draw_role_fraction(const Request& request) {
+  if (!inputs_.sticky_keys.applies_to(request)) return random_.next_double();
   const std::uint64_t key = request.sticky_key;
   const std::uint64_t mixed = (key ^ (key >> 32U)) * kKeyMultiplier;
   return static_cast<double>(mixed >> kKeyShift) / kKeyRange / kKeySpread;
 }
 
-LoadBalancer::Candidate LoadBalancer::candidate(EndpointIndex index, Instant now) const {
-  return {index, in_.latency.selection_weight(in_.endpoints[index], now)};
+LoadBalancer::Candidate LoadBalancer::make_candidate(EndpointIndex index, Instant now) const {
+  return {index, inputs_.latency.selection_weight(inputs_.endpoints[index], now)};
 }
 
-bool LoadBalancer::may_use(const Endpoint& endpoint, Instant now) const {
-  return OutlierDetector::may_use(endpoint, in_.capacity.most_ejected(), now);
+bool LoadBalancer::may_receive_attempts(const Endpoint& endpoint, Instant now) const {
+  return OutlierDetector::may_receive_attempts(endpoint, inputs_.capacity.all_zones_mostly_ejected(), now);
 }
 
 }  // namespace ashbeam::policy
--- a/src/policy/load_balancer.hpp
+++ b/src/policy/load_balancer.hpp
@@ -1,11 +1,11 @@
 // Chooses the endpoint of a request's next attempt.
 //
-// Job: draw between canary and stable endpoints by the traffic weight, then between endpoints by the power of
-// two choices (Mitzenmacher, 2001): the better by predicted latency of two drawn ones, quick ones drawn more
-// often. The own zone first; another one where the likely gain in time is worth the cost of crossing. Where
-// the drawn side has no endpoint, or only one that is predicted late, the other side may take the request.
-// Every choice passes the rule guards. Units: milliseconds, parts of 1. No I/O; random numbers are an
-// argument. Errors: none; no endpoint may be free.
+// Job: draw between canary and stable endpoints by the traffic weight, then between endpoints by
+// the power of two choices (Mitzenmacher, 2001): the better by predicted latency of two drawn ones, quick
+// ones drawn more often. The own zone first; another one where the likely gain in time is worth the cost of
+// crossing. Where the drawn side has no endpoint, or only one that is predicted late, the other side may take
+// the request. Every choice passes the rule guards. Units: milliseconds, parts of 1. No I/O; random numbers
+// are an argument. Errors: none; no endpoint may be free.
 #pragma once
 #include <optional>
 #include <vector>
@@ -41,8 +41,8 @@
 
   // Nearby endpoints of which slow start lets this router have less than one attempt in a window, and whose
   // jitter gives it one; refilled at each tick.
-  void clear_jittered() { jittered_nearby_.clear(); }
-  void add_jittered(EndpointIndex index) { jittered_nearby_.push_back(index); }
+  void clear_slow_start_endpoints() { slow_start_endpoints_.clear(); }
+  void add_slow_start_endpoint(EndpointIndex index) { slow_start_endpoints_.push_back(index); }
 
  private:
   struct Candidate {
@@ -50,23 +50,24 @@
     double weight = 0;  // how often it is drawn
   };
 
-  std::optional<Selection> choose_jittered(const Request& request, const TrafficSplit& split, Instant now);
+  std::optional<Selection> choose_slow_start_endpoint(const Request& request, const TrafficSplit& split,
+                                                      Instant now);
   std::optional<Selection> choose_by_role(const Request& request, ReleaseRole role, double traffic_weight,
                                           Instant now);
   std::optional<Selection> power_of_two_choices(const Request& request, std::vector<Candidate>& candidates,
                                                 Instant now);
-  std::size_t draw(const std::vector<Candidate>& candidates);
-  bool draws_canary(const Request& request, const TrafficSplit& split);
-  double role_draw(const Request& request);
+  std::size_t draw_candidate(const std::vector<Candidate>& candidates);
+  bool should_prefer_canary(const Request& request, const TrafficSplit& split);
+  double draw_role_fraction(const Request& request);
   void collect_candidates(const Request& request, ReleaseRole role, double traffic_weight,
                           bool without_ejected, Instant now);
-  Candidate candidate(EndpointIndex index, Instant now) const;
-  bool may_use(const Endpoint& endpoint, Instant now) const;
+  Candidate make_candidate(EndpointIndex index, Instant now) const;
+  bool may_receive_attempts(const Endpoint& endpoint, Instant now) const;
 
-  Inputs in_;
+  Inputs inputs_;
   RuleGuards& guards_;
   Pcg& random_;
-  std::vector<EndpointIndex> jittered_nearby_;
+  std::vector<EndpointIndex> slow_start_endpoints_;
   std::vector<Candidate> own_zone_;     // scratch; kept for its memory
   std::vector<Candidate> other_zones_;  // the same
 };
--- a/src/policy/outlier_detector.cpp
+++ b/src/policy/outlier_detector.cpp
@@ -32,7 +32,7 @@
   const double bad = good + kOutlierExcessRate;
   outlier.score += failure > 0 ? failure * std::log(bad / good) : std::log((1 - bad) / (1 - good));
   outlier.score = std::clamp(outlier.score, kMinScore, kEjectionScore + 1);
-  if (outlier.score < kEjectionScore || peers.only_canary) return;
+  if (outlier.score < kEjectionScore || peers.is_only_canary) return;
   outlier.score = kScoreAfterEjection;
   outlier.ejected = true;
   outlier.ejected_until =
--- a/src/policy/outlier_detector.hpp
+++ b/src/policy/outlier_detector.hpp
@@ -17,8 +17,8 @@
 
 // The endpoints on the same side of the release.
 struct OutlierPeers {
-  double failure_rate = 0;   // of those not ejected
-  bool only_canary = false;  // the endpoint is a canary's, and there is no other
+  double failure_rate = 0;      // of those not ejected
+  bool is_only_canary = false;  // the endpoint is a canary's, and there is no other
 };
 
 class OutlierDetector {
@@ -31,19 +31,20 @@
   // Lets an ejected endpoint back in if its ejection time is over and its outcomes since then were good.
   void readmit_if_recovered(EndpointIndex index, Endpoint& endpoint, Instant now) const;
 
-  // May it get attempts? `most_ejected`: so many are that the cause is not theirs, see mostly_ejected().
-  static bool may_use(const Endpoint& endpoint, bool most_ejected, Instant now) {
+  // May it get attempts? `all_zones_mostly_ejected`: so many are that the cause is not theirs, see
+  // is_mostly_ejected().
+  static bool may_receive_attempts(const Endpoint& endpoint, bool all_zones_mostly_ejected, Instant now) {
     const OutlierState& outlier = endpoint.outlier;
-    if (!outlier.ejected || most_ejected) return true;
+    if (!outlier.ejected || all_zones_mostly_ejected) return true;
     return now >= outlier.ejected_until && endpoint.attempts_in_flight == 0;
   }
   // Are so many of a zone's ready endpoints ejected that the cause is not theirs?
-  static bool mostly_ejected(double ready, double ejected) {
-    return ejected > kMaxEjectedPart * ready || ready == 0;
+  static bool is_mostly_ejected(double ready, double ejected) {
+    return ejected > kMaxEjectedFraction * ready || ready == 0;
   }
 
  private:
-  static constexpr double kMaxEjectedPart = 0.4;
+  static constexpr double kMaxEjectedFraction = 0.4;
 
   const PolicyLog& log_;
   Pcg& random_;
--- a/src/policy/promotion.cpp
+++ b/src/policy/promotion.cpp
@@ -20,7 +20,8 @@
   const double canary = in_service.endpoints.canary;
   const double stable = in_service.endpoints.stable;
   const double all = settings.rolling_update ? canary + stable : std::max(canary, stable);
-  const double due = stage < settings.stage_fractions.size() ? settings.stage_fractions[stage] * all : all;
+  const double due =
+      stage < settings.stage_endpoint_fractions.size() ? settings.stage_endpoint_fractions[stage] * all : all;
   return canary >= kEndpointsPart * due - kRounding;
 }
 
@@ -33,7 +34,7 @@
     return false;
   const Duration in_stage = now - release.stage_since();
   // The last stage is never hurried: all load follows, and a version that is bad under load would jam.
-  const bool last_stage = release.stage() + 1 >= settings.stage_fractions.size();
+  const bool last_stage = release.stage() + 1 >= settings.stage_endpoint_fractions.size();
   const Duration min_age = kNewestCanaryAge * (last_stage ? 1.0 : pace);
   if (in_stage < min_age + kStageMargin * pace || now - endpoints.newest_canary_start() < min_age)
     return false;
--- a/src/policy/regression_detector.cpp
+++ b/src/policy/regression_detector.cpp
@@ -54,7 +54,7 @@
   const bool former_released = in_.release.known() && in_.release.phase() == ReleasePhase::kReleased;
   latencies_.begin_release(former_released);
   failures_.begin_release(former_released);
-  const DecayingMean& usual = in_.latency.usual();
+  const DecayingMean& usual = in_.latency.long_term_mean();
   const bool usual_known = in_.release.known() && usual.count >= kMinUsualLatencies;
   latency_before_release_ms_ = usual_known ? usual.mean : 0;
   ready_before_release_ = static_cast<double>(in_.endpoints.ready());
@@ -123,12 +123,12 @@
 double RegressionDetector::fleet_slowdown(const InService& in_service, Instant now) {
   const bool compared = in_.release.phase() == ReleasePhase::kCanary;
   const double yardstick_ms = latency_before_release_ms_ * (compared ? 1 : kReleasedYardstickFactor);
-  const double slowdown = yardstick_ms > 0 ? in_.latency.recent().mean / yardstick_ms : 1;
+  const double slowdown = yardstick_ms > 0 ? in_.latency.short_term_mean().mean / yardstick_ms : 1;
   // Too soon after its start, this router does not know how many requests are usual.
   const RouterSettings& settings = in_.settings;
-  if (now - started_at_ >= settings.exposure_window + settings.clock_tick) {
-    const auto arrivals =
-        static_cast<double>(in_.arrivals.all_since(now - settings.exposure_window + settings.clock_tick));
+  if (now - started_at_ >= settings.exposure_window + settings.clock_tolerance) {
+    const auto arrivals = static_cast<double>(
+        in_.arrivals.count_all_since(now - settings.exposure_window + settings.clock_tolerance));
     if (surges_.add(arrivals, slowdown > kFleetSlowdown, now)) on_outside_fault(now);
   }
   const bool explained = now - last_outside_fault_ <= kOutsideFaultLasts ||
--- a/src/policy/release_controller.cpp
+++ b/src/policy/release_controller.cpp
@@ -100,7 +100,7 @@
     if (votes_.standing() == Vote::kPromote) cast(Vote::kAbstain, now);
     return;
   }
-  const bool promote = !parts_.settings.promoted_by_clock &&
+  const bool promote = !parts_.settings.promoted_automatically &&
                        ready_to_promote(parts_.settings, pace_, release, ramp_, parts_.endpoints,
                                         parts_.monitor.in_service(), now);
   if (promote) cast(Vote::kPromote, now);
@@ -119,7 +119,7 @@
   const ReleaseTracker& release = parts_.release;
   parts_.log.write("release %u stage %u: moderate regression, traffic weight stepped back to %.2f",
                    release.version(), release.stage(), ramp_.weight());
-  if (!parts_.settings.promoted_by_clock || pause_voted_) return;
+  if (!parts_.settings.promoted_automatically || pause_voted_) return;
   cast(Vote::kPause, now);
   pause_voted_ = true;
 }
--- a/src/policy/release_tracker.hpp
+++ b/src/policy/release_tracker.hpp
@@ -26,7 +26,7 @@
     return state.stage != stage_ || state.phase != phase_ || !known_;
   }
   void apply(const ReleaseState& state, Instant now) {
-    if (is_new_stage(state)) stage_since_ = now - state.age;
+    if (is_new_stage(state)) stage_since_ = now - state.time_in_stage;
     if (ends_in_rollback(state.phase)) rolled_back_ = state.version;
     known_ = true;
     version_ = state.version;
--- a/src/policy/request.hpp
+++ b/src/policy/request.hpp
@@ -33,28 +33,28 @@
 };
 
 // What is done with a request when its timer is due.
-enum class NextStep : std::uint8_t { kNone, kRoute, kHedge, kGiveUp };
+enum class NextStep : std::uint8_t { kNone, kRoute, kHedge, kRejectOrFail };
 
 struct Request {
   static constexpr std::size_t kMaxAttempts = 8;
 
   RequestId id = 0;
-  bool live = false;      // its slot is in use
-  bool answered = false;  // it has its final answer; attempts may still be in flight
+  bool is_in_use = false;  // its slot is in use
+  bool answered = false;   // it has its final answer; attempts may still be in flight
   unsigned request_class = 0;
   std::uint64_t sticky_key = 0;
-  double weight = 1;     // against the mean request's
-  double patience = 1;   // the part of the time left that an attempt may be predicted to take
-  Instant objective_at;  // an answer by then is in time
-  Instant deadline;      // the final answer is due, with a margin before the client's own deadline
+  double weight = 1;                // against the mean request's
+  double max_latency_fraction = 1;  // the part of the time left that an attempt may be predicted to take
+  Instant objective_deadline;       // an answer by then is in time
+  Instant deadline;                 // the final answer is due, with a margin before the client's own deadline
   std::array<Attempt, kMaxAttempts> attempts;
   unsigned attempt_count = 0;
   UnsettledError error;
   Instant next_step_at = Instant::never();
   NextStep next_step = NextStep::kNone;
 
-  double ms_to_objective(Instant now) const { return (objective_at - now).ms(); }
-  bool any_attempt_in_flight() const {
+  double ms_to_objective(Instant now) const { return (objective_deadline - now).ms(); }
+  bool has_attempt_in_flight() const {
     return std::any_of(attempts.begin(), attempts.begin() + attempt_count,
                        [](const Attempt& attempt) { return attempt.in_flight; });
   }
--- a/src/policy/request_router.cpp
+++ b/src/policy/request_router.cpp
@@ -9,21 +9,21 @@
 constexpr Duration kTick = Duration::ms(20);
 constexpr Duration kMaxEndpointPollInterval = Duration::s(3);
 // The final answer is given this long before the client's deadline, so that it arrives in time.
-constexpr Duration kAnswerMargin = Duration::ms(26);
+constexpr Duration kAnswerDeadlineMargin = Duration::ms(26);
 
 // Tokens of schedule_wakeup().
 constexpr std::uint64_t kTickToken = 1;
-constexpr std::uint64_t kWatchToken = 2;
+constexpr std::uint64_t kWatchRetryToken = 2;
 
 // A request waits for an endpoint while so many times its class's mean latency is left.
-constexpr double kWaitWorthMeans = 1.5;
+constexpr double kMinWaitTimeFactor = 1.5;
 // A retry is worth while while so many times the mean latency is left before the deadline.
-constexpr double kRetryWorthMeans = 0.5;
+constexpr double kMinRetryTimeFactor = 0.5;
 
 // An attempt is hedged after so many times its predicted latency, within these parts of the objective.
-constexpr double kHedgeAfterPredictions = 3;
-constexpr double kMinHedgeDelayPart = 0.35;
-constexpr double kMaxHedgeDelayPart = 0.65;
+constexpr double kHedgeDelayFactor = 3;
+constexpr double kMinHedgeDelayFraction = 0.35;
+constexpr double kMaxHedgeDelayFraction = 0.65;
 
 constexpr double kMinRetryAfterMs = 150;
 constexpr double kRetryAfterRangeMs = 300;
@@ -56,7 +56,7 @@
 // ---- The endpoint list ----
 
 void RequestRouter::begin_endpoint_update(bool complete) {
-  endpoint_watch_pacing_.succeeded();
+  endpoint_watch_pacing_.on_success();
   endpoints_.begin_update(complete);
 }
 
@@ -75,7 +75,7 @@
 
 // The list as it was stands for as long as its lease runs.
 void RequestRouter::on_endpoint_watch_failed() {
-  actions_.schedule_wakeup(endpoint_watch_pacing_.wait_after_failure(random_.next_double()), kWatchToken);
+  actions_.schedule_wakeup(endpoint_watch_pacing_.on_failure(random_.next_double()), kWatchRetryToken);
 }
 
 void RequestRouter::set_endpoint_list_validity(const EndpointListValidity& validity) {
@@ -110,11 +110,11 @@
   request_slots_.put(arrival.request, slot);
   Request& request = requests_[slot];
   request.id = arrival.request;
-  request.live = true;
+  request.is_in_use = true;
   request.request_class = arrival.request_class;
   request.sticky_key = arrival.sticky_key;
-  request.deadline = arrival.deadline - kAnswerMargin;
-  request.objective_at = std::min(now_ + class_of(request).latency_objective, request.deadline);
+  request.deadline = arrival.deadline - kAnswerDeadlineMargin;
+  request.objective_deadline = std::min(now_ + class_of(request).latency_objective, request.deadline);
   admission_.on_request(request, arrival.tenant, latency_.class_mean_ms(request.request_class));
   arrivals_.add(request.request_class, now_);
   retry_budget_.on_request();
@@ -124,11 +124,11 @@
 // The first attempt, a retry, and the next look of a request that waits: sends it, lets it wait a little for
 // an endpoint, or gives it up at once.
 void RequestRouter::route(Request& request) {
-  const auto selection = choose(request);
+  const auto selection = choose_endpoint(request);
   if (!selection) return wait_for_endpoint(request);
   const bool endpoint_is_idle = endpoints_[selection->endpoint].attempts_in_flight == 0;
   const bool admitted = admission_.admits(request, *selection, endpoint_is_idle, now_, random_);
-  if (!admitted && guards_.may_reject(request)) return give_up(request);
+  if (!admitted && guards_.may_reject(request)) return reject_or_fail(request);
   send(request, *selection, false);
 }
 
@@ -136,14 +136,14 @@
 void RequestRouter::wait_for_endpoint(Request& request) {
   const bool may_be_sent =
       class_of(request).idempotency == Idempotency::kIdempotent || !request.may_have_run();
-  const double min_left_ms = latency_.class_mean_ms(request.request_class) * kWaitWorthMeans;
+  const double min_left_ms = latency_.class_mean_ms(request.request_class) * kMinWaitTimeFactor;
   const bool worth_waiting = may_be_sent && request.ms_to_objective(now_) > min_left_ms &&
-                             endpoints_.ready() > 0 && guards_.list_is_valid(now_);
-  if (!worth_waiting) return give_up(request);
+                             endpoints_.ready() > 0 && guards_.is_list_valid(now_);
+  if (!worth_waiting) return reject_or_fail(request);
   request.schedule(NextStep::kRoute, now_ + kTick);
 }
 
-void RequestRouter::send(Request& request, const Selection& selection, bool hedged) {
+void RequestRouter::send(Request& request, const Selection& selection, bool is_hedge) {
   Endpoint& endpoint = endpoints_[selection.endpoint];
   Attempt& attempt = request.attempts[request.attempt_count++];
   attempt.endpoint = selection.endpoint;
@@ -154,12 +154,12 @@
   attempt.in_flight = true;
   attempt.may_have_run = true;
   ++endpoint.attempts_in_flight;
-  if (endpoint.unanswered_since <= endpoint.last_heard_at) endpoint.unanswered_since = now_;
+  if (endpoint.unanswered_since <= endpoint.last_response_at) endpoint.unanswered_since = now_;
   endpoint.slow_start.attempts.add(now_);
   if (release_.is_capped(endpoint.version)) exposure_.add_canary_attempt(request.request_class, now_);
   actions_.send_attempt(request.id, selection.endpoint);
-  request.schedule(NextStep::kGiveUp, request.deadline);
-  if (!hedged) schedule_hedge(request, selection);
+  request.schedule(NextStep::kRejectOrFail, request.deadline);
+  if (!is_hedge) schedule_hedge(request, selection);
 }
 
 void RequestRouter::schedule_hedge(Request& request, const Selection& selection) {
@@ -169,44 +169,45 @@
   if (!settings_.may_hedge && !settings_.may_cancel) return;
   const double objective_ms = request_class.latency_objective.ms();
   const Duration delay =
-      Duration::ms(std::clamp(kHedgeAfterPredictions * selection.predicted_ms,
-                              kMinHedgeDelayPart * objective_ms, kMaxHedgeDelayPart * objective_ms));
+      Duration::ms(std::clamp(kHedgeDelayFactor * selection.predicted_ms,
+                              kMinHedgeDelayFraction * objective_ms, kMaxHedgeDelayFraction * objective_ms));
   if (now_ + delay + kTick < request.deadline) request.schedule(NextStep::kHedge, now_ + delay);
 }
 
 // An attempt has taken much longer than predicted: another one beside it where that is allowed, else it is
 // cancelled, and retried once it has ended.
-void RequestRouter::hedge(Request& request) {
-  request.schedule(NextStep::kGiveUp, request.deadline);
+void RequestRouter::hedge_or_cancel(Request& request) {
+  request.schedule(NextStep::kRejectOrFail, request.deadline);
   if (!retry_budget_.allows_hedge() || request.attempt_count >= guards_.max_attempts()) return;
-  if (now_ >= request.objective_at) return;
-  const auto selection = choose(request);
+  if (now_ >= request.objective_deadline) return;
+  const auto selection = choose_endpoint(request);
   if (!selection || selection->predicted_ms > request.ms_to_objective(now_)) return;
-  retry_budget_.take_hedge();
+  retry_budget_.spend_hedge();
   if (!settings_.may_hedge) return actions_.cancel_attempt(request.id, request.attempt_count - 1);
   send(request, *selection, true);
 }
 
 // An attempt has ended without an answer for the client.
-void RequestRouter::after_attempt(Request& request, AttemptResult result) {
-  if (request.any_attempt_in_flight()) return;
-  const Duration least_left = Duration::ms(latency_.class_mean_ms(request.request_class) * kRetryWorthMeans);
-  const bool time_left = now_ + least_left < request.deadline;
-  const bool attempts_left = request.attempt_count < guards_.max_attempts();
-  if (result == AttemptResult::kLocalFailure && time_left && attempts_left) {
+void RequestRouter::retry_or_reject(Request& request, AttemptResult result) {
+  if (request.has_attempt_in_flight()) return;
+  const Duration min_time_left =
+      Duration::ms(latency_.class_mean_ms(request.request_class) * kMinRetryTimeFactor);
+  const bool has_time_left = now_ + min_time_left < request.deadline;
+  const bool has_attempts_left = request.attempt_count < guards_.max_attempts();
+  if (result == AttemptResult::kLocalFailure && has_time_left && has_attempts_left) {
     // Nothing was sent: no part of the retry budget, and a moment for this machine to recover.
     const auto backoff = static_cast<double>(1U << request.attempt_count);
     return request.schedule(NextStep::kRoute, now_ + kTick * backoff);
   }
-  const bool request_at_fault = request.error.state == UnsettledError::State::kRequestAtFault;
-  if (!time_left || !attempts_left || !retry_budget_.allows_retry() || request_at_fault)
-    return give_up(request);
-  retry_budget_.take_retry();
+  const bool is_request_at_fault = request.error.state == UnsettledError::State::kRequestAtFault;
+  if (!has_time_left || !has_attempts_left || !retry_budget_.allows_retry() || is_request_at_fault)
+    return reject_or_fail(request);
+  retry_budget_.spend_retry();
   route(request);
 }
 
 // The final answer of a request that no endpoint will answer.
-void RequestRouter::give_up(Request& request) {
+void RequestRouter::reject_or_fail(Request& request) {
   if (guards_.may_reject(request) && now_ < request.deadline) actions_.reject(request.id, draw_retry_after());
   else actions_.fail(request.id);
   finish(request, false);
@@ -220,14 +221,14 @@
   for (unsigned i = 0; i < request.attempt_count; ++i) {
     if (request.attempts[i].in_flight && settings_.may_cancel) actions_.cancel_attempt(request.id, i);
   }
-  release_if_over(request);
+  deallocate_if_done(request);
 }
 
-void RequestRouter::release_if_over(Request& request) {
-  if (request.any_attempt_in_flight()) return;
+void RequestRouter::deallocate_if_done(Request& request) {
+  if (request.has_attempt_in_flight()) return;
   const std::uint32_t slot = request_slots_.find(request.id);
   request_slots_.erase(request.id);
-  request.live = false;
+  request.is_in_use = false;
   requests_.deallocate(slot);
 }
 
@@ -240,16 +241,16 @@
   outcomes_.on_attempt_end(*request, attempt, end.result, end.duration, now_);
   if (end.result == AttemptResult::kOk && attempt.version >= release_.version())
     sticky_keys_.bind(*request, attempt.version);
-  if (request->answered) release_if_over(*request);
+  if (request->answered) deallocate_if_done(*request);
   else if (end.answered_client) finish(*request, end.result == AttemptResult::kOk);
-  else after_attempt(*request, end.result);
+  else retry_or_reject(*request, end.result);
 }
 
 void RequestRouter::end_attempt(Attempt& attempt, Endpoint& endpoint, AttemptResult result) const {
   attempt.in_flight = false;
   attempt.may_have_run = may_have_run(result);
   if (endpoint.attempts_in_flight > 0) --endpoint.attempts_in_flight;
-  if (endpoint_answered(result)) endpoint.last_heard_at = now_;
+  if (endpoint_answered(result)) endpoint.last_response_at = now_;
 }
 
 void RequestRouter::on_client_disconnect(RequestId id) {
@@ -270,7 +271,7 @@
 // ---- Time ----
 
 void RequestRouter::on_wakeup(std::uint64_t token) {
-  if (token == kWatchToken) return actions_.watch_endpoints();
+  if (token == kWatchRetryToken) return actions_.watch_endpoints();
   if (token == kTickToken) on_tick();
 }
 
@@ -280,21 +281,21 @@
   monitor_.scan(now_);
   for (std::uint32_t slot = 0; slot < requests_.slot_count(); ++slot) {
     Request& request = requests_[slot];
-    if (request.live && !request.answered && request.next_step_at <= now_) take_due_step(request);
+    if (request.is_in_use && !request.answered && request.next_step_at <= now_) run_due_step(request);
   }
   controller_.on_tick(now_);
 }
 
-void RequestRouter::take_due_step(Request& request) {
+void RequestRouter::run_due_step(Request& request) {
   switch (request.next_step) {
     case NextStep::kNone:
       return;
     case NextStep::kRoute:
       return route(request);
     case NextStep::kHedge:
-      return hedge(request);
-    case NextStep::kGiveUp:
-      return give_up(request);
+      return hedge_or_cancel(request);
+    case NextStep::kRejectOrFail:
+      return reject_or_fail(request);
   }
 }
 
--- a/src/policy/request_router.hpp
+++ b/src/policy/request_router.hpp
@@ -1,11 +1,11 @@
 // The decisions of one router: a thin state machine that takes each event and asks the modules of this folder
 // in one visible order.
 //
-// A request is routed (on_request, route), sent (send), and sent again or hedged while that may help (hedge,
-// after_attempt), until it has its one final answer (give_up, or an attempt that answers its client). Each
-// tick looks at the endpoints, takes the steps of requests that are due, and judges the release.
-// Whether an unsafe or keyed request may be sent again is RuleGuards'. docs/architecture.md has the pictures.
-// Units, order of calls and errors: see router_policy.hpp.
+// A request is routed (on_request, route), sent (send), and sent again or hedged while that may help
+// (hedge_or_cancel, retry_or_reject), until it has its one final answer (reject_or_fail, or an attempt that
+// answers its client). Each tick looks at the endpoints, takes the steps of requests that are due, and judges
+// the release. Whether an unsafe or keyed request may be sent again is RuleGuards'. docs/architecture.md has
+// the pictures. Units, order of calls and errors: see router_policy.hpp.
 #pragma once
 #include "base/index_map.hpp"
 #include "base/pcg.hpp"
@@ -62,14 +62,14 @@
   // Steps of a request.
   void route(Request& request);
   void wait_for_endpoint(Request& request);
-  void send(Request& request, const Selection& selection, bool hedged);
+  void send(Request& request, const Selection& selection, bool is_hedge);
   void schedule_hedge(Request& request, const Selection& selection);
-  void hedge(Request& request);
-  void after_attempt(Request& request, AttemptResult result);
-  void give_up(Request& request);
+  void hedge_or_cancel(Request& request);
+  void retry_or_reject(Request& request, AttemptResult result);
+  void reject_or_fail(Request& request);
   void finish(Request& request, bool served);
-  void release_if_over(Request& request);
-  void take_due_step(Request& request);
+  void deallocate_if_done(Request& request);
+  void run_due_step(Request& request);
 
   void end_attempt(Attempt& attempt, Endpoint& endpoint, AttemptResult result) const;
   void on_tick();
@@ -77,7 +77,7 @@
   const RequestClass& class_of(const Request& request) const {
     return settings_.request_classes[request.request_class];
   }
-  std::optional<Selection> choose(const Request& request) {
+  std::optional<Selection> choose_endpoint(const Request& request) {
     return balancer_.choose(request, controller_.split(), now_);
   }
   Duration draw_retry_after();
--- a/src/policy/retry_budget.hpp
+++ b/src/policy/retry_budget.hpp
@@ -12,16 +12,16 @@
 class RetryBudget {
  public:
   explicit RetryBudget(std::uint32_t router_count)
-      : max_tokens_(std::max(kFleetTokens / router_count, 2 * kHedgeCost)), tokens_(max_tokens_) {}
+      : max_tokens_(std::max(kMaxFleetTokens / router_count, 2 * kHedgeCost)), tokens_(max_tokens_) {}
 
   void on_request() { tokens_ = std::min(tokens_ + kTokensPerRequest, max_tokens_); }
   bool allows_retry() const { return tokens_ >= kRetryCost; }
-  void take_retry() { tokens_ -= kRetryCost; }
+  void spend_retry() { tokens_ -= kRetryCost; }
   bool allows_hedge() const { return tokens_ >= kHedgeCost; }
-  void take_hedge() { tokens_ -= kHedgeCost; }
+  void spend_hedge() { tokens_ -= kHedgeCost; }
 
  private:
-  static constexpr double kFleetTokens = 60;  // of all routers together
+  static constexpr double kMaxFleetTokens = 60;  // of all routers together
   static constexpr double kTokensPerRequest = 0.2;
   static constexpr double kRetryCost = 1;
   static constexpr double kHedgeCost = 4;
--- a/src/policy/router_policy.hpp
+++ b/src/policy/router_policy.hpp
@@ -30,9 +30,9 @@
 struct EndpointListValidity {
   // To any ready endpoint of the list. Later, to those alone whose own answers show that they do not drain,
   // see RouterPolicy::extend_endpoint_validity().
-  Instant all_until = Instant::never();
+  Instant valid_until = Instant::never();
   // To none at all: a change is on its way whose content is not known yet.
-  Instant none_after = Instant::never();
+  Instant blocked_from = Instant::never();
 };
 
 // A request whose last byte has come.
@@ -60,7 +60,7 @@
   unsigned stage = 0;
   ReleasePhase phase = ReleasePhase::kReleased;
   double exposure_cap = 0;  // part of requests that may go to the canary, 0 to 1
-  Duration age;             // since it came to stand so
+  Duration time_in_stage;   // since it came to stand so
 };
 
 // Outcomes that the platform has counted over all routers.
--- a/src/policy/router_settings.hpp
+++ b/src/policy/router_settings.hpp
@@ -24,7 +24,7 @@
   // Requests.
   std::vector<RequestClass> request_classes;
   std::vector<double> tenant_quota_per_s;  // requests a second, all routers together; by tenant
-  double over_quota_weight = 1;            // factor on the weight of requests over their tenant's quota
+  double over_quota_weight_factor = 1;     // factor on the weight of requests over their tenant's quota
 
   // This router, and the fleet.
   std::uint32_t zone_count = 1;
@@ -42,25 +42,25 @@
   Duration max_retry_after;
 
   // Endpoints.
-  Duration drain_grace;             // after the notice of a drain nothing new may go to the endpoint
-  Duration endpoint_poll_interval;  // how often the list is to be asked for at least
-  Duration slow_start_window;       // over which attempts to an endpoint that warms up are counted
-  Duration slow_start_duration;     // from its start until it is warm
-  Duration clock_tick;              // by which the counts at two ends of a connection may differ
-  double overload_multiple = 2;     // of what an endpoint can do in a window: pushes it over
-  double initial_capacity = 1;      // of a warm one's, just started
-  double cross_zone_cost = 0;       // of a request sent to another zone, in parts of its weight
+  Duration drain_grace;                  // after the notice of a drain nothing new may go to the endpoint
+  Duration endpoint_poll_interval;       // how often the list is to be asked for at least
+  Duration slow_start_window;            // over which attempts to an endpoint that warms up are counted
+  Duration slow_start_duration;          // from its start until it is warm
+  Duration clock_tolerance;              // by which the counts at two ends of a connection may differ
+  double overload_factor = 2;            // of what an endpoint can do in a window: pushes it over
+  double initial_capacity_fraction = 1;  // of a warm one's, just started
+  double cross_zone_cost = 0;            // of a request sent to another zone, in parts of its weight
   double health_check_cost = 0;
 
   // Releases.
-  std::vector<double> exposure_caps;         // by stage: part of requests that may go to the canary
-  std::vector<double> stage_fractions;       // by stage: part of endpoints that run the canary
-  bool exposure_per_class = false;           // the cap holds for each request class by itself
-  bool sticky_keys = false;                  // a key that a version has answered never goes to an earlier one
-  bool promoted_by_clock = false;            // the platform promotes by itself; 'promote' is not voted
-  bool rolling_update = false;               // canary endpoints replace stable ones
-  std::uint32_t idempotent_only_stages = 0;  // the first so many stages take idempotent requests alone
-  double exposure_allowance = 0;             // attempts beside the cap
+  std::vector<double> exposure_caps;             // by stage: part of requests that may go to the canary
+  std::vector<double> stage_endpoint_fractions;  // by stage: part of endpoints that run the canary
+  bool exposure_per_class = false;               // the cap holds for each request class by itself
+  bool sticky_keys = false;             // a key that a version has answered never goes to an earlier one
+  bool promoted_automatically = false;  // the platform promotes by itself; 'promote' is not voted
+  bool rolling_update = false;          // canary endpoints replace stable ones
+  std::uint32_t idempotent_only_stage_count = 0;  // the first so many stages take idempotent requests alone
+  double exposure_allowance = 0;                  // attempts beside the cap
   Duration exposure_window;
   Duration bake_time;  // the least time in a stage
 
@@ -69,7 +69,7 @@
   Duration sample_interval;              // between outcome samples
   Duration vote_answer_timeout;          // of the platform
   std::uint32_t abort_votes_needed = 1;  // routers that must stand for 'abort'
-  double platform_calls_per_s = 1;       // from all routers together
+  double max_platform_calls_per_s = 1;   // from all routers together
   double dispute_report_fraction = 0;    // part of wrong answers that is reported
   double outcome_sample_fraction = 1;
 };
--- a/src/policy/rule_guards.cpp
+++ b/src/policy/rule_guards.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 // With more ready endpoints than this a retry goes elsewhere.
-constexpr std::size_t kFewEndpoints = 2;
+constexpr std::size_t kMaxReadyToRetrySameEndpoint = 2;
 
 }  // namespace
 
@@ -22,8 +22,8 @@
   Endpoint& endpoint = endpoints_[index];
   if (request.answered || endpoint.state != EndpointState::kReady) return false;
   if (now >= request.deadline || request.attempt_count >= max_attempts_) return false;
-  if (!list_allows(endpoint, now)) return false;
-  if (request.attempt_count > 0 && !former_attempts_allow(request, index, now)) return false;
+  if (!list_validity_allows(endpoint, now)) return false;
+  if (request.attempt_count > 0 && !previous_attempts_allow(request, index, now)) return false;
   if (!sticky_keys_.allows(request, endpoint.version, release_)) return false;
   if (release_.is_capped(endpoint.version) &&
       !exposure_.allows(request, endpoint.version, release_, traffic_weight, now))
@@ -38,32 +38,35 @@
 }
 
 // A drain counts as notified some time after discovery had it, whether or not it has arrived here.
-bool RuleGuards::list_allows(const Endpoint& endpoint, Instant now) const {
-  return now < list_validity_.none_after && now < std::max(list_validity_.all_until, endpoint.valid_until);
+bool RuleGuards::list_validity_allows(const Endpoint& endpoint, Instant now) const {
+  return now < list_validity_.blocked_from &&
+         now < std::max(list_validity_.valid_until, endpoint.valid_until);
 }
 
-bool RuleGuards::former_attempts_allow(const Request& request, EndpointIndex index, Instant now) const {
+bool RuleGuards::previous_attempts_allow(const Request& request, EndpointIndex index, Instant now) const {
   const RequestClass& request_class = settings_.request_classes[request.request_class];
   for (unsigned i = 0; i < request.attempt_count; ++i) {
-    const Attempt& former = request.attempts[i];
-    if (former.endpoint == index && (former.in_flight || endpoints_.ready() > kFewEndpoints)) return false;
-    if (!former.in_flight && !former.may_have_run) continue;
+    const Attempt& previous = request.attempts[i];
+    if (previous.endpoint == index &&
+        (previous.in_flight || endpoints_.ready() > kMaxReadyToRetrySameEndpoint))
+      return false;
+    if (!previous.in_flight && !previous.may_have_run) continue;
     if (request_class.idempotency == Idempotency::kUnsafe) return false;
     if (request_class.idempotency == Idempotency::kIdempotent) continue;
-    if (now - former.sent_at >= request_class.key_retention - settings_.clock_tick) return false;
-    if (!same_scope(request_class.scope, endpoints_[former.endpoint], endpoints_[index])) return false;
+    if (now - previous.sent_at >= request_class.key_retention - settings_.clock_tolerance) return false;
+    if (!is_same_scope(request_class.scope, endpoints_[previous.endpoint], endpoints_[index])) return false;
   }
   return true;
 }
 
-bool RuleGuards::same_scope(IdempotencyScope scope, const Endpoint& former, const Endpoint& next) const {
+bool RuleGuards::is_same_scope(IdempotencyScope scope, const Endpoint& previous, const Endpoint& next) const {
   switch (scope) {
     case IdempotencyScope::kAll:
       return true;
     case IdempotencyScope::kZone:
-      return former.zone == next.zone;
+      return previous.zone == next.zone;
     case IdempotencyScope::kCell:
-      return former.zone == next.zone && former.cell == next.cell;
+      return previous.zone == next.zone && previous.cell == next.cell;
   }
   return false;
 }
--- a/src/policy/rule_guards.hpp
+++ b/src/policy/rule_guards.hpp
@@ -25,7 +25,7 @@
 
   void set_list_validity(const EndpointListValidity& validity) { list_validity_ = validity; }
   // May attempts go to any endpoint of the list, by the list's lease alone?
-  bool list_is_valid(Instant now) const { return now < list_validity_.all_until; }
+  bool is_list_valid(Instant now) const { return now < list_validity_.valid_until; }
 
   // May the request's next attempt go to this endpoint now? `traffic_weight`: see ExposureCap::allows().
   bool may_send(const Request& request, EndpointIndex index, double traffic_weight, Instant now);
@@ -35,9 +35,9 @@
   unsigned max_attempts() const { return max_attempts_; }
 
  private:
-  bool list_allows(const Endpoint& endpoint, Instant now) const;
-  bool former_attempts_allow(const Request& request, EndpointIndex index, Instant now) const;
-  bool same_scope(IdempotencyScope scope, const Endpoint& former, const Endpoint& next) const;
+  bool list_validity_allows(const Endpoint& endpoint, Instant now) const;
+  bool previous_attempts_allow(const Request& request, EndpointIndex index, Instant now) const;
+  bool is_same_scope(IdempotencyScope scope, const Endpoint& previous, const Endpoint& next) const;
 
   const RouterSettings& settings_;
   EndpointTable& endpoints_;
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -5,13 +5,13 @@
 namespace {
 
 // Of an endpoint's part of all tenants' quota: machines of a smaller type can do less than the mean.
-constexpr double kQuotaPart = 0.75;
-// Of what pushes an endpoint over, while the router is young.
-constexpr double kYoungRouterPart = 0.7;
+constexpr double kMaxQuotaFraction = 0.75;
+// Of what pushes an endpoint over, while the router is new.
+constexpr double kNewRouterLoadFraction = 0.7;
 // Of its part of all requests, where no warm endpoint shows what one usually gets.
-constexpr double kUnknownUsualPart = 0.7;
-constexpr double kLostZoneConnectFailures = 3;
-constexpr double kUsualAttemptsWeight = 0.005;
+constexpr double kFallbackArrivalsFraction = 0.7;
+constexpr double kZoneLostThreshold = 3;
+constexpr double kExpectedAttemptsWeight = 0.005;
 
 }  // namespace
 
@@ -28,17 +28,17 @@
 void SlowStart::set_endpoint_count(std::size_t max_ready, Instant now) {
   if (quota_per_s_ > 0 && max_ready > 0)
     quota_per_endpoint_ = quota_per_s_ * settings_.slow_start_window.s() / static_cast<double>(max_ready);
-  young_router_limit_ = young_router_limit(now);
+  new_router_limit_ = new_router_limit(now);
 }
 
 void SlowStart::on_connect_failed(Endpoint& endpoint, Instant now) {
   endpoint.slow_start.connect_failed_at = now;
   ZoneConnectivity& zone = zones_[endpoint.zone];
-  if (++zone.connect_failures >= kLostZoneConnectFailures) zone.lost_at = now;
+  if (++zone.connect_failures >= kZoneLostThreshold) zone.lost_at = now;
 }
 
 void SlowStart::begin_scan(Instant now) {
-  young_router_limit_ = young_router_limit(now);
+  new_router_limit_ = new_router_limit(now);
   for (MachineType& type : machine_types_) {
     type.attempts = 0;
     type.endpoints = 0;
@@ -54,30 +54,31 @@
 
 void SlowStart::end_scan(double arrivals, double capacity) {
   // However many requests come while endpoints are away, none gets more than its part of the quota.
-  const double even_part = std::min(arrivals / std::max(capacity, 1.0), kQuotaPart * quota_per_endpoint_);
+  const double even_share =
+      std::min(arrivals / std::max(capacity, 1.0), kMaxQuotaFraction * quota_per_endpoint_);
   for (MachineType& type : machine_types_) {
     if (type.endpoints == 0) {
-      type.limit = kUnknownUsualPart * even_part;
+      type.full_capacity_limit = kFallbackArrivalsFraction * even_share;
       continue;
     }
     const double mean_attempts = type.attempts / type.endpoints;
-    type.limit = std::min(mean_attempts, even_part);
-    type.usual_attempts.add(mean_attempts, kUsualAttemptsWeight);
+    type.full_capacity_limit = std::min(mean_attempts, even_share);
+    type.expected_attempts.add(mean_attempts, kExpectedAttemptsWeight);
   }
 }
 
-SlowStart::UsualAttempts SlowStart::usual_attempts(unsigned machine_type) const {
+SlowStart::ExpectedAttempts SlowStart::expected_attempts(unsigned machine_type) const {
   unsigned type = machine_type;
-  for (unsigned other = 0; other < machine_types_.size() && machine_types_[type].usual_attempts.count == 0;
+  for (unsigned other = 0; other < machine_types_.size() && machine_types_[type].expected_attempts.count == 0;
        ++other)
     type = other;
-  return {type, machine_types_[type].usual_attempts.mean};
+  return {type, machine_types_[type].expected_attempts.mean};
 }
 
-double SlowStart::young_router_limit(Instant now) const {
-  const bool young = now - router_started_at_ < settings_.slow_start_duration && quota_per_endpoint_ < 1;
-  if (!young) return kUnlimited;
-  return kYoungRouterPart * settings_.overload_multiple * capacity_since(router_started_at_, now) *
+double SlowStart::new_router_limit(Instant now) const {
+  const bool is_new = now - router_started_at_ < settings_.slow_start_duration && quota_per_endpoint_ < 1;
+  if (!is_new) return kUnlimited;
+  return kNewRouterLoadFraction * settings_.overload_factor * capacity_since(router_started_at_, now) *
          quota_per_endpoint_;
 }
 
--- a/src/policy/slow_start.hpp
+++ b/src/policy/slow_start.hpp
@@ -45,8 +45,8 @@
 
   // The part of its capacity that a process has that started then.
   double capacity_since(Instant started_at, Instant now) const {
-    const double grown = std::clamp((now - started_at) / settings_.slow_start_duration, 0.0, 1.0);
-    return settings_.initial_capacity + (1 - settings_.initial_capacity) * grown;
+    const double elapsed_fraction = std::clamp((now - started_at) / settings_.slow_start_duration, 0.0, 1.0);
+    return settings_.initial_capacity_fraction + (1 - settings_.initial_capacity_fraction) * elapsed_fraction;
   }
   double capacity(const Endpoint& endpoint, Instant now) const {
     return capacity_since(endpoint.started_at, now);
@@ -56,56 +56,57 @@
     return now - endpoint.started_at >= settings_.slow_start_duration;
   }
   // The same, counted from its last sign of a start that the list may not show yet.
-  bool is_surely_warm(const Endpoint& endpoint, Instant now) const {
-    return now - may_have_started_at(endpoint) >= settings_.slow_start_duration;
+  bool is_reliably_warm(const Endpoint& endpoint, Instant now) const {
+    return now - latest_possible_start(endpoint) >= settings_.slow_start_duration;
   }
   // What it may get in a window; kUnlimited: any number.
-  double limit(const Endpoint& endpoint, Instant now) const {
-    const Instant started_at = may_have_started_at(endpoint);
-    const bool cold = now - started_at < settings_.slow_start_duration + kWarmMargin;
+  double attempt_limit(const Endpoint& endpoint, Instant now) const {
+    const Instant started_at = latest_possible_start(endpoint);
+    const bool is_cold = now - started_at < settings_.slow_start_duration + kWarmUpMargin;
     const double cold_limit =
-        cold ? machine_types_[endpoint.machine_type].limit * capacity_since(started_at, now) : kUnlimited;
-    return std::min(young_router_limit_, cold_limit);
+        is_cold ? machine_types_[endpoint.machine_type].full_capacity_limit * capacity_since(started_at, now)
+                : kUnlimited;
+    return std::min(new_router_limit_, cold_limit);
   }
   // May it get one more attempt now?
   bool allows(Endpoint& endpoint, Instant now) const {
-    const double most = limit(endpoint, now);
-    if (most >= kUnlimited) return true;
+    const double limit = attempt_limit(endpoint, now);
+    if (limit >= kUnlimited) return true;
     SlowStartState& state = endpoint.slow_start;
     const auto sent = static_cast<double>(state.attempts.count_since(now - settings_.slow_start_window));
-    return sent + state.jitter < most;
+    return sent + state.jitter < limit;
   }
   // What a warm stable endpoint of this machine type usually gets; of another type where there is none of it.
-  struct UsualAttempts {
+  struct ExpectedAttempts {
     unsigned machine_type = 0;  // that the figure is of
     double attempts = 0;
   };
-  UsualAttempts usual_attempts(unsigned machine_type) const;
+  ExpectedAttempts expected_attempts(unsigned machine_type) const;
 
  private:
-  static constexpr Duration kWarmMargin = Duration::ms(300);
+  static constexpr Duration kWarmUpMargin = Duration::ms(300);
 
   struct MachineType {
-    double attempts = 0;   // to warm stable endpoints, in the scan at hand
-    double endpoints = 0;  // of those
-    double limit = 0;      // of an endpoint with its full capacity
-    DecayingMean usual_attempts;
+    double attempts = 0;             // to warm stable endpoints, in the scan at hand
+    double endpoints = 0;            // of those
+    double full_capacity_limit = 0;  // of an endpoint with its full capacity
+    DecayingMean expected_attempts;
   };
   struct ZoneConnectivity {
     double connect_failures = 0;  // with no answer since
     Instant lost_at;              // the last of so many that the zone counts as lost
   };
 
-  Instant may_have_started_at(const Endpoint& endpoint) const {
+  Instant latest_possible_start(const Endpoint& endpoint) const {
     return std::max(
         {endpoint.started_at, endpoint.slow_start.connect_failed_at, zones_[endpoint.zone].lost_at});
   }
-  double young_router_limit(Instant now) const;
+  double new_router_limit(Instant now) const;
 
   const RouterSettings& settings_;
   double quota_per_s_ = 0;                  // of all tenants, this router's part
   double quota_per_endpoint_ = kUnlimited;  // of that, in a window, of each endpoint
-  double young_router_limit_ = kUnlimited;
+  double new_router_limit_ = kUnlimited;
   Instant router_started_at_;
   std::vector<MachineType> machine_types_;
   std::vector<ZoneConnectivity> zones_;
--- a/src/policy/vote_scheduler.cpp
+++ b/src/policy/vote_scheduler.cpp
@@ -18,7 +18,7 @@
 constexpr double kAfterRefusalRange = 0.75;
 
 Duration round(double calls, const RouterSettings& settings) {
-  return Duration::s(calls / std::max(settings.platform_calls_per_s, 1.0));
+  return Duration::s(calls / std::max(settings.max_platform_calls_per_s, 1.0));
 }
 
 }  // namespace
--- a/src/routing/endpoint_list_lease.cpp
+++ b/src/routing/endpoint_list_lease.cpp
@@ -21,25 +21,25 @@
 }
 
 void EndpointListLease::confirmed() {
-  lease_.confirmed(context_.loop.now());
+  lease_.on_line_received(context_.loop.now());
   on_changed("confirmed");
 }
 
 void EndpointListLease::line_begun() {
-  lease_.line_begun(context_.loop.now());
+  lease_.on_line_started(context_.loop.now());
   publish();
 }
 
 void EndpointListLease::watch_lost(const char* reason, bool discovery_refused) {
-  lease_.watch_lost();
-  if (discovery_refused) lease_.unreachable(context_.loop.now());
+  lease_.on_watch_lost();
+  if (discovery_refused) lease_.on_discovery_unreachable(context_.loop.now());
   on_changed(reason);
 }
 
 void EndpointListLease::on_endpoint_answered(EndpointIndex endpoint, Instant sent,
                                              Instant connection_opened) {
-  if (!lease_.vouches(connection_opened)) return;
-  context_.policy.at_now().extend_endpoint_validity(endpoint, lease_.valid_after_answer(sent));
+  if (!lease_.may_extend_validity(connection_opened)) return;
+  context_.policy.at_now().extend_endpoint_validity(endpoint, lease_.valid_until_after_answer(sent));
 }
 
 void EndpointListLease::on_changed(const char* reason) {
@@ -60,11 +60,11 @@
 
 void EndpointListLease::publish() {
   EndpointListValidity validity;
-  validity.all_until = std::max(lease_.valid_until(), configured_list_valid_until_);
-  validity.none_after = lease_.pending_until();
+  validity.valid_until = std::max(lease_.valid_until(), configured_list_valid_until_);
+  validity.blocked_from = lease_.blocked_from();
   context_.policy.at_now().set_endpoint_list_validity(validity);
-  if (validity.all_until > context_.loop.now()) {
-    expiry_timer_.schedule_at(validity.all_until);
+  if (validity.valid_until > context_.loop.now()) {
+    expiry_timer_.schedule_at(validity.valid_until);
   } else {
     expiry_timer_.cancel();
   }
@@ -74,7 +74,7 @@
                                                       Duration connect_timeout) {
   policy::EndpointLeaseSettings lease;
   if (settings.must_watch_endpoints)
-    lease.notified_within = std::min(lease.notified_within, settings.endpoint_poll_interval);
+    lease.max_notification_delay = std::min(lease.max_notification_delay, settings.endpoint_poll_interval);
   lease.drain_grace = settings.drain_grace;
   lease.send_delay = connect_timeout + limits.max_processing_delay + limits.max_network_delay;
   return lease;
--- a/src/routing/endpoint_registry.cpp
+++ b/src/routing/endpoint_registry.cpp
@@ -79,8 +79,8 @@
   const bool process_replaced =
       address != endpoint.address || version != endpoint.version || entry.boot_ms != endpoint.boot_ms;
   if (process_replaced) {
-    endpoint.started_at = policy::endpoint_start(entry.boot_ms, context_.loop.now(),
-                                                 context_.loop.wall_clock_offset(), lease_.confirmed_at());
+    endpoint.started_at = policy::compute_endpoint_start(
+        entry.boot_ms, context_.loop.now(), context_.loop.wall_clock_offset(), lease_.confirmed_at());
   }
   const bool removed = entry.state == EndpointState::kRemoved;
   if (!removed) {
--- a/src/routing/release_messages.cpp
+++ b/src/routing/release_messages.cpp
@@ -64,7 +64,7 @@
   state.stage = static_cast<unsigned>(stage);
   state.phase = *phase;
   state.exposure_cap = exposure_cap;
-  state.age = lag_of(message);
+  state.time_in_stage = lag_of(message);
   return state;
 }
 
--- a/src/simhost/events.cpp
+++ b/src/simhost/events.cpp
@@ -155,7 +155,7 @@
   const bool answers_vote = reader.u8() != 0;
   const VoteOutcome outcome = vote_outcome(reader.u16(), reader);
   event.state.exposure_cap = static_cast<double>(reader.f32());
-  event.state.age = Duration::ms(reader.f64());
+  event.state.time_in_stage = Duration::ms(reader.f64());
   event.state.phase = release_phase(phase, reader);
   if (answers_vote && outcome != VoteOutcome::kAccepted) return VoteRefusedEvent{outcome};
   return event;
--- a/src/terms/router_settings_reader.cpp
+++ b/src/terms/router_settings_reader.cpp
@@ -66,7 +66,7 @@
   }
   // One more, without a quota, for whoever is none of them: no name may bring more than its settings give.
   if (count > 0) router.tenant_quota_per_s.push_back(0);
-  router.over_quota_weight = settings.number(keys::kOverQuotaWeight, 1);
+  router.over_quota_weight_factor = settings.number(keys::kOverQuotaWeight, 1);
 }
 
 // A number of routers that can't be is read as the most that the rest of the settings speak of: each router
@@ -112,10 +112,10 @@
   router.drain_grace = settings.span(keys::kDrainGraceMs);
   router.endpoint_poll_interval = settings.span(keys::kEndpointPollIntervalMs, kNeverPolledMs);
   router.slow_start_window = settings.span(keys::kSlowStartWindowMs);
-  router.overload_multiple = settings.number(keys::kOverloadMultiple);
-  router.initial_capacity = settings.number(keys::kInitialCapacity);
+  router.overload_factor = settings.number(keys::kOverloadMultiple);
+  router.initial_capacity_fraction = settings.number(keys::kInitialCapacity);
   router.slow_start_duration = settings.span(keys::kSlowStartDurationMs);
-  router.clock_tick = settings.span(keys::kClockTickMs, 1);
+  router.clock_tolerance = settings.span(keys::kClockTickMs, 1);
   router.cross_zone_cost = settings.number(keys::kCrossZoneCost, 0);
   router.health_check_cost = settings.number(keys::kHealthCheckCost, 0);
 }
@@ -125,14 +125,14 @@
   if (router.exposure_caps.empty()) {
     throw SettingsError("settings: '" + std::string(keys::kExposureCaps) + "' is missing");
   }
-  router.stage_fractions = settings.numbers(keys::kStageFractions);
+  router.stage_endpoint_fractions = settings.numbers(keys::kStageFractions);
   router.exposure_per_class =
       settings.text(keys::kExposureCounting, values::kCountedTogether) == values::kCountedPerClass;
   router.sticky_keys = settings.flag(keys::kStickyKeys);
-  router.promoted_by_clock =
+  router.promoted_automatically =
       settings.text(keys::kPromotedBy, values::kPromotedBySingleVote) == values::kPromotedByClock;
   router.rolling_update = settings.text(keys::kReleaseStyle, values::kSideBySide) == values::kRolling;
-  router.idempotent_only_stages = settings.count(keys::kIdempotentOnlyStages, 0);
+  router.idempotent_only_stage_count = settings.count(keys::kIdempotentOnlyStages, 0);
   router.exposure_allowance = settings.number(keys::kExposureAllowance, 0);
   router.exposure_window = settings.span(keys::kExposureWindowMs);
 }
@@ -151,7 +151,7 @@
   router.sample_interval = settings.span(keys::kSampleIntervalMs, 0);
   router.vote_answer_timeout = settings.span(keys::kVoteAnswerTimeoutMs, kDefaultVoteAnswerTimeoutMs);
   router.abort_votes_needed = settings.count(keys::kAbortVotesNeeded, 1);
-  router.platform_calls_per_s = read_platform_calls_per_s(settings, doubts);
+  router.max_platform_calls_per_s = read_platform_calls_per_s(settings, doubts);
   router.dispute_report_fraction = settings.number(keys::kDisputeReportFraction, 0);
   router.outcome_sample_fraction = settings.number(keys::kOutcomeSampleFraction, 1);
 }
--- a/tests/endpoint_lease_test.cpp
+++ b/tests/endpoint_lease_test.cpp
@@ -13,51 +13,52 @@
 namespace {
 
 // Of the lease's delay, 50 ms are for a first byte on its way from discovery.
-constexpr Duration kGrace = Duration::s(1), kSendDelay = Duration::ms(450), kNotifiedWithin = Duration::s(6);
+constexpr Duration kGrace = Duration::s(1), kSendDelay = Duration::ms(450),
+                   kMaxNotificationDelay = Duration::s(6);
 constexpr Duration kLongestOnItsWay = Duration::ms(50);
-EndpointLeaseSettings default_settings() { return {kNotifiedWithin, kGrace, kSendDelay}; }
+EndpointLeaseSettings default_settings() { return {kMaxNotificationDelay, kGrace, kSendDelay}; }
 Instant at(double seconds) { return Instant::at_us(0) + Duration::s(seconds); }
 
 TEST(EndpointLease, AListThatNothingConfirmedIsExpiredFromTheStart) {
   EndpointLease lease(default_settings());
   EXPECT_EQ(lease.state(at(0)), LeaseState::kExpired);
-  lease.unreachable(at(1));
+  lease.on_discovery_unreachable(at(1));
   EXPECT_EQ(lease.state(at(1)), LeaseState::kExpired);
 }
 
 TEST(EndpointLease, EachWholeLineRenewsItAndItsStatesFollow) {
   EndpointLease lease(default_settings());
-  lease.confirmed(at(10));
+  lease.on_line_received(at(10));
   EXPECT_EQ(lease.state(at(12)), LeaseState::kFresh);
-  lease.watch_lost();
+  lease.on_watch_lost();
   EXPECT_EQ(lease.state(at(12)), LeaseState::kUnconfirmed);
-  EXPECT_EQ(lease.valid_until(), at(10) + kNotifiedWithin + kGrace - kSendDelay);
+  EXPECT_EQ(lease.valid_until(), at(10) + kMaxNotificationDelay + kGrace - kSendDelay);
   EXPECT_EQ(lease.state(lease.valid_until()), LeaseState::kExpired);
-  lease.confirmed(at(20));
+  lease.on_line_received(at(20));
   EXPECT_EQ(lease.state(at(20)), LeaseState::kFresh);
 }
 
 TEST(EndpointLease, WhatHasBegunToComeCountsFromItsFirstByteUntilALineIsWhole) {
   EndpointLease lease(default_settings());
-  lease.confirmed(at(10));
-  lease.line_begun(at(11));
-  lease.line_begun(at(11.3));
+  lease.on_line_received(at(10));
+  lease.on_line_started(at(11));
+  lease.on_line_started(at(11.3));
   EXPECT_EQ(lease.valid_until(), at(11) + kGrace - kSendDelay);
-  EXPECT_EQ(lease.pending_until(), lease.valid_until());
-  lease.watch_lost();  // the rest may never come: that frees nothing
+  EXPECT_EQ(lease.blocked_from(), lease.valid_until());
+  lease.on_watch_lost();  // the rest may never come: that frees nothing
   EXPECT_EQ(lease.valid_until(), at(11) + kGrace - kSendDelay);
-  lease.confirmed(at(12));
-  EXPECT_EQ(lease.pending_until(), Instant::never());
+  lease.on_line_received(at(12));
+  EXPECT_EQ(lease.blocked_from(), Instant::never());
   EXPECT_EQ(lease.confirmed_at(), at(11));  // as it was written
 }
 
 TEST(EndpointLease, WhileDiscoveryRefusesConnectionsARunningLeaseGoesOnAndAnExpiredOneDoesNot) {
   EndpointLease lease(default_settings());
-  lease.confirmed(at(10));
-  lease.unreachable(at(14));
-  EXPECT_EQ(lease.valid_until(), at(14) + kNotifiedWithin + kGrace - kSendDelay);
-  EXPECT_FALSE(lease.vouches(at(12)));  // that is no confirmation
-  lease.unreachable(at(30));
+  lease.on_line_received(at(10));
+  lease.on_discovery_unreachable(at(14));
+  EXPECT_EQ(lease.valid_until(), at(14) + kMaxNotificationDelay + kGrace - kSendDelay);
+  EXPECT_FALSE(lease.may_extend_validity(at(12)));  // that is no confirmation
+  lease.on_discovery_unreachable(at(30));
   EXPECT_EQ(lease.state(at(30)), LeaseState::kExpired);
 }
 
@@ -97,7 +98,7 @@
     }
     for (const Process& p : processes_) {
       if (p.drains <= had) continue;
-      Instant notified = p.drains + kNotifiedWithin;
+      Instant notified = p.drains + kMaxNotificationDelay;
       for (const Line& line : lines_) {
         if (line.written >= p.drains) notified = std::min(notified, line.first_byte);
       }
@@ -135,8 +136,8 @@
 EndpointLease lease_at(const History& history, Instant now) {
   EndpointLease lease(default_settings());
   for (const Line& line : history.lines()) {
-    if (line.first_byte <= now) lease.line_begun(line.first_byte);
-    if (line.whole <= now) lease.confirmed(line.whole);
+    if (line.first_byte <= now) lease.on_line_started(line.first_byte);
+    if (line.whole <= now) lease.on_line_received(line.whole);
   }
   return lease;
 }
@@ -156,8 +157,8 @@
       const Instant sent = opened + (now - opened) * chance.next_double();
       const Process* const process = history.accepting(opened);
       const bool answered = process && sent < process->drains;
-      if (answered && lease.vouches(opened)) {
-        const Instant by_answer = std::min(lease.valid_after_answer(sent), lease.pending_until());
+      if (answered && lease.may_extend_validity(opened)) {
+        const Instant by_answer = std::min(lease.valid_until_after_answer(sent), lease.blocked_from());
         vouched += by_answer > std::max(until, now);
         until = std::max(until, by_answer);
       }
--- a/tests/endpoint_start_test.cpp
+++ b/tests/endpoint_start_test.cpp
@@ -13,22 +13,24 @@
   for (const double step_s : {0.0, 3600.0, -3600.0}) {
     const Duration ahead = Duration::s(step_s);
     // Started 2 s ago by a clock that stepped with ours.
-    EXPECT_EQ(
-        policy::endpoint_start(wall_ms(kNow + ahead - Duration::s(2)), kNow, ahead, kNow - Duration::s(1)),
-        kNow - Duration::s(2));
+    EXPECT_EQ(policy::compute_endpoint_start(wall_ms(kNow + ahead - Duration::s(2)), kNow, ahead,
+                                             kNow - Duration::s(1)),
+              kNow - Duration::s(2));
   }
 }
 
 TEST(EndpointStart, AnAgeThatDoesNotFitIsTakenForAStartJustNow) {
   const Instant confirmed = kNow - Duration::s(2);
   for (const double off_s : {3600.0, -3600.0, 60.0})
-    EXPECT_EQ(policy::endpoint_start(wall_ms(kNow - Duration::s(off_s)), kNow, Duration(), confirmed), kNow)
+    EXPECT_EQ(policy::compute_endpoint_start(wall_ms(kNow - Duration::s(off_s)), kNow, Duration(), confirmed),
+              kNow)
         << off_s;
   // With no list confirmed before, an old process is believed, one of the future is not.
-  EXPECT_EQ(policy::endpoint_start(wall_ms(kNow - Duration::s(3600)), kNow, Duration(), Instant()),
+  EXPECT_EQ(policy::compute_endpoint_start(wall_ms(kNow - Duration::s(3600)), kNow, Duration(), Instant()),
             kNow - Duration::s(3600));
-  EXPECT_EQ(policy::endpoint_start(wall_ms(kNow + Duration::s(60)), kNow, Duration(), Instant()), kNow);
-  EXPECT_EQ(policy::endpoint_start(0, kNow, Duration(), confirmed), Instant());
+  EXPECT_EQ(policy::compute_endpoint_start(wall_ms(kNow + Duration::s(60)), kNow, Duration(), Instant()),
+            kNow);
+  EXPECT_EQ(policy::compute_endpoint_start(0, kNow, Duration(), confirmed), Instant());
 }
 
 }  // namespace
--- a/tests/policy/rule_model_test.cpp
+++ b/tests/policy/rule_model_test.cpp
@@ -102,7 +102,7 @@
       }
       EXPECT_GT(limit, 0) << "rule 5: cap 0";
       EXPECT_LE(out, settings_.exposure_allowance + limit * in) << "rule 5: over the cap";
-      if ((newest ? stage : 0) < settings_.idempotent_only_stages) {
+      if ((newest ? stage : 0) < settings_.idempotent_only_stage_count) {
         EXPECT_EQ(request_class.idempotency, Idempotency::kIdempotent) << "rule 5: closed stage";
       }
     }
@@ -113,7 +113,7 @@
       double sent = 1, taken = 0, ability = 0;
       const auto able = [&](const ListedEndpoint& m) {
         const double part = std::min((now - m.start) / settings_.slow_start_duration, 1.0);
-        return settings_.initial_capacity + (1 - settings_.initial_capacity) * part;
+        return settings_.initial_capacity_fraction + (1 - settings_.initial_capacity_fraction) * part;
       };
       for (const SentAttempt& s : attempts)
         sent += s.endpoint == h && s.at >= now - settings_.slow_start_window;
@@ -143,7 +143,7 @@
   void schedule_wakeup(Duration, std::uint64_t) override {}
   void watch_endpoints() override {}
   void cast_vote(ReleaseVersion, unsigned, Vote v) override {
-    EXPECT_FALSE(settings_.promoted_by_clock && v == Vote::kPromote);
+    EXPECT_FALSE(settings_.promoted_automatically && v == Vote::kPromote);
   }
   void log(std::string_view) override {}
 };
@@ -267,9 +267,9 @@
     settings.request_classes[1].key_retention = Duration::ms(250);
     settings.sticky_keys = seed % 2 == 0;
     settings.exposure_per_class = seed % 3 == 0;
-    settings.idempotent_only_stages = seed % 4;
+    settings.idempotent_only_stage_count = seed % 4;
     settings.may_hedge = seed % 5 != 0;
-    settings.promoted_by_clock = seed % 7 == 0;
+    settings.promoted_automatically = seed % 7 == 0;
     settings.rolling_update = seed % 2 == 1;
     if (seed % 6 == 0) settings.request_classes[1].scope = IdempotencyScope::kAll;
     if (seed % 6 == 1) settings.request_classes[1].scope = IdempotencyScope::kCell;
--- a/tests/policy/vote_scheduler_test.cpp
+++ b/tests/policy/vote_scheduler_test.cpp
@@ -12,7 +12,7 @@
   router.run(Duration::s(30), 200);
   EXPECT_GE(router.actions.votes.size(), 3u);
   RouterSettings settings = default_settings();
-  settings.promoted_by_clock = true;
+  settings.promoted_automatically = true;
   SimulatedRouter c = router_with_canary(settings);
   c.run(Duration::s(20), 200);
   EXPECT_TRUE(c.actions.votes.empty());
@@ -20,7 +20,7 @@
 
 TEST(VoteScheduler, AVoteThatFailedIsSentAgain) {
   RouterSettings settings = default_settings();
-  settings.platform_calls_per_s = 4;
+  settings.max_platform_calls_per_s = 4;
   SimulatedRouter router = router_with_canary(settings);
   router.run(Duration::s(15), 200);
   ASSERT_TRUE(router.actions.voted(Vote::kPromote));
@@ -36,7 +36,7 @@
 TEST(VoteScheduler, ManyRoutersTogetherGetTheVotesThatAreNeeded) {
   RouterSettings settings = default_settings();
   settings.router_count = 300;
-  settings.platform_calls_per_s = 16;
+  settings.max_platform_calls_per_s = 16;
   settings.abort_votes_needed = 45;
   for (const bool bad : {false, true}) {
     std::vector<Instant> stands;
--- a/tests/policy_fixture.hpp
+++ b/tests/policy_fixture.hpp
@@ -81,15 +81,15 @@
   settings.endpoint_poll_interval = Duration::s(10);
   settings.slow_start_window = Duration::s(1);
   settings.slow_start_duration = Duration::s(4);
-  settings.clock_tick = Duration::ms(5);
-  settings.initial_capacity = 0.33;
+  settings.clock_tolerance = Duration::ms(5);
+  settings.initial_capacity_fraction = 0.33;
   settings.exposure_caps = {0.1, 0.4, 1.0};
-  settings.stage_fractions = {0.1, 0.3, 1.0};
+  settings.stage_endpoint_fractions = {0.1, 0.3, 1.0};
   settings.exposure_allowance = 2;
   settings.exposure_window = Duration::s(2);
   settings.vote_ttl = Duration::s(10);
   settings.bake_time = Duration::s(2);
-  settings.platform_calls_per_s = 50;
+  settings.max_platform_calls_per_s = 50;
   return settings;
 }
 
--- a/tests/router_settings_reader_test.cpp
+++ b/tests/router_settings_reader_test.cpp
@@ -29,7 +29,7 @@
   EXPECT_EQ(read("replicasOfMe=nan\nmyNumber=3\n", 1).router_count, 4u);
   EXPECT_EQ(read("replicasOfMe=3\nfamilyInfo.onVotes=118\nfamilyInfo.noesNeeded=45\n", 1).router_count, 118u);
   EXPECT_EQ(read("replicasOfMe=1e12\n", 1).router_count, 1u << 20);
-  EXPECT_EQ(read("replicasOfMe=2\nfamilyInfo.callsPerS=0\n", 1).platform_calls_per_s, 1);
+  EXPECT_EQ(read("replicasOfMe=2\nfamilyInfo.callsPerS=0\n", 1).max_platform_calls_per_s, 1);
 }
 
 // Whoever is no tenant of the settings has no quota, and no other tenant's.
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -47,7 +47,7 @@
   const auto rejected = [](const std::vector<double>& quotas) {
     RouterSettings settings = default_settings();
     settings.tenant_quota_per_s = quotas;
-    settings.over_quota_weight = 0.05;
+    settings.over_quota_weight_factor = 0.05;
     SimulatedRouter router(settings, 4);
     router.tenant_count = static_cast<unsigned>(quotas.size());
     router.serve = [](ReleaseVersion, EndpointIndex) {
