--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -6,14 +6,15 @@
 
 namespace {
 
-// So many of all routers together send a request to an idle endpoint that is predicted late.
+// For each idle endpoint that is predicted late, this number of the routers of the fleet send it a request.
 constexpr double kExploringRouters = 4;
 
-// Patience grows from the first of these, by the second for the best weight.
+// The fraction of the time left that the predicted latency may take: this minimum, plus up to this range for
+// the largest weight.
 constexpr double kMinLatencyFraction = 0.25;
 constexpr double kLatencyFractionRange = 0.5;
 
-constexpr double kMaxWeightDecayFactor = 0.999;  // a request
+constexpr double kMaxWeightDecayFactor = 0.999;  // For each request.
 constexpr double kMeanWeightUpdateFactor = 0.01;
 constexpr double kMinMeanWeight = 1e-9;
 
@@ -22,8 +23,8 @@
 Admission::Admission(const RouterSettings& settings)
     : settings_(settings), exploration_fraction_(kExploringRouters / settings.router_count) {
   for (const double quota_per_s : settings.tenant_quota_per_s) {
-    const double own_quota_per_s = quota_per_s / settings.router_count;
-    tenants_.push_back({own_quota_per_s, own_quota_per_s});
+    const double router_quota_per_s = quota_per_s / settings.router_count;
+    tenants_.push_back({router_quota_per_s, router_quota_per_s});
   }
 }
 
@@ -31,8 +32,9 @@
   const double weight = weight_per_ms(request, tenant, class_mean_ms);
   mean_weight_ += kMeanWeightUpdateFactor * (weight * class_mean_ms - mean_weight_);
   request.weight = weight * class_mean_ms / std::max(mean_weight_, kMinMeanWeight);
-  // One of many routers predicts by its zone's mean, which says less of a single endpoint: it is up to twice
-  // as patient.
+  // In a large fleet, each router sees few answers of an endpoint, so it predicts latency by the mean of the
+  // endpoint's zone, which is less accurate for a single endpoint. Such a router permits up to twice the
+  // latency.
   request.max_latency_fraction = (kMinLatencyFraction + kLatencyFractionRange * weight / max_weight_per_ms_) *
                                  (2 - std::min(1.0, exploration_fraction_));
 }
--- a/src/policy/arrival_counter.hpp
+++ b/src/policy/arrival_counter.hpp
@@ -1,4 +1,7 @@
-// Requests that have arrived, counted over sliding windows of time, by request class and in all.
+// Counts the requests that have arrived in sliding time windows, for each request class and for all classes.
+//
+// Each counting function removes the arrivals before `since` from its counters, so a later call with an
+// earlier `since` returns too few. count_class_since() and sum_class_counts_since() share their counters.
 #pragma once
 #include <cstddef>
 #include <vector>
@@ -15,12 +18,14 @@
     by_class_[request_class].add(now);
     all_.add(now);
   }
-  // Arrivals no older than `since`. Older ones are forgotten: a wider window asked for afterwards is short.
+  // Returns the arrivals of all classes at or after `since`.
   std::size_t count_all_since(Instant since) { return all_.count_since(since); }
+  // Returns the arrivals of one class at or after `since`.
   std::size_t count_class_since(unsigned request_class, Instant since) {
     return by_class_[request_class].count_since(since);
   }
-  // The sum over all classes, whose windows are apart from that of count_all_since().
+  // Returns the arrivals of all classes at or after `since`, as the sum of the counters of the classes. Its
+  // window is independent of that of count_all_since().
   double sum_class_counts_since(Instant since) {
     double sum = 0;
     for (SlidingWindowCounter& arrivals : by_class_) sum += static_cast<double>(arrivals.count_since(since));
--- a/src/policy/attempt_outcomes.cpp
+++ b/src/policy/attempt_outcomes.cpp
@@ -21,12 +21,13 @@
 
 namespace {
 
-// Results that say nothing of the endpoint's health or speed.
+// Returns whether the result says nothing about the endpoint's health or latency.
 bool is_uninformative(AttemptResult result) {
   return result == AttemptResult::kRejected || result == AttemptResult::kCancelledBeforeSent ||
          result == AttemptResult::kLocalFailure;
 }
 
+// Returns whether the duration of the attempt is its latency, or a lower bound of it.
 bool has_latency_evidence(AttemptResult result) {
   return result == AttemptResult::kOk || result == AttemptResult::kCancelled ||
          result == AttemptResult::kTimeout;
@@ -70,7 +71,8 @@
 void AttemptOutcomes::update_latency(Endpoint& endpoint, const Request& request, const Attempt& attempt,
                                      AttemptResult result, double latency_ms, Instant now) {
   const bool answered = result == AttemptResult::kOk;
-  // Given up early, or at an ejected endpoint, it says nothing of latency.
+  // An attempt that ended before its predicted latency, or at an ejected endpoint, says nothing about
+  // latency.
   if (!answered && (latency_ms < attempt.predicted_ms || endpoint.outlier.ejected)) return;
   const double normalized_ms = parts_.latency.normalized_ms(latency_ms, request.request_class, attempt.load,
                                                             parts_.slow_start.capacity(endpoint, now));
@@ -80,13 +82,13 @@
     parts_.regression.add_latency(parts_.release.judged_role(endpoint.version), endpoint.machine_type,
                                   request.request_class, attempt.endpoint, latency_ms, now);
   }
-  // An endpoint that has answered nobody since is failing, not slow.
+  // An endpoint that has served no request since the attempt was sent is failing, not slow.
   if (!answered && endpoint.last_success_at <= attempt.sent_at) return;
   parts_.latency.update_endpoint_estimate(endpoint, normalized_ms, now);
   if (warm) parts_.latency.update_means(request.request_class, latency_ms, normalized_ms);
 }
 
-// An endpoint that warms up says nothing of its release.
+// Outcomes of an endpoint in slow start are no evidence on its release.
 void AttemptOutcomes::add_evidence(Endpoint& endpoint, unsigned request_class, double failure, Instant now) {
   if (parts_.slow_start.is_warm(endpoint, now))
     parts_.regression.add_outcome(endpoint, request_class, failure);
--- a/src/policy/attempt_outcomes.hpp
+++ b/src/policy/attempt_outcomes.hpp
@@ -1,9 +1,8 @@
-// Hands what an ended attempt has shown to each estimate that learns from it.
+// Passes the result of an ended attempt to each component that learns from it: slow start, outlier detection,
+// error attribution, the evidence on releases, and the latency estimates.
 //
-// Job: from an attempt's result and duration, tell slow start, outlier detection, error attribution, the
-// evidence on releases and the latency estimates, each once. An attempt that was sent to a former process of
-// the endpoint, or that says nothing of it, teaches nothing. Units: instants, milliseconds. No I/O. Errors:
-// none.
+// An attempt is ignored if it was sent to an earlier process of the endpoint, or if its result says nothing
+// about the endpoint. Performs no I/O and reports no errors.
 #pragma once
 #include "policy/endpoint_monitor.hpp"
 #include "policy/endpoint_table.hpp"
@@ -16,14 +15,14 @@
 
 namespace ashbeam::policy {
 
-// Has the endpoint sent an answer, whatever it says?
+// Returns whether the endpoint has sent an answer, including an error or a rejection.
 bool endpoint_answered(AttemptResult result);
-// May the attempt have had its effect?
+// Returns whether the endpoint may have executed the request.
 bool may_have_run(AttemptResult result);
 
 class AttemptOutcomes {
  public:
-  // What learns; all of it has to outlive this object.
+  // The components that are updated or read. All of them must outlive this object.
   struct Parts {
     EndpointTable& endpoints;
     const ReleaseTracker& release;
@@ -34,15 +33,18 @@
   };
   explicit AttemptOutcomes(const Parts& parts) : parts_(parts) {}
 
+  // Called for each attempt that has ended, including those of requests that have their final answer.
   void on_attempt_end(Request& request, const Attempt& attempt, AttemptResult result, Duration duration,
                       Instant now);
-  // The request has its final answer; `served`: an endpoint's. Settles an error whose cause was open.
+  // Called when the request has its final answer. `served` is true if an endpoint gave it successfully.
+  // Attributes an error of the request whose cause was still unknown.
   void on_request_end(Request& request, bool served, Instant now);
 
  private:
   void update_connectivity(Endpoint& endpoint, AttemptResult result, Instant now);
   void update_latency(Endpoint& endpoint, const Request& request, const Attempt& attempt,
                       AttemptResult result, double latency_ms, Instant now);
+  // Adds an outcome to the evidence on the release; `failure` is 0 (success) to 1 (failure).
   void add_evidence(Endpoint& endpoint, unsigned request_class, double failure, Instant now);
 
   Parts parts_;
--- a/src/policy/call_pacing.hpp
+++ b/src/policy/call_pacing.hpp
@@ -1,11 +1,12 @@
-// When the next call to a service that many processes call is made after one that failed.
+// Computes the delay before a failed call to a shared service is repeated.
 //
-// Job: a first retry soon, since a call may fail by accident; then waits that keep the calls of all processes
-// below what the service works off, and longer ones where it stays crowded: calls that wait until they are
-// turned away cost it as much as those that it serves. Waits are jittered, so that processes that failed
-// together do not call together. Units: spans of real time. No I/O; random numbers are an argument, in [0,
-// 1). Source: exponential backoff with jitter; retry storms and metastable failures (Bronson et al., HotOS
-// 2021).
+// The first retry follows soon, because a single call may fail by chance. The later delays keep the calls of
+// all processes together below the rate that the service can handle, and grow while it stays overloaded:
+// calls that wait in its queue until they are refused cost it as much as calls that it serves. Delays are
+// jittered, so that processes whose calls failed at the same time do not retry at the same time.
+//
+// Performs no I/O. The method is exponential backoff with jitter; retry storms are described by Bronson et
+// al., "Metastable Failures in Distributed Systems", HotOS 2021.
 #pragma once
 #include <array>
 #include <cstddef>
@@ -16,10 +17,13 @@
 
 class CallPacing {
  public:
-  // `usual_wait`: the mean wait before the second retry.
+  // `usual_wait` is the mean delay before the second and the third retry; later delays are twice as long.
   explicit CallPacing(Duration usual_wait) : waits_{kFirstWait, usual_wait, usual_wait, usual_wait * 2} {}
 
+  // Called after a call that succeeded. The next failure counts as the first one.
   void on_success() { failure_count_ = 0; }
+  // Called after a call that failed. Returns the delay before the next call, 0.5 to 1.5 times its mean.
+  // `random_fraction` is a random number in [0, 1).
   Duration on_failure(double random_fraction) {
     const Duration mean = waits_[failure_count_];
     if (failure_count_ + 1 < waits_.size()) ++failure_count_;
@@ -28,8 +32,8 @@
 
  private:
   static constexpr Duration kFirstWait = Duration::ms(300);
-  std::array<Duration, 4> waits_;
-  std::size_t failure_count_ = 0;
+  std::array<Duration, 4> waits_;  // Mean delays by the number of earlier failures.
+  std::size_t failure_count_ = 0;  // Failures since the last success, up to the last index of waits_.
 };
 
 }  // namespace ashbeam::policy
--- a/src/policy/capacity_model.cpp
+++ b/src/policy/capacity_model.cpp
@@ -19,8 +19,8 @@
 
 void CapacityModel::end_scan() {
   canary_fraction_ = compute_canary_fraction();
-  // A zone that is lost as a whole leaves the others to carry on: only where all fail is it no endpoint's
-  // fault.
+  // If a whole zone is lost, the other zones still serve requests. Only if endpoints fail in every zone is
+  // the cause assumed to lie outside the endpoints.
   all_zones_mostly_ejected_ = std::all_of(zones_.begin(), zones_.end(), [](const Zone& zone) {
     return OutlierDetector::is_mostly_ejected(zone.ready, zone.ejected);
   });
@@ -34,7 +34,7 @@
     all.stable += zone.attempts.stable;
     all.canary += zone.attempts.canary;
   }
-  // Where crossing costs and each zone has both, requests stay in this zone.
+  // If crossing zones has a cost and each zone has both roles, requests stay in this zone.
   const PerRole<double>& counted = each_zone_has_both ? zones_[own_zone_].attempts : all;
   return counted.canary > 0 ? counted.canary / (counted.stable + counted.canary) : 0;
 }
--- a/src/policy/capacity_model.hpp
+++ b/src/policy/capacity_model.hpp
@@ -1,9 +1,11 @@
-// What the endpoints of each zone and release role can carry, as last scanned.
+// Computes, from a scan of the ready endpoints, the capacity of each zone and release role.
 //
-// Job: from one scan of the ready endpoints, give the part of requests that the canary's endpoints should
-// carry, so that latencies can be compared with the stable ones' under like load, and say whether so many
-// endpoints are ejected that the cause is not theirs. Order of calls: begin_scan(), add() for each ready
-// endpoint, end_scan(), once a tick. Units: parts of requests, 0 to 1. No I/O. Errors: none.
+// canary_fraction() is the fraction of requests that the canary endpoints should receive so that they have
+// the same load as the stable ones, which makes their latencies comparable. all_zones_mostly_ejected() tells
+// whether so many endpoints are ejected that the endpoints cannot be the cause.
+//
+// Once a tick, begin_scan(), add() for each ready endpoint, and end_scan() are called in this order. Performs
+// no I/O and reports no errors.
 #pragma once
 #include <vector>
 
@@ -19,24 +21,27 @@
       : own_zone_(settings.zone), has_cross_zone_cost_(settings.cross_zone_cost > 0),
         zones_(settings.zone_count) {}
 
+  // Makes room for a zone that the settings do not count.
   void ensure_zone(unsigned zone) {
     if (zone >= zones_.size()) zones_.resize(zone + 1);
   }
 
   void begin_scan();
-  // `expected_attempts`: what the endpoint would get at its age; 0 where it is counted among neither role.
+  // `expected_attempts` is the number of attempts in a slow start window that the endpoint would receive at
+  // its age, or 0 if it must not count for either role.
   void add(const Endpoint& endpoint, ReleaseRole role, double expected_attempts);
   void end_scan();
 
-  // The part of requests that the canary's endpoints should carry.
+  // Returns the fraction of requests that the canary endpoints should receive, 0 to 1.
   double canary_fraction() const { return canary_fraction_; }
+  // Returns whether OutlierDetector::is_mostly_ejected() holds for every zone.
   bool all_zones_mostly_ejected() const { return all_zones_mostly_ejected_; }
 
  private:
   struct Zone {
-    double ready = 0;
-    double ejected = 0;
-    PerRole<double> attempts;  // what its endpoints would get, ejected ones as well
+    double ready = 0;          // Number of ready endpoints.
+    double ejected = 0;        // How many of them are ejected.
+    PerRole<double> attempts;  // Expected attempts of its endpoints, including ejected ones.
   };
 
   double compute_canary_fraction() const;
--- a/src/policy/endpoint.hpp
+++ b/src/policy/endpoint.hpp
@@ -1,5 +1,5 @@
-// What is known of one endpoint. Beside each part stand the modules that change it. When another process
-// takes the endpoint's place, EndpointTable begins all of it anew.
+// The state of one endpoint. Each group of members names the components that change it. When a different
+// process takes the place of the endpoint, EndpointTable resets the state.
 #pragma once
 #include <vector>
 
@@ -13,32 +13,35 @@
 namespace ashbeam::policy {
 
 struct Endpoint {
-  // ---- As listed: EndpointTable; valid_until: RequestRouter ----
+  // ---- The entry in the endpoint list. Changed by EndpointTable, valid_until by RequestRouter. ----
   EndpointState state = EndpointState::kRemoved;
-  bool named_in_update = false;
+  bool named_in_update = false;  // Whether the current update of the endpoint list has named it.
   ReleaseVersion version = 0;
   unsigned zone = 0;
   unsigned cell = 0;
   unsigned machine_type = 0;
   Instant started_at;
-  Instant
-      valid_until;  // by its own answers: attempts may go there until then, whatever the list's lease says
+  // The endpoint's own answers permit attempts until then, even when the lease of the list has expired.
+  Instant valid_until;
 
-  // ---- Our attempts there: RequestRouter; silence: EndpointMonitor; successes: AttemptOutcomes ----
+  // ---- This router's attempts. Changed by RequestRouter, last_response_at also by EndpointMonitor,
+  // last_success_at by AttemptOutcomes. ----
   unsigned attempts_in_flight = 0;
-  Instant last_response_at;  // its last answer, or when its silence was last counted as a failure
-  Instant unanswered_since;  // the first attempt after its last answer was sent
+  Instant last_response_at;  // The last answer, or when its absence was last counted as a failure.
+  Instant unanswered_since;  // When the first attempt after the last answer was sent.
   Instant last_success_at;
 
-  // ---- Estimates: LatencyEstimator, OutlierDetector, SlowStart (RequestRouter counts its attempts) ----
+  // ---- Estimates. Changed by LatencyEstimator, OutlierDetector and SlowStart; RequestRouter counts the
+  // attempts of `slow_start`. ----
   LatencyEstimate latency;
   OutlierState outlier;
   SlowStartState slow_start;
 
-  // ---- Evidence for or against its release: FailureComparison; answers: AttemptOutcomes, RegressionDetector
-  // ----
-  std::vector<OutcomeCount> outcomes_by_class;  // of the time in which it was warm; one more, last, for all
-  OutcomeCount answers;                         // failed: found wrong by clients
+  // ---- Evidence on its release. Changed by FailureComparison, `answers` by AttemptOutcomes and
+  // RegressionDetector. ----
+  // Outcomes since the endpoint had its full capacity, by request class. The last element counts all classes.
+  std::vector<OutcomeCount> outcomes_by_class;
+  OutcomeCount answers;  // `failed` counts the answers that clients reported as wrong.
 };
 
 }  // namespace ashbeam::policy
--- a/src/policy/endpoint_lease.cpp
+++ b/src/policy/endpoint_lease.cpp
@@ -17,7 +17,8 @@
 }
 
 void EndpointLease::on_line_received(Instant now) {
-  // A line says how things stood as it was written: its first byte is nearest to that.
+  // A line describes the list at the time when it was written. The arrival of its first byte is the closest
+  // known time.
   confirmed_at_ = renewed_at_ = std::min(now, line_started_at_);
   line_started_at_ = Instant::never();
   is_watched_ = true;
--- a/src/policy/endpoint_monitor.cpp
+++ b/src/policy/endpoint_monitor.cpp
@@ -6,11 +6,12 @@
 
 namespace {
 
-// An endpoint with attempts in flight that is silent for the longer of these counts as failed once.
+// An endpoint with attempts in flight counts as failed once if it does not respond for this time, or for this
+// multiple of its expected time between responses if that is longer.
 constexpr Duration kMinUnresponsiveTime = Duration::ms(800);
 constexpr double kUnresponsiveFactor = 4;
 
-// With fewer endpoints of its role ready than this, one has no peers.
+// An endpoint has peers if at least this number of endpoints of its role are ready.
 constexpr std::size_t kMinPeers = 2;
 
 }  // namespace
@@ -36,8 +37,8 @@
 
 void EndpointMonitor::scan_endpoint(EndpointIndex index, Endpoint& endpoint, Instant now) {
   const double limit = parts_.slow_start.attempt_limit(endpoint, now);
-  const bool jittered = limit < 1;
-  if (jittered && endpoint.zone == parts_.settings.zone && endpoint.slow_start.jitter < limit)
+  const bool is_limited_by_jitter = limit < 1;
+  if (is_limited_by_jitter && endpoint.zone == parts_.settings.zone && endpoint.slow_start.jitter < limit)
     parts_.balancer.add_slow_start_endpoint(index);
   if (endpoint.attempts_in_flight > 0) count_unresponsiveness(index, endpoint, now);
   if (endpoint.outlier.ejected) parts_.outliers.readmit_if_recovered(index, endpoint, now);
@@ -45,7 +46,7 @@
   const ReleaseRole role = parts_.release.judged_role(endpoint.version);
   const double capacity = parts_.slow_start.capacity(endpoint, now);
   ready_capacity_ += capacity;
-  parts_.capacity.add(endpoint, role, jittered ? 0 : expected_attempts(endpoint, capacity));
+  parts_.capacity.add(endpoint, role, is_limited_by_jitter ? 0 : expected_attempts(endpoint, capacity));
   if (endpoint.outlier.ejected) return;
 
   in_service_.endpoints[role] += 1;
@@ -57,9 +58,9 @@
 }
 
 void EndpointMonitor::count_unresponsiveness(EndpointIndex index, Endpoint& endpoint, Instant now) {
-  const Duration silence = now - std::max(endpoint.last_response_at, endpoint.unanswered_since);
+  const Duration unresponsive_time = now - std::max(endpoint.last_response_at, endpoint.unanswered_since);
   const Duration expected_gap = Duration::ms(parts_.latency.expected_response_gap_ms(endpoint, now));
-  if (silence <= std::max(kMinUnresponsiveTime, expected_gap * kUnresponsiveFactor)) return;
+  if (unresponsive_time <= std::max(kMinUnresponsiveTime, expected_gap * kUnresponsiveFactor)) return;
   endpoint.last_response_at = now;
   add_outcome(index, 1, now);
 }
--- a/src/policy/endpoint_monitor.hpp
+++ b/src/policy/endpoint_monitor.hpp
@@ -1,8 +1,9 @@
-// Looks at all endpoints once a tick, and keeps what others need to know of them together.
+// Scans all endpoints once a tick and keeps the totals that other components need.
 //
-// Job: count the silence of endpoints as failures, readmit ejected ones, and renew the figures of slow start,
-// of capacity and of jittered endpoints. Each outcome that counts for or against an endpoint passes here,
-// since outlier detection compares it with its peers. Units: instants, counts. No I/O. Errors: none.
+// The scan counts endpoints that do not respond as failed, readmits ejected endpoints, and updates the
+// figures of slow start, of the capacity model, and of the load balancer's endpoints in slow start. Each
+// outcome that counts for or against an endpoint is passed through add_outcome(), because outlier detection
+// compares it with the outcomes of the other endpoints. Performs no I/O and reports no errors.
 #pragma once
 #include "policy/arrival_counter.hpp"
 #include "policy/capacity_model.hpp"
@@ -16,16 +17,16 @@
 
 namespace ashbeam::policy {
 
-// The ready endpoints that are not ejected, as last scanned.
+// Totals over the ready endpoints that are not ejected, from the last scan.
 struct InService {
-  PerRole<double> endpoints;
+  PerRole<double> endpoints;  // Number of endpoints.
   PerRole<OutcomeCount> outcomes;
-  double capacity = 0;  // in warm endpoints
+  double capacity = 0;  // Sum of the capacities, where 1 is an endpoint at full capacity.
 };
 
 class EndpointMonitor {
  public:
-  // What the scan reads and renews; all of it has to outlive this object.
+  // The components that the scan reads or updates. All of them must outlive this object.
   struct Parts {
     const RouterSettings& settings;
     EndpointTable& endpoints;
@@ -39,23 +40,27 @@
   };
   explicit EndpointMonitor(const Parts& parts) : parts_(parts) {}
 
+  // Called once a tick.
   void scan(Instant now);
-  // An outcome for or against an endpoint: `failure` is 0 (good) to 1 (failed).
+  // Adds an outcome of an endpoint; `failure` is 0 (success) to 1 (failure).
   void add_outcome(EndpointIndex index, double failure, Instant now);
 
   const InService& in_service() const { return in_service_; }
 
  private:
   void scan_endpoint(EndpointIndex index, Endpoint& endpoint, Instant now);
-  // The endpoint has attempts in flight: one that has been silent for long counts as failed once.
+  // Called for an endpoint with attempts in flight. If it has not responded for too long, this counts as one
+  // failure, and the time starts again.
   void count_unresponsiveness(EndpointIndex index, Endpoint& endpoint, Instant now);
-  // What it would get from this router at its age, by what warm stable endpoints get.
+  // Returns the number of attempts in a slow start window that the endpoint would receive from this router at
+  // its age, estimated from the attempts to stable endpoints at full capacity.
   double expected_attempts(const Endpoint& endpoint, double capacity) const;
+  // Returns the other endpoints of its release role, with which the endpoint is compared.
   OutlierPeers peers_of(const Endpoint& endpoint) const;
 
   Parts parts_;
   InService in_service_;
-  double ready_capacity_ = 0;  // of the scan at hand, ejected endpoints as well
+  double ready_capacity_ = 0;  // Sum of capacities in the current scan, including ejected endpoints.
 };
 
 }  // namespace ashbeam::policy
--- a/src/policy/endpoint_table.cpp
+++ b/src/policy/endpoint_table.cpp
@@ -15,10 +15,11 @@
   const bool same_process = endpoint.version == update.version && endpoint.started_at == update.started_at &&
                             endpoint.state != EndpointState::kRemoved;
   if (!same_process) {
-    // What was learnt of the former process says nothing of this one; our attempts there still count.
-    Endpoint former = std::exchange(endpoint, Endpoint{});
-    endpoint.attempts_in_flight = former.attempts_in_flight;
-    endpoint.slow_start.attempts = std::move(former.slow_start.attempts);
+    // The state of the previous process says nothing about the new one, but the attempts sent to it still
+    // count.
+    Endpoint previous = std::exchange(endpoint, Endpoint{});
+    endpoint.attempts_in_flight = previous.attempts_in_flight;
+    endpoint.slow_start.attempts = std::move(previous.slow_start.attempts);
     endpoint.outcomes_by_class.resize(class_count_ + 1);
     endpoint.last_response_at = now;
     endpoint.slow_start.jitter = random.next_double();
--- a/src/policy/endpoint_table.hpp
+++ b/src/policy/endpoint_table.hpp
@@ -1,9 +1,9 @@
-// The endpoints of the list, as it stands now.
+// The endpoints of the current endpoint list, by index.
 //
-// Job: apply updates of the endpoint list, keep what is known of each endpoint while it is the same process,
-// and count the ready ones by release role. Order of calls: begin_update(), update() for each entry,
-// end_update(), then count_roles(), which is called again when the release state changes. Units: instants. No
-// I/O. Errors: none; an index past the end makes room for it.
+// Applies updates of the list, keeps the state of each endpoint while it is the same process, and counts the
+// ready endpoints by release role. begin_update(), update() for each entry, end_update() and count_roles()
+// are called in this order; count_roles() is called again when the release state changes. Performs no I/O and
+// reports no errors. An index past the end grows the table.
 #pragma once
 #include <cstddef>
 #include <optional>
@@ -21,13 +21,15 @@
   EndpointTable(std::size_t class_count, unsigned machine_type_count)
       : class_count_(class_count), machine_type_count_(machine_type_count) {}
 
-  // `complete`: endpoints not named until end_update() are removed.
+  // If `complete`, the endpoints that are not named before end_update() are removed.
   void begin_update(bool complete);
-  // Draws the endpoint's slow start jitter from `random` where the entry names another process.
+  // Adds or changes one endpoint. If the entry is of a different process, its state is reset and its slow
+  // start jitter is drawn from `random`.
   void update(const EndpointUpdate& update, Instant now, Pcg& random);
-  // Removes what was not named, and returns the lowest version among the ready endpoints; none: none is
-  // ready.
+  // Removes the endpoints that were not named. Returns the lowest version of the ready endpoints, or nothing
+  // if none is ready.
   std::optional<ReleaseVersion> end_update();
+  // Updates the counts by release role.
   void count_roles(const ReleaseTracker& release);
 
   std::size_t size() const { return endpoints_.size(); }
@@ -39,13 +41,15 @@
   auto begin() const { return endpoints_.begin(); }
   auto end() const { return endpoints_.end(); }
 
-  // Ready endpoints, now and at the most so far.
+  // Returns the number of ready endpoints.
   std::size_t ready() const { return ready_; }
+  // Returns the largest number of ready endpoints so far.
   std::size_t max_ready() const { return max_ready_; }
-  // Of those, the ones whose version is, and is not, a canary (ReleaseTracker::is_canary).
+  // Return the number of ready endpoints whose version is, or is not, under the exposure cap
+  // (ReleaseTracker::is_capped()).
   std::size_t canary_ready() const { return canary_ready_; }
   std::size_t stable_ready() const { return stable_ready_; }
-  // When the last ready endpoint of the newest version started; far past: there is none.
+  // Returns the latest start of a ready endpoint of the newest version, or Instant() if there is none.
   Instant newest_canary_start() const { return newest_canary_start_; }
 
  private:
--- a/src/policy/latency_estimator.cpp
+++ b/src/policy/latency_estimator.cpp
@@ -6,10 +6,11 @@
 
 namespace {
 
-// The first guess of a class's mean latency, as a part of its objective.
+// The initial mean latency of a class is its latency objective divided by this.
 constexpr double kInitialObjectiveDivisor = 6;
 
-// Least weights of a new latency in an estimate or a mean; the longer nothing was heard, the more it weighs.
+// Weights of a new latency in an estimate or a mean. The weight in an estimate grows from its minimum to the
+// maximum with the time since the last latency; the weights in the means are fixed.
 constexpr double kMinPeersWeight = 0.02;
 constexpr double kMinEndpointWeight = 0.1;
 constexpr double kMaxWeight = 0.3;
@@ -17,11 +18,12 @@
 constexpr double kLongTermWeight = 0.01;
 constexpr double kShortTermWeight = 0.03;
 
-// One latency counts as at most so many times the estimate that it goes into.
+// A latency is clamped to this multiple of the estimate or mean to which it is added.
 constexpr double kMaxSampleRatio = 10;
 
+// An estimate without a new latency for this time decays.
 constexpr Duration kStaleThreshold = Duration::s(1);
-constexpr double kStaleDecayFactor = 0.995;  // a tick
+constexpr double kStaleDecayFactor = 0.995;  // For each tick.
 
 }  // namespace
 
--- a/src/policy/load_balancer.cpp
+++ b/src/policy/load_balancer.cpp
@@ -8,20 +8,22 @@
 
 namespace {
 
-// An endpoint is good enough if its predicted latency is within this part of the time to the objective.
+// An endpoint is accepted at once if its predicted latency is at most this fraction of the time left before
+// the objective deadline.
 constexpr double kMaxAcceptableLatencyFraction = 0.6;
-// The other side of the release is taken if it is predicted this much faster.
+// The other role is taken if its predicted latency is below this ratio of that of the first role.
 constexpr double kMaxOtherRoleLatencyRatio = 0.7;
 
-// Two draws; two more unless the better one is within this part of the time to the objective.
+// Two endpoints are drawn, and up to two more unless the best predicted latency is below the time left before
+// the objective deadline divided by this.
 constexpr int kMinDraws = 2;
 constexpr int kMaxDraws = 4;
 constexpr double kAmpleTimeDivisor = 4;
 
-// Maps a sticky key to a number that is spread evenly over [0, 1 / kKeySpread).
-constexpr std::uint64_t kKeyMultiplier = 0x9e3779b97f4a7c15ULL;  // 2^64 / golden ratio
+// A sticky key is hashed to a number that is evenly distributed over [0, 1 / kKeySpread).
+constexpr std::uint64_t kKeyMultiplier = 0x9e3779b97f4a7c15ULL;  // 2^64 divided by the golden ratio.
 constexpr unsigned kKeyShift = 40;
-constexpr double kKeyRange = 16777216.0;  // 2^24: what is left of 64 bits
+constexpr double kKeyRange = 16777216.0;  // 2^24: 24 bits remain after the shift.
 constexpr double kKeySpread = 0.9;
 
 }  // namespace
@@ -31,7 +33,7 @@
 
 std::optional<Selection> LoadBalancer::choose(const Request& request, const TrafficSplit& split,
                                               Instant now) {
-  if (const auto jittered = choose_slow_start_endpoint(request, split, now)) return jittered;
+  if (const auto selection = choose_slow_start_endpoint(request, split, now)) return selection;
   const bool canary = should_prefer_canary(request, split);
   const ReleaseRole drawn = canary ? ReleaseRole::kCanary : ReleaseRole::kStable;
   const bool stable_ready = inputs_.endpoints.stable_ready() > 0;
@@ -39,7 +41,7 @@
   if (first && first->predicted_ms <= request.ms_to_objective(now) * kMaxAcceptableLatencyFraction)
     return first;
   if (!canary && split.canary_stopped && stable_ready) return first;
-  // The other side may use the whole exposure cap, and no more.
+  // Requests that change to the canary may use the whole exposure cap, but no more.
   const ReleaseRole other = canary ? ReleaseRole::kStable : ReleaseRole::kCanary;
   const auto second = choose_by_role(request, other, 1.0, now);
   if (second && (!first || second->predicted_ms < first->predicted_ms * kMaxOtherRoleLatencyRatio))
@@ -47,8 +49,8 @@
   return first;
 }
 
-// Slow start has rationed these endpoints by jitter already: drawing them by weight once more would leave
-// them with next to nothing.
+// The jitter of slow start already limits the attempts to these endpoints. If they were also drawn by weight
+// among all endpoints, they would receive almost none.
 std::optional<Selection> LoadBalancer::choose_slow_start_endpoint(const Request& request,
                                                                   const TrafficSplit& split, Instant now) {
   if (request.attempt_count > 0 || slow_start_endpoints_.empty()) return std::nullopt;
@@ -74,15 +76,17 @@
                                                       double traffic_weight, Instant now) {
   for (const bool without_ejected : {true, false}) {
     collect_candidates(request, role, traffic_weight, without_ejected, now);
-    const auto near = power_of_two_choices(request, own_zone_, now);
-    const auto far = power_of_two_choices(request, other_zones_, now);
-    if (!near && !far) continue;
-    if (!near) return far;
-    if (!far) return near;
-    // The gain in the chance of an answer in time, were latencies spread exponentially.
+    const auto own_zone = power_of_two_choices(request, own_zone_, now);
+    const auto other_zone = power_of_two_choices(request, other_zones_, now);
+    if (!own_zone && !other_zone) continue;
+    if (!own_zone) return other_zone;
+    if (!other_zone) return own_zone;
+    // The gain in the probability of an answer in time, assuming that latencies are exponentially
+    // distributed.
     const double left_ms = request.ms_to_objective(now);
-    const double gain = std::exp(-left_ms / near->predicted_ms) - std::exp(-left_ms / far->predicted_ms);
-    return gain * request.weight > inputs_.settings.cross_zone_cost ? far : near;
+    const double gain =
+        std::exp(-left_ms / own_zone->predicted_ms) - std::exp(-left_ms / other_zone->predicted_ms);
+    return gain * request.weight > inputs_.settings.cross_zone_cost ? other_zone : own_zone;
   }
   return std::nullopt;
 }
@@ -91,7 +95,8 @@
                                       bool without_ejected, Instant now) {
   own_zone_.clear();
   other_zones_.clear();
-  // The loop runs over all endpoints for each attempt: what it reads is held locally.
+  // The loop runs over all endpoints for each attempt, so the values that it reads are kept in local
+  // variables.
   const EndpointTable& endpoints = inputs_.endpoints;
   const ReleaseTracker& release = inputs_.release;
   const LatencyEstimator& latency = inputs_.latency;
@@ -142,7 +147,7 @@
 }
 
 bool LoadBalancer::should_prefer_canary(const Request& request, const TrafficSplit& split) {
-  // After an error a stable endpoint tells whether the request is at fault.
+  // After an error, an attempt at a stable endpoint shows whether the request itself is at fault.
   if (request.error.state == UnsettledError::State::kPending) return false;
   const double drawn = draw_role_fraction(request);
   if (inputs_.endpoints.canary_ready() == 0) return false;
@@ -150,7 +155,7 @@
          split.canary_weight * std::min(inputs_.release.exposure_cap(), inputs_.capacity.canary_fraction());
 }
 
-// A sticky key decides in place of a random number, so that the same keys go to the canary each time.
+// A sticky key replaces the random number, so that the same keys go to the canary each time.
 double LoadBalancer::draw_role_fraction(const Request& request) {
   if (!inputs_.sticky_keys.applies_to(request)) return random_.next_double();
   const std::uint64_t key = request.sticky_key;
--- a/src/policy/outlier_detector.cpp
+++ b/src/policy/outlier_detector.cpp
@@ -7,19 +7,19 @@
 
 namespace {
 
-// The hypotheses of the test: a good endpoint fails as often as its peers, within these bounds; an outlier
-// fails this much more often.
-constexpr double kMinGoodFailureRate = 0.02;
-constexpr double kMaxGoodFailureRate = 0.5;
+// The hypotheses of the test. A healthy endpoint has the failure rate of its peers, clamped to these bounds.
+// The failure rate of an outlier is higher by the excess rate.
+constexpr double kMinHealthyFailureRate = 0.02;
+constexpr double kMaxHealthyFailureRate = 0.5;
 constexpr double kOutlierExcessRate = 0.4;
 
-// Bounds of the log-likelihood ratio: at the upper one the endpoint is ejected.
+// The score is a log-likelihood ratio with these bounds. The endpoint is ejected at the upper one.
 constexpr double kEjectionScore = 5;
 constexpr double kMinScore = -2;
-constexpr double kScoreAfterEjection = kEjectionScore - 2.5;  // one more failure ejects it again
+constexpr double kScoreAfterEjection = kEjectionScore - 2.5;  // One more failure ejects it again.
 
 constexpr Duration kMaxEjectionTime = Duration::s(8);
-// The ejection time is jittered between these factors.
+// The ejection time is multiplied by a random factor between this minimum and 0.4 above it.
 constexpr double kMinEjectionFactor = 0.8;
 constexpr double kEjectionFactorRange = 0.4;
 
@@ -28,9 +28,10 @@
 void OutlierDetector::add_outcome(EndpointIndex index, Endpoint& endpoint, double failure,
                                   const OutlierPeers& peers, Instant now) const {
   OutlierState& outlier = endpoint.outlier;
-  const double good = std::clamp(peers.failure_rate, kMinGoodFailureRate, kMaxGoodFailureRate);
-  const double bad = good + kOutlierExcessRate;
-  outlier.score += failure > 0 ? failure * std::log(bad / good) : std::log((1 - bad) / (1 - good));
+  const double healthy_rate = std::clamp(peers.failure_rate, kMinHealthyFailureRate, kMaxHealthyFailureRate);
+  const double outlier_rate = healthy_rate + kOutlierExcessRate;
+  outlier.score += failure > 0 ? failure * std::log(outlier_rate / healthy_rate)
+                               : std::log((1 - outlier_rate) / (1 - healthy_rate));
   outlier.score = std::clamp(outlier.score, kMinScore, kEjectionScore + 1);
   if (outlier.score < kEjectionScore || peers.is_only_canary) return;
   outlier.score = kScoreAfterEjection;
@@ -38,7 +39,7 @@
   outlier.ejected_until =
       now + outlier.ejection_time * (kMinEjectionFactor + kEjectionFactorRange * random_.next_double());
   outlier.ejection_time = std::min(outlier.ejection_time * 2, kMaxEjectionTime);
-  log_.write("endpoint %u ejected for %.1f s: release %u, failure rate of its peers %.3f", index,
+  log_.write("endpoint %u ejected for %.1f s: runs release %u, failure rate of its peers is %.3f", index,
              (outlier.ejected_until - now).s(), endpoint.version, peers.failure_rate);
 }
 
@@ -47,7 +48,7 @@
   if (now < outlier.ejected_until || outlier.score > 0) return;
   outlier.ejected = false;
   outlier.ejection_time = OutlierState::kFirstEjectionTime;
-  log_.write("endpoint %u readmitted", index);
+  log_.write("endpoint %u readmitted: ejection time has passed and its attempts succeed", index);
 }
 
 }  // namespace ashbeam::policy
--- a/src/policy/outlier_state.hpp
+++ b/src/policy/outlier_state.hpp
@@ -1,4 +1,4 @@
-// An endpoint's state in outlier detection; OutlierDetector says how it changes.
+// The state of an endpoint in outlier detection. OutlierDetector changes it.
 #pragma once
 #include "base/time.hpp"
 
@@ -7,10 +7,10 @@
 struct OutlierState {
   static constexpr Duration kFirstEjectionTime = Duration::s(1);
 
-  double score = 0;  // log-likelihood ratio of an outlier against a good endpoint
+  double score = 0;  // Log-likelihood ratio of being an outlier against being healthy.
   bool ejected = false;
   Instant ejected_until;
-  Duration ejection_time = kFirstEjectionTime;  // of the next ejection
+  Duration ejection_time = kFirstEjectionTime;  // Of the next ejection, before jitter.
 };
 
 }  // namespace ashbeam::policy
--- a/src/policy/request_router.cpp
+++ b/src/policy/request_router.cpp
@@ -8,23 +8,26 @@
 
 constexpr Duration kTick = Duration::ms(20);
 constexpr Duration kMaxEndpointPollInterval = Duration::s(3);
-// The final answer is given this long before the client's deadline, so that it arrives in time.
+// The final answer is sent this long before the client's deadline, so that it arrives in time.
 constexpr Duration kAnswerDeadlineMargin = Duration::ms(26);
 
 // Tokens of schedule_wakeup().
 constexpr std::uint64_t kTickToken = 1;
 constexpr std::uint64_t kWatchRetryToken = 2;
 
-// A request waits for an endpoint while so many times its class's mean latency is left.
+// A request waits for an endpoint while more than this multiple of its class's mean latency is left before
+// its objective deadline.
 constexpr double kMinWaitTimeFactor = 1.5;
-// A retry is worth while while so many times the mean latency is left before the deadline.
+// A request is retried while more than this multiple of its class's mean latency is left before its deadline.
 constexpr double kMinRetryTimeFactor = 0.5;
 
-// An attempt is hedged after so many times its predicted latency, within these parts of the objective.
+// An attempt is hedged after this multiple of its predicted latency, clamped to these fractions of the
+// latency objective.
 constexpr double kHedgeDelayFactor = 3;
 constexpr double kMinHedgeDelayFraction = 0.35;
 constexpr double kMaxHedgeDelayFraction = 0.65;
 
+// Retry-After is drawn evenly from this minimum and range.
 constexpr double kMinRetryAfterMs = 150;
 constexpr double kRetryAfterRangeMs = 300;
 
@@ -73,7 +76,7 @@
   endpoints_.count_roles(release_);
 }
 
-// The list as it was stands for as long as its lease runs.
+// The current list stays in use until its lease expires.
 void RequestRouter::on_endpoint_watch_failed() {
   actions_.schedule_wakeup(endpoint_watch_pacing_.on_failure(random_.next_double()), kWatchRetryToken);
 }
@@ -102,7 +105,7 @@
   regression_.add_disputed_answer(disputed, now_);
 }
 
-// ---- A request's steps ----
+// ---- Steps of a request ----
 
 void RequestRouter::on_request(const RequestArrival& arrival) {
   if (arrival.request_class >= settings_.request_classes.size()) return actions_.fail(arrival.request);
@@ -121,8 +124,6 @@
   route(request);
 }
 
-// The first attempt, a retry, and the next look of a request that waits: sends it, lets it wait a little for
-// an endpoint, or gives it up at once.
 void RequestRouter::route(Request& request) {
   const auto selection = choose_endpoint(request);
   if (!selection) return wait_for_endpoint(request);
@@ -132,14 +133,13 @@
   send(request, *selection, false);
 }
 
-// No endpoint may have the request now. It waits only while an answer could still be in time.
 void RequestRouter::wait_for_endpoint(Request& request) {
   const bool may_be_sent =
       class_of(request).idempotency == Idempotency::kIdempotent || !request.may_have_run();
-  const double min_left_ms = latency_.class_mean_ms(request.request_class) * kMinWaitTimeFactor;
-  const bool worth_waiting = may_be_sent && request.ms_to_objective(now_) > min_left_ms &&
-                             endpoints_.ready() > 0 && guards_.is_list_valid(now_);
-  if (!worth_waiting) return reject_or_fail(request);
+  const double min_time_left_ms = latency_.class_mean_ms(request.request_class) * kMinWaitTimeFactor;
+  const bool should_wait = may_be_sent && request.ms_to_objective(now_) > min_time_left_ms &&
+                           endpoints_.ready() > 0 && guards_.is_list_valid(now_);
+  if (!should_wait) return reject_or_fail(request);
   request.schedule(NextStep::kRoute, now_ + kTick);
 }
 
@@ -174,8 +174,6 @@
   if (now_ + delay + kTick < request.deadline) request.schedule(NextStep::kHedge, now_ + delay);
 }
 
-// An attempt has taken much longer than predicted: another one beside it where that is allowed, else it is
-// cancelled, and retried once it has ended.
 void RequestRouter::hedge_or_cancel(Request& request) {
   request.schedule(NextStep::kRejectOrFail, request.deadline);
   if (!retry_budget_.allows_hedge() || request.attempt_count >= guards_.max_attempts()) return;
@@ -187,7 +185,6 @@
   send(request, *selection, true);
 }
 
-// An attempt has ended without an answer for the client.
 void RequestRouter::retry_or_reject(Request& request, AttemptResult result) {
   if (request.has_attempt_in_flight()) return;
   const Duration min_time_left =
@@ -195,7 +192,7 @@
   const bool has_time_left = now_ + min_time_left < request.deadline;
   const bool has_attempts_left = request.attempt_count < guards_.max_attempts();
   if (result == AttemptResult::kLocalFailure && has_time_left && has_attempts_left) {
-    // Nothing was sent: no part of the retry budget, and a moment for this machine to recover.
+    // Nothing was sent, so the retry costs no budget. The delay lets this machine recover.
     const auto backoff = static_cast<double>(1U << request.attempt_count);
     return request.schedule(NextStep::kRoute, now_ + kTick * backoff);
   }
@@ -206,14 +203,12 @@
   route(request);
 }
 
-// The final answer of a request that no endpoint will answer.
 void RequestRouter::reject_or_fail(Request& request) {
   if (guards_.may_reject(request) && now_ < request.deadline) actions_.reject(request.id, draw_retry_after());
   else actions_.fail(request.id);
   finish(request, false);
 }
 
-// Nothing is sent for this request any more; its slot is kept until its last attempt has ended.
 void RequestRouter::finish(Request& request, bool served) {
   outcomes_.on_request_end(request, served, now_);
   request.answered = true;
--- a/src/policy/request_router.hpp
+++ b/src/policy/request_router.hpp
@@ -1,11 +1,12 @@
-// The decisions of one router: a thin state machine that takes each event and asks the modules of this folder
-// in one visible order.
+// The routing policy of one router: a state machine that receives each event and calls the components of this
+// folder in a fixed order.
 //
-// A request is routed (on_request, route), sent (send), and sent again or hedged while that may help
-// (hedge_or_cancel, retry_or_reject), until it has its one final answer (reject_or_fail, or an attempt that
-// answers its client). Each tick looks at the endpoints, takes the steps of requests that are due, and judges
-// the release. Whether an unsafe or keyed request may be sent again is RuleGuards'. docs/architecture.md has
-// the pictures. Units, order of calls and errors: see router_policy.hpp.
+// A request is routed to an endpoint (on_request(), route()), sent (send()), and retried or hedged while a
+// further attempt can help (hedge_or_cancel(), retry_or_reject()), until it has its one final answer: from an
+// attempt that answers the client, or from reject_or_fail(). Each tick scans the endpoints, performs the
+// steps of requests that are due, and evaluates the release. RuleGuards decides whether an unsafe or keyed
+// request may be sent again. Diagrams are in docs/architecture.md. See router_policy.hpp for units, the order
+// of calls and errors.
 #pragma once
 #include "base/index_map.hpp"
 #include "base/pcg.hpp"
@@ -59,20 +60,34 @@
   void on_disputed_answer(const DisputedAnswer& disputed) override;
 
  private:
-  // Steps of a request.
+  // ---- Steps of a request ----
+
+  // Sends the first attempt or a retry, waits for an endpoint, or answers at once that none will serve it.
   void route(Request& request);
+  // Called when no endpoint may receive the request now. Tries again at the next tick while an answer could
+  // still be in time.
   void wait_for_endpoint(Request& request);
   void send(Request& request, const Selection& selection, bool is_hedge);
+  // Schedules hedge_or_cancel() for the attempt just sent, if the request may have another attempt.
   void schedule_hedge(Request& request, const Selection& selection);
+  // Called when an attempt has taken much longer than predicted. Sends a hedged request, or, where the
+  // platform does not permit that, cancels the attempt; the request is retried when the cancelled attempt has
+  // ended.
   void hedge_or_cancel(Request& request);
+  // Called when an attempt has ended without answering the client.
   void retry_or_reject(Request& request, AttemptResult result);
+  // Gives the final answer of a request that no endpoint will serve.
   void reject_or_fail(Request& request);
+  // Called when the request has its final answer. `served` is true if an endpoint gave it successfully.
+  // Cancels the attempts that are still in flight; the slot is kept until they have ended.
   void finish(Request& request, bool served);
+  // Frees the request's slot unless an attempt is in flight.
   void deallocate_if_done(Request& request);
   void run_due_step(Request& request);
 
   void end_attempt(Attempt& attempt, Endpoint& endpoint, AttemptResult result) const;
   void on_tick();
+  // Returns nullptr if no request with this id is in flight.
   Request* find_request(RequestId id);
   const RequestClass& class_of(const Request& request) const {
     return settings_.request_classes[request.request_class];
@@ -80,6 +95,8 @@
   std::optional<Selection> choose_endpoint(const Request& request) {
     return balancer_.choose(request, controller_.split(), now_);
   }
+  // Returns a random delay, so that rejected clients do not retry together, or zero if the platform permits
+  // no Retry-After.
   Duration draw_retry_after();
 
   const RouterSettings settings_;
@@ -108,7 +125,7 @@
   CallPacing endpoint_watch_pacing_;
 
   Slab<Request> requests_;
-  IndexMap request_slots_;  // by request id
+  IndexMap request_slots_;  // Slots in requests_ by request id.
 };
 
 }  // namespace ashbeam::policy
--- a/src/policy/retry_budget.hpp
+++ b/src/policy/retry_budget.hpp
@@ -1,8 +1,9 @@
-// Bounds retries and hedged requests over time (retry budgets after Finagle; hedging after Dean and Barroso,
-// "The Tail at Scale", 2013).
+// Limits retries and hedged requests to a fraction of the requests, so that the failure of many requests at
+// once cannot multiply the load on the endpoints.
 //
-// Job: each request adds a part of a token, a retry takes one, and a hedged request several, being work done
-// twice. So failures of many requests at once can't multiply the load. Units: tokens. No I/O. Errors: none.
+// The budget is a token bucket. Each request adds a fraction of a token. A retry takes one token, and a
+// hedged request takes several, because its work is done twice. Retry budgets are used by Finagle; hedged
+// requests are described by Dean and Barroso, "The Tail at Scale", 2013.
 #pragma once
 #include <algorithm>
 #include <cstdint>
@@ -14,6 +15,7 @@
   explicit RetryBudget(std::uint32_t router_count)
       : max_tokens_(std::max(kMaxFleetTokens / router_count, 2 * kHedgeCost)), tokens_(max_tokens_) {}
 
+  // Called for each request that arrives.
   void on_request() { tokens_ = std::min(tokens_ + kTokensPerRequest, max_tokens_); }
   bool allows_retry() const { return tokens_ >= kRetryCost; }
   void spend_retry() { tokens_ -= kRetryCost; }
@@ -21,7 +23,7 @@
   void spend_hedge() { tokens_ -= kHedgeCost; }
 
  private:
-  static constexpr double kMaxFleetTokens = 60;  // of all routers together
+  static constexpr double kMaxFleetTokens = 60;  // Capacity of the buckets of all routers together.
   static constexpr double kTokensPerRequest = 0.2;
   static constexpr double kRetryCost = 1;
   static constexpr double kHedgeCost = 4;
--- a/src/policy/router_policy.hpp
+++ b/src/policy/router_policy.hpp
@@ -1,9 +1,10 @@
-// The interface between the decisions and whoever carries them out (sockets, or the simulator's wire).
+// The interface between the routing policy and the code that performs its decisions, which is either the
+// network code or the adapter of the simulator.
 //
-// Job: RouterPolicy is handed each event, as plain decoded values, in the order in which they happen; it
-// decides and answers through RouterActions. Order of calls: set_time() before each event, start() once and
-// first. Units: instants of the router's own clock, spans of real time. Errors: none; events that name an
-// unknown request, attempt or endpoint are ignored.
+// The caller passes each event to RouterPolicy as decoded values, in the order in which the events happen.
+// RouterPolicy decides what to do and calls RouterActions. start() is called once, before all other events,
+// and set_time() before each event. Instants are of the router's own clock; durations are real time. No call
+// reports an error: events with an unknown request, attempt or endpoint are ignored.
 #pragma once
 #include <cstdint>
 #include <memory>
@@ -15,55 +16,57 @@
 
 namespace ashbeam {
 
-// One endpoint, as the endpoint list has it now.
+// The current entry of one endpoint in the endpoint list.
 struct EndpointUpdate {
   EndpointIndex endpoint = 0;
   EndpointState state = EndpointState::kRemoved;
   ReleaseVersion version = 0;
   unsigned zone = 0;
-  unsigned cell = 0;          // see IdempotencyScope::kCell
-  unsigned machine_type = 0;  // index in the settings' list
-  Instant started_at;         // of its process; far past: long ago
+  unsigned cell = 0;          // See IdempotencyScope::kCell.
+  unsigned machine_type = 0;  // Index in the list of machine types in the settings.
+  Instant started_at;         // When its process started. Instant() means long ago.
 };
 
-// Until when attempts may begin without further news of the endpoint list, see policy/endpoint_lease.hpp.
+// Until when attempts may start without further information about the endpoint list. See
+// policy/endpoint_lease.hpp.
 struct EndpointListValidity {
-  // To any ready endpoint of the list. Later, to those alone whose own answers show that they do not drain,
-  // see RouterPolicy::extend_endpoint_validity().
+  // Before this, attempts may start to any ready endpoint of the list. Later they may start only to endpoints
+  // whose own answers show that they are not draining, see RouterPolicy::extend_endpoint_validity().
   Instant valid_until = Instant::never();
-  // To none at all: a change is on its way whose content is not known yet.
+  // From this time on, no attempt may start to any endpoint, because a change of the list has begun to arrive
+  // whose content is not known yet.
   Instant blocked_from = Instant::never();
 };
 
-// A request whose last byte has come.
+// A request that has been received completely.
 struct RequestArrival {
   RequestId request = 0;
-  unsigned request_class = 0;    // index in RouterSettings::request_classes
-  unsigned tenant = 0;           // index in RouterSettings::tenant_quota_per_s; past its end: no quota counts
-  std::uint64_t sticky_key = 0;  // 0: none
-  Instant deadline;              // when the client stops waiting
+  unsigned request_class = 0;  // Index in RouterSettings::request_classes.
+  unsigned tenant = 0;         // Index in RouterSettings::tenant_quota_per_s. Past its end: no quota applies.
+  std::uint64_t sticky_key = 0;  // 0 if the request has none.
+  Instant deadline;              // When the client stops waiting for the answer.
 };
 
-// What an attempt has come to.
+// The end of an attempt.
 struct AttemptEnd {
   RequestId request = 0;
-  unsigned attempt = 0;  // counted from 0 for each request
+  unsigned attempt = 0;  // The number of the attempt, from 0 for each request.
   EndpointIndex endpoint = 0;
   AttemptResult result = AttemptResult::kOk;
   Duration duration;
-  bool answered_client = false;  // the client has its final answer by it
+  bool answered_client = false;  // Whether the client received its final answer from this attempt.
 };
 
-// The state of the newest release, as the platform tells it.
+// The state of the newest release, as the platform reports it.
 struct ReleaseState {
   ReleaseVersion version = 0;
   unsigned stage = 0;
   ReleasePhase phase = ReleasePhase::kReleased;
-  double exposure_cap = 0;  // part of requests that may go to the canary, 0 to 1
-  Duration time_in_stage;   // since it came to stand so
+  double exposure_cap = 0;  // The fraction of requests that may go to the canary, 0 to 1.
+  Duration time_in_stage;   // The time since the release entered this stage and phase.
 };
 
-// Outcomes that the platform has counted over all routers.
+// Outcomes of attempts that the platform has sampled over all routers.
 struct OutcomeSample {
   ReleaseVersion version = 0;
   unsigned request_class = 0;
@@ -71,68 +74,80 @@
   std::uint32_t failed = 0;
 };
 
-// A client found an endpoint's answer wrong.
+// A client's report that an endpoint's answer was wrong.
 struct DisputedAnswer {
   EndpointIndex endpoint = 0;
-  Duration since_sent;  // since the attempt was sent
+  Duration since_sent;  // The time since the attempt was sent.
 };
 
-// What the router does. Each call takes effect at the time of the event that is being handled.
+// The actions of a router. Each call takes effect at the time of the event that is being handled.
 class RouterActions {
  public:
   virtual ~RouterActions() = default;
-  // Sends the request's next attempt to the endpoint. It may last until the client's deadline.
+  // Sends the request's next attempt to the endpoint. The attempt may last until the client's deadline.
   virtual void send_attempt(RequestId request, EndpointIndex endpoint) = 0;
-  // Answers that the request was not run and may be sent again, by `retry_after` if that is not zero.
+  // Answers that the request was not executed and may be sent again. `retry_after` is the delay to tell the
+  // client, or zero for none.
   virtual void reject(RequestId request, Duration retry_after) = 0;
-  // Answers that the request has failed; it may have run.
+  // Answers that the request has failed. It may have been executed.
   virtual void fail(RequestId request) = 0;
-  // Gives up an attempt that is in flight; on_attempt_end() tells what became of it.
+  // Cancels an attempt that is in flight. The result follows in RouterPolicy::on_attempt_end().
   virtual void cancel_attempt(RequestId request, unsigned attempt) = 0;
-  // Calls on_wakeup() with `token` once, after `delay`; replaces an earlier call with the same token.
+  // Calls RouterPolicy::on_wakeup() with `token` once, after `delay`. Replaces a pending wakeup with the same
+  // token.
   virtual void schedule_wakeup(Duration delay, std::uint64_t token) = 0;
-  // Opens a watch on the endpoint list unless one stands.
+  // Opens a watch on the endpoint list, unless one is open.
   virtual void watch_endpoints() = 0;
-  // Sends the platform this router's vote on a release.
+  // Sends this router's vote on a stage of a release to the platform.
   virtual void cast_vote(ReleaseVersion version, unsigned stage, Vote vote) = 0;
   // Writes a log line.
   virtual void log(std::string_view line) = 0;
 };
 
-// Decides for one router. Objects share nothing.
+// The policy of one router. Instances share no state.
 class RouterPolicy {
  public:
   virtual ~RouterPolicy() = default;
 
-  // The time of the events that follow; never goes back.
+  // Sets the time of the events that follow. It must not decrease.
   virtual void set_time(Instant now) = 0;
+  // Called once, after the first set_time() and before all other events.
   virtual void start() = 0;
 
-  // The endpoint list: begin (`complete`: endpoints not named until the end are removed), each entry, end.
+  // Begins an update of the endpoint list. If `complete`, the endpoints that are not passed to
+  // update_endpoint() before end_endpoint_update() are removed.
   virtual void begin_endpoint_update(bool complete) = 0;
+  // Adds or changes one endpoint of the update.
   virtual void update_endpoint(const EndpointUpdate& update) = 0;
+  // Ends the update.
   virtual void end_endpoint_update() = 0;
-  // A watch on the list could not be opened, or has ended.
+  // Called when a watch on the endpoint list could not be opened or has ended.
   virtual void on_endpoint_watch_failed() = 0;
+  // Replaces the validity of the endpoint list.
   virtual void set_endpoint_list_validity(const EndpointListValidity& validity) = 0;
-  // The endpoint's own answer shows that attempts may go there until then, whatever the list's validity is.
+  // Called when an answer of the endpoint shows that attempts may go to it until `until`, even after
+  // EndpointListValidity::valid_until.
   virtual void extend_endpoint_validity(EndpointIndex endpoint, Instant until) = 0;
 
-  // The request gets exactly one final answer: reject(), fail(), or an attempt that answers its client.
+  // Called when a request has been received. The request gets exactly one final answer: reject(), fail(), or
+  // an attempt that answers its client.
   virtual void on_request(const RequestArrival& arrival) = 0;
+  // Called once for each attempt that was sent.
   virtual void on_attempt_end(const AttemptEnd& end) = 0;
-  // The client has gone: the request needs no answer any more.
+  // Called when the client has disconnected. The request needs no answer any more.
   virtual void on_client_disconnect(RequestId request) = 0;
+  // Called when a wakeup of RouterActions::schedule_wakeup() is due.
   virtual void on_wakeup(std::uint64_t token) = 0;
 
+  // Called with each state of the newest release that the platform announces.
   virtual void on_release_state(const ReleaseState& state) = 0;
-  // A vote of ours was not accepted: `outcome` is not kAccepted.
+  // Called when a vote of this router was not accepted. `outcome` is never kAccepted.
   virtual void on_vote_refused(VoteOutcome outcome) = 0;
   virtual void on_outcome_sample(const OutcomeSample& sample) = 0;
   virtual void on_disputed_answer(const DisputedAnswer& disputed) = 0;
 };
 
-// `seed`: for the policy's random numbers; `actions` has to outlive the policy.
+// Creates the policy of one router. `seed` initializes its random numbers. `actions` must outlive the policy.
 std::unique_ptr<RouterPolicy> make_router_policy(const RouterSettings& settings, std::uint64_t seed,
                                                  RouterActions& actions);
 
--- a/src/policy/rule_guards.cpp
+++ b/src/policy/rule_guards.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// With more ready endpoints than this a retry goes elsewhere.
+// A retry may go to the same endpoint again only if no more endpoints than this are ready.
 constexpr std::size_t kMaxReadyToRetrySameEndpoint = 2;
 
 }  // namespace
@@ -37,7 +37,8 @@
   return request_class.idempotency == Idempotency::kKeyed && request_class.scope == IdempotencyScope::kAll;
 }
 
-// A drain counts as notified some time after discovery had it, whether or not it has arrived here.
+// By the protocol, a drain counts as notified some time after discovery knows of it, whether or not the
+// notification has arrived. That is why the validity of the list ends without further information.
 bool RuleGuards::list_validity_allows(const Endpoint& endpoint, Instant now) const {
   return now < list_validity_.blocked_from &&
          now < std::max(list_validity_.valid_until, endpoint.valid_until);
--- a/src/policy/rule_guards.hpp
+++ b/src/policy/rule_guards.hpp
@@ -1,11 +1,15 @@
-// The rules that hold whatever else is decided. Everything that is sent or rejected passes here last.
+// The rules that every attempt and every rejection must satisfy, whatever the other components decide. They
+// are checked last, immediately before an attempt is sent or a request is rejected:
 //
-// Rules: (1) nothing is sent for a request that has its final answer, or past its deadline; (2) a request has
-// no effect twice: no further attempt and no rejection of an unsafe one that may have run, and keyed ones
-// stay within their scope and retention; (3) nothing new goes to an endpoint that is draining or
-// removed, nor, once the list's lease is over, to one that may be draining without our knowing; (4) an
-// endpoint that warms up is not pushed over; (5) the canary gets no more than the exposure cap. Units:
-// instants. No I/O. Errors: none.
+// 1. No attempt is sent for a request that has its final answer or whose deadline has passed.
+// 2. No request takes effect twice. An unsafe request that may have been executed is neither sent again nor
+//    rejected. A keyed request is sent again only within its idempotency scope and retention.
+// 3. No new attempt goes to an endpoint that is draining or removed. When the lease of the endpoint list has
+//    expired, none goes to an endpoint that may be draining without this router's knowledge.
+// 4. An endpoint in slow start is not overloaded.
+// 5. The canary receives no more requests than the exposure cap allows.
+//
+// Performs no I/O and reports no errors.
 #pragma once
 #include "policy/endpoint_table.hpp"
 #include "policy/exposure_cap.hpp"
@@ -19,24 +23,29 @@
 
 class RuleGuards {
  public:
-  // All arguments have to outlive this object.
+  // All arguments must outlive this object.
   RuleGuards(const RouterSettings& settings, EndpointTable& endpoints, const ReleaseTracker& release,
              ExposureCap& exposure, const SlowStart& slow_start, const StickyKeys& sticky_keys);
 
   void set_list_validity(const EndpointListValidity& validity) { list_validity_ = validity; }
-  // May attempts go to any endpoint of the list, by the list's lease alone?
+  // Returns whether the lease of the list permits attempts to all of its ready endpoints.
   bool is_list_valid(Instant now) const { return now < list_validity_.valid_until; }
 
-  // May the request's next attempt go to this endpoint now? `traffic_weight`: see ExposureCap::allows().
+  // Returns whether the request's next attempt may go to this endpoint now. `traffic_weight` is the fraction
+  // of the exposure cap that this router uses, see ExposureCap::allows().
   bool may_send(const Request& request, EndpointIndex index, double traffic_weight, Instant now);
-  // A rejection promises that trying again is harmless.
+  // Returns whether the request may be rejected. A rejection tells the client that sending the request again
+  // is harmless.
   bool may_reject(const Request& request) const;
-  // Attempts that a request may have at the most.
+  // Returns the maximum number of attempts of a request.
   unsigned max_attempts() const { return max_attempts_; }
 
  private:
+  // Returns whether the validity of the list, or of this endpoint alone, permits an attempt.
   bool list_validity_allows(const Endpoint& endpoint, Instant now) const;
+  // Returns whether the previous attempts of the request permit another one at this endpoint.
   bool previous_attempts_allow(const Request& request, EndpointIndex index, Instant now) const;
+  // Returns whether `next` recognizes the idempotency keys that `previous` has received.
   bool is_same_scope(IdempotencyScope scope, const Endpoint& previous, const Endpoint& next) const;
 
   const RouterSettings& settings_;
--- a/src/policy/selection.hpp
+++ b/src/policy/selection.hpp
@@ -1,4 +1,4 @@
-// Where an attempt may go; LoadBalancer gives it.
+// The endpoint that LoadBalancer has chosen for an attempt.
 #pragma once
 #include "policy/types.hpp"
 
@@ -6,7 +6,7 @@
 
 struct Selection {
   EndpointIndex endpoint = 0;
-  double predicted_ms = 0;
+  double predicted_ms = 0;  // The predicted latency of the attempt.
 };
 
 }  // namespace ashbeam::policy
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -4,13 +4,17 @@
 
 namespace {
 
-// Of an endpoint's part of all tenants' quota: machines of a smaller type can do less than the mean.
+// An endpoint in slow start is limited to this fraction of its share of the tenants' quotas, because machines
+// of a smaller type can serve less than the mean.
 constexpr double kMaxQuotaFraction = 0.75;
-// Of what pushes an endpoint over, while the router is new.
+// While the router is new, it limits endpoints to this fraction of the load that would overload them.
 constexpr double kNewRouterLoadFraction = 0.7;
-// Of its part of all requests, where no warm endpoint shows what one usually gets.
+// If no endpoint of the machine type has full capacity, the limit is this fraction of the even share of
+// requests.
 constexpr double kFallbackArrivalsFraction = 0.7;
+// A zone counts as lost after this number of failures to connect without an answer.
 constexpr double kZoneLostThreshold = 3;
+// The weight of the attempts in one scan in the mean over time.
 constexpr double kExpectedAttemptsWeight = 0.005;
 
 }  // namespace
@@ -53,7 +57,8 @@
 }
 
 void SlowStart::end_scan(double arrivals, double capacity) {
-  // However many requests come while endpoints are away, none gets more than its part of the quota.
+  // If many requests arrive while endpoints are missing, the share of each remaining one is still limited by
+  // its share of the quota.
   const double even_share =
       std::min(arrivals / std::max(capacity, 1.0), kMaxQuotaFraction * quota_per_endpoint_);
   for (MachineType& type : machine_types_) {
--- a/src/policy/slow_start_state.hpp
+++ b/src/policy/slow_start_state.hpp
@@ -1,4 +1,4 @@
-// An endpoint's state in slow start; SlowStart says how it is used.
+// The state of an endpoint in slow start. EndpointTable, RequestRouter and SlowStart change it.
 #pragma once
 #include "base/sliding_window_counter.hpp"
 #include "base/time.hpp"
@@ -6,11 +6,11 @@
 namespace ashbeam::policy {
 
 struct SlowStartState {
-  // Drawn once for each start, in [0, 1): which routers may send an attempt where a window allows less
-  // than one for each: those whose jitter is below the limit.
+  // A random number in [0, 1), drawn once for each start of the endpoint. If a window permits less than one
+  // attempt of each router, only the routers whose jitter is below the limit may send one.
   double jitter = 0;
-  SlidingWindowCounter attempts;  // sent there by this router
-  Instant connect_failed_at;      // when it last refused a connection, or none came up
+  SlidingWindowCounter attempts;  // The attempts that this router has sent.
+  Instant connect_failed_at;      // When a connection last could not be opened.
 };
 
 }  // namespace ashbeam::policy
--- a/src/policy/sticky_keys.hpp
+++ b/src/policy/sticky_keys.hpp
@@ -1,8 +1,9 @@
-// Sticky keys: once a version has answered a key, the key never goes to an earlier one.
+// Keeps the requests of a sticky key from going back to an earlier release version.
 //
-// Job: remember, for each key, the newest version that has answered it, and say where its requests may go. A
-// rollback frees the keys of the version rolled back and of earlier ones. Up to kMaxKeys are remembered; new
-// keys beyond them go to no canary. Units: none. No I/O. Errors: none.
+// For each key, the newest version that has answered it is remembered, and later requests of the key go only
+// to that version or newer ones. A rollback releases the keys that are bound to the version rolled back or to
+// earlier ones. At most kMaxKeys keys are remembered. Requests of further keys do not go to a canary.
+// Performs no I/O and reports no errors.
 #pragma once
 #include <algorithm>
 #include <cstdint>
@@ -15,17 +16,20 @@
 
 class StickyKeys {
  public:
-  // Not enabled, it allows everything.
+  // If not `enabled`, keys are ignored and allows() always returns true.
   explicit StickyKeys(bool enabled) : enabled_(enabled) {}
 
+  // Returns whether the request has a sticky key that must be observed.
   bool applies_to(const Request& request) const { return enabled_ && request.sticky_key != 0; }
 
-  // An endpoint of `version`, which is not older than the newest release, has answered the request.
+  // Called when an endpoint of `version` has answered the request. `version` must not be older than the
+  // newest release.
   void bind(const Request& request, ReleaseVersion version) {
     if (!applies_to(request)) return;
     const std::uint32_t bound = versions_.find(request.sticky_key);
     versions_.put(request.sticky_key, bound == IndexMap::kNone ? version : std::max(version, bound));
   }
+  // Returns whether the request may go to an endpoint of `version`.
   bool allows(const Request& request, ReleaseVersion version, const ReleaseTracker& release) const {
     if (!applies_to(request)) return true;
     const std::uint32_t bound = versions_.find(request.sticky_key);
@@ -37,7 +41,7 @@
   static constexpr std::size_t kMaxKeys = std::size_t{1} << 17U;
 
   bool enabled_;
-  IndexMap versions_;  // by key
+  IndexMap versions_;  // The newest version that has answered each key.
 };
 
 }  // namespace ashbeam::policy
