--- a/tests/policy/call_pacing_test.cpp
+++ b/tests/policy/call_pacing_test.cpp
@@ -1,4 +1,4 @@
-// How often the endpoint list is asked for.
+// Tests of the delay between failed calls for the endpoint list.
 #include <algorithm>
 #include <array>
 
@@ -7,9 +7,10 @@
 namespace ashbeam {
 namespace {
 
-// Soon once, then spread over some seconds, and over more where it stays so: discovery works off calls that
-// timed out as well. The list is not sent to past its validity meanwhile.
-TEST(CallPacing, FailedCallsAreRepeatedWithBackoffUntilAListComes) {
+// The first retry follows after 0.3 s on average, the next two after 3 s, later ones after 6 s. Discovery
+// also processes calls that have timed out, so frequent retries of many routers would keep it overloaded. The
+// validity of the list limits attempts in the meantime.
+TEST(CallPacing, BacksOffFailedCallsUntilEndpointListArrives) {
   RouterSettings settings = default_settings();
   settings.endpoint_poll_interval = Duration::s(20);
   settings.must_watch_endpoints = true;
@@ -17,12 +18,12 @@
   for (unsigned i = 0; i < 40; ++i) {
     router.policy->on_endpoint_watch_failed();
     router.policy->on_wakeup(2);
-    EXPECT_EQ(router.actions.watches, i + 2U);
+    EXPECT_EQ(router.actions.watch_count, i + 2U);
     const Duration mean = i < 1 ? Duration::ms(300) : i < 3 ? Duration::s(3) : Duration::s(6);
     EXPECT_GE(router.actions.wakeups[2], mean * 0.5);
     EXPECT_LE(router.actions.wakeups[2], mean * 1.5);
-    router.set_release(1, 2, ReleasePhase::kReleased,
-                       1);  // a release state comes all the while, and is no list
+    // A release state is no endpoint list and must not reset the backoff.
+    router.set_release(1, 2, ReleasePhase::kReleased, 1);
   }
   router.set_endpoints(8, 0);
   router.policy->on_endpoint_watch_failed();
--- a/tests/policy/load_balancer_test.cpp
+++ b/tests/policy/load_balancer_test.cpp
@@ -1,4 +1,4 @@
-// How requests are spread over endpoints of different speed and zone.
+// Tests of the distribution of requests over endpoints of different latencies and zones.
 #include <algorithm>
 #include <array>
 
@@ -7,11 +7,13 @@
 namespace ashbeam {
 namespace {
 
-TEST(LoadBalancer, AnUnheardZoneCountsAsNoBetterThanTheBest) {
+// The estimates of a zone without answers decay, so that it is tried again. Guards against a decay below the
+// best estimate, which would send most requests to that zone.
+TEST(LoadBalancer, SendsFewRequestsToZoneThatNeverAnswers) {
   RouterSettings settings = default_settings();
   settings.router_count = 200;
-  SimulatedRouter router(settings,
-                         8);  // odd endpoints are of the other zone: they take requests and answer none
+  SimulatedRouter router(settings, 8);
+  // Odd endpoints are in the other zone. They accept requests and never answer.
   router.serve = [](ReleaseVersion, EndpointIndex endpoint) {
     return Outcome{AttemptResult::kOk, Duration::ms(50), endpoint % 2 == 1};
   };
@@ -21,9 +23,9 @@
   EXPECT_LT(lost, router.actions.attempts.size() / 4);
 }
 
-// Half of the endpoints, but small ones: on canary or not, they get what they do, not half, which would jam
-// them.
-TEST(LoadBalancer, OneOfManyRoutersSendsSmallMachinesWhatTheyCanDo) {
+// Half of the endpoints are small machines. They must receive what they can serve, during a canary release
+// and after it. Half of the requests would overload them.
+TEST(LoadBalancer, SendsSmallMachinesOnlyTheirCapacity) {
   for (const ReleasePhase phase : {ReleasePhase::kCanary, ReleasePhase::kReleased}) {
     RouterSettings settings = default_settings();
     settings.router_count = 100, settings.machine_type_count = 2;
@@ -38,8 +40,9 @@
   }
 }
 
-// One of six canary endpoints is near by, among ten of the stable version: it gets what one of them gets.
-TEST(LoadBalancer, AFewNearbyCanariesDoNotCarryThePartOfThoseInOtherZones) {
+// One of six canary endpoints is in this router's zone, beside ten stable ones. It must receive the share of
+// one endpoint, not that of all six.
+TEST(LoadBalancer, CanaryInOwnZoneDoesNotReceiveShareOfOtherZones) {
   RouterSettings settings = default_settings();
   settings.router_count = 100;
   settings.cross_zone_cost = 0.08;
--- a/tests/policy/rule_guards_test.cpp
+++ b/tests/policy/rule_guards_test.cpp
@@ -1,4 +1,4 @@
-// What may be sent to an endpoint, by its state and the lease of the endpoint list.
+// Tests of which endpoints may receive attempts, by their state and the lease of the endpoint list.
 #include <algorithm>
 #include <array>
 
@@ -7,7 +7,7 @@
 namespace ashbeam {
 namespace {
 
-TEST(RuleGuards, DrainingAndRemovedEndpointsGetNothing) {
+TEST(RuleGuards, SendsNothingToDrainingOrRemovedEndpoints) {
   SimulatedRouter router(default_settings(), 4);
   router.policy->begin_endpoint_update(false);
   router.policy->update_endpoint({0, EndpointState::kDraining, 1, 0, 0, 0, Instant()});
@@ -17,7 +17,7 @@
   for (const auto& attempt : router.actions.attempts) EXPECT_GE(attempt.endpoint, 2u);
 }
 
-TEST(RuleGuards, PastTheLeaseOnlyEndpointsWhoseAnswersVouchForThemAreSentTo) {
+TEST(RuleGuards, AfterLeaseExpirySendsOnlyToEndpointsWithExtendedValidity) {
   SimulatedRouter router(default_settings());
   router.set_endpoints(3, 0);
   router.set_release(1, 2, ReleasePhase::kReleased, 1);
@@ -28,12 +28,13 @@
   router.policy->set_endpoint_list_validity({now, Instant::never()});
   router.request();
   EXPECT_EQ(router.actions.attempts.size(), 1U);
-  EXPECT_EQ(router.actions.rejected.size(), 1U);  // at once
+  EXPECT_EQ(router.actions.rejected.size(), 1U);  // Rejected at once, without waiting for an endpoint.
   router.policy->extend_endpoint_validity(2, now + Duration::s(1));
   router.request();
   ASSERT_EQ(router.actions.attempts.size(), 2U);
   EXPECT_EQ(router.actions.attempts.back().endpoint, 2U);
-  router.policy->set_endpoint_list_validity({now, now});  // a line has begun: not even there
+  // A line is incomplete, so no endpoint may receive attempts.
+  router.policy->set_endpoint_list_validity({now, now});
   router.request();
   EXPECT_EQ(router.actions.attempts.size(), 2U);
 }
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -1,4 +1,4 @@
-// What endpoints that warm up get, from one router and from a fleet.
+// Tests of the attempts that one router, or a fleet of routers, sends to endpoints in slow start.
 #include <algorithm>
 #include <array>
 
@@ -7,13 +7,14 @@
 namespace ashbeam {
 namespace {
 
-// What `routers` routers together send within a second to endpoints that have all just come back, `per_s`
-// requests coming to each, after `before` has happened to each.
+// Returns the number of attempts that all routers of the fleet together send within a second to
+// endpoints that have all just started. `before` is applied to each router first; then each receives `per_s`
+// requests per second.
 template <class Before>
 std::size_t sent_cold(const RouterSettings& settings, int per_s, Before&& before) {
   std::size_t cold = 0;
-  for (unsigned number = 0; number < settings.router_count; ++number) {
-    SimulatedRouter router(settings, 8, 0, 100 + number);
+  for (unsigned router_index = 0; router_index < settings.router_count; ++router_index) {
+    SimulatedRouter router(settings, 8, 0, 100 + router_index);
     before(router);
     const std::size_t from = router.actions.attempts.size();
     router.run(Duration::s(1), per_s);
@@ -22,7 +23,7 @@
   return cold;
 }
 
-// All endpoints are listed as just started, after 3 s of so many requests a second.
+// Returns a function that runs a router for 3 s and then lists all of its endpoints as just started.
 auto listed_cold(int per_s) {
   return [per_s](SimulatedRouter& router) {
     router.run(Duration::s(3), per_s);
@@ -34,7 +35,7 @@
   };
 }
 
-TEST(SlowStart, AnEndpointThatWarmsUpGetsLessThanAWarmOne) {
+TEST(SlowStart, SendsLessToColdEndpointThanToWarmOne) {
   SimulatedRouter router(default_settings(), 8);
   router.run(Duration::s(2), 400);
   router.policy->begin_endpoint_update(false);
@@ -45,30 +46,32 @@
   std::size_t cold = 0;
   for (std::size_t i = from; i < router.actions.attempts.size(); ++i)
     cold += router.actions.attempts[i].endpoint == 0;
-  EXPECT_LT(cold, 32u);  // 50 a second is a warm endpoint's part
+  EXPECT_LT(cold, 32u);  // An endpoint with full capacity receives 50 per second.
 }
 
-TEST(SlowStart, ManyRoutersTogetherSendAColdEndpointNoMoreThanItsPart) {
+TEST(SlowStart, LargeFleetLimitsTotalAttemptsToColdEndpoints) {
   RouterSettings settings = default_settings();
   settings.router_count = 200;
   const std::size_t cold = sent_cold(settings, 3, listed_cold(3));
   EXPECT_GT(cold, 0u);
-  EXPECT_LT(cold, 500u);  // of 600 requests; one free request for each router would let all of them through
+  // Of 600 requests. If each router could send one attempt without a limit, all of them would be sent.
+  EXPECT_LT(cold, 500u);
 }
 
-// Demand far over what the fleet can do, by clients that come again: the tenants' shares say what that is.
-TEST(SlowStart, ManyRoutersUnderAnyDemandSendColdEndpointsWhatTheyCanDo) {
+// Clients that retry cause demand far above the capacity of the endpoints. The quotas of the tenants tell the
+// routers what that capacity is.
+TEST(SlowStart, LargeFleetUnderExcessDemandStaysWithinCapacityOfColdEndpoints) {
   RouterSettings settings = default_settings();
   settings.router_count = 200;
-  settings.tenant_quota_per_s = {400};                              // 50 a second for each of 8 endpoints
-  const std::size_t cold = sent_cold(settings, 9, listed_cold(9));  // of 1,800 requests
+  settings.tenant_quota_per_s = {400};                              // 50 per second for each of 8 endpoints.
+  const std::size_t cold = sent_cold(settings, 9, listed_cold(9));  // Of 1,800 requests.
   EXPECT_GT(cold, 50u);
-  EXPECT_LT(cold, 400u * 6 / 10);  // they grow from 0.33 to 0.5 within the second
+  EXPECT_LT(cold, 400u * 6 / 10);  // Their capacity grows from 0.33 to 0.5 within the second.
 }
 
-// The list tells of a start late. A endpoint seen dead, and a zone all of whose endpoints are, may have
-// started anew.
-TEST(SlowStart, AZoneThatWasLostIsColdWhenItComesBack) {
+// The endpoint list shows a restart with a delay. An endpoint to which connections failed, and a zone in
+// which this is true of all endpoints, may have restarted before the list shows it.
+TEST(SlowStart, TreatsLostZoneAsColdWhenItReturns) {
   RouterSettings settings = default_settings();
   settings.router_count = 200;
   settings.tenant_quota_per_s = {400};
@@ -85,14 +88,14 @@
   EXPECT_LT(cold, 400u * 6 / 10);
 }
 
-// A stage brings 16 cold endpoints beside 4 warm ones of its version and 20 of the stable one.
-TEST(SlowStart, ColdCanariesGetTheirPartAndWarmOnesDoNotCarryIt) {
+// A new stage adds 16 cold canary endpoints to 4 warm ones. 20 endpoints are stable.
+TEST(SlowStart, ColdCanariesReceiveTheirShareAndWarmOnesDoNotReceiveIt) {
   RouterSettings settings = default_settings();
   settings.router_count = 200;
   settings.zone_count = 1;
-  std::array<double, 3> sent{};  // 0: stable, 1: warm, 2: cold
-  for (unsigned number = 0; number < settings.router_count; ++number) {
-    SimulatedRouter router(settings, 20, 4, 100 + number);
+  std::array<double, 3> sent{};  // 0: stable, 1: warm canaries, 2: cold canaries.
+  for (unsigned router_index = 0; router_index < settings.router_count; ++router_index) {
+    SimulatedRouter router(settings, 20, 4, 100 + router_index);
     router.set_release(2, 0, ReleasePhase::kCanary, 1);
     router.run(Duration::s(6), 6);
     router.policy->begin_endpoint_update(false);
@@ -108,19 +111,20 @@
     }
   }
   const double stable = sent[0] / 20;
-  EXPECT_GT(sent[2] / 16, stable * 0.33);  // they are able to do 0.33 to 0.5 of that
+  EXPECT_GT(sent[2] / 16, stable * 0.33);  // Their capacity is 0.33 to 0.5 of that.
   EXPECT_LT(sent[2] / 16, stable * 0.6);
   EXPECT_LT(sent[1] / 4, stable * 1.2);
 }
 
-// A router that has just started knows of no start that the list does not tell yet.
-TEST(SlowStart, ManyRoutersJustStartedSendNoMoreThanColdEndpointsBear) {
+// A router that has just started cannot know of restarts that are not in the endpoint list yet, so it must
+// treat all endpoints as cold.
+TEST(SlowStart, FleetOfNewRoutersStaysWithinCapacityOfColdEndpoints) {
   RouterSettings settings = default_settings();
   settings.router_count = 200;
   settings.tenant_quota_per_s = {400};
   const std::size_t cold = sent_cold(settings, 9, [](SimulatedRouter&) {});
   EXPECT_GT(cold, 100u);
-  EXPECT_LT(cold, 400u * 0.66);  // twice what 0.33 of them is
+  EXPECT_LT(cold, 400u * 0.66);  // Twice their capacity at the start, which is 0.33.
 }
 
 }  // namespace
--- a/tests/policy/sticky_keys_test.cpp
+++ b/tests/policy/sticky_keys_test.cpp
@@ -1,4 +1,4 @@
-// Keys that stay with the version that answered them.
+// Tests that sticky keys stay with the version that answered them.
 #include <algorithm>
 #include <array>
 
@@ -7,7 +7,7 @@
 namespace ashbeam {
 namespace {
 
-TEST(StickyKeys, AKeyAnsweredByTheCanaryStaysWithIt) {
+TEST(StickyKeys, KeyAnsweredByCanaryStaysOnCanary) {
   RouterSettings settings = default_settings();
   settings.sticky_keys = true;
   SimulatedRouter router(settings, 4, 4);
@@ -19,18 +19,20 @@
     router.request(0, key);
     router.now = router.now + Duration::ms(5);
     for (std::size_t sent = before; sent < router.actions.attempts.size(); ++sent) {
-      const bool blue = router.versions[router.actions.attempts[sent].endpoint] == 2;
-      EXPECT_TRUE(blue || !bound[key] || router.actions.attempts[sent].request != router.next_request - 1);
-      if (blue) bound[key] = true;
+      const bool is_canary = router.versions[router.actions.attempts[sent].endpoint] == 2;
+      EXPECT_TRUE(is_canary || !bound[key] ||
+                  router.actions.attempts[sent].request != router.next_request - 1);
+      if (is_canary) bound[key] = true;
       router.end_attempt(router.actions.attempts[sent], AttemptResult::kOk);
     }
     router.tick();
   }
-  EXPECT_GT(std::count_if(bound.begin(), bound.end(), [](const auto& b) { return b.second; }), 10);
+  EXPECT_GT(std::count_if(bound.begin(), bound.end(), [](const auto& entry) { return entry.second; }), 10);
 }
 
-// The state of a version gone back may come once more while endpoints of the next one answer already.
-TEST(StickyKeys, KeysStayWithTheNextVersionWhenTheOneBeforeIsRolledBack) {
+// The platform may repeat the state of a version that was rolled back after endpoints of the next version
+// have answered. That must not release the keys of the next version.
+TEST(StickyKeys, KeyOfNextVersionStaysBoundWhenPreviousVersionIsRolledBack) {
   RouterSettings settings = default_settings();
   settings.sticky_keys = true;
   SimulatedRouter router(settings, 0, 4);
--- a/tests/policy_fixture.hpp
+++ b/tests/policy_fixture.hpp
@@ -1,4 +1,5 @@
-// For tests of the decisions: actions that are recorded, and one router with simulated endpoints and time.
+// Fixtures for tests of the policy: RouterActions that record their calls, and a router with simulated
+// endpoints and simulated time.
 #pragma once
 #include <gtest/gtest.h>
 
@@ -17,7 +18,7 @@
   unsigned attempt;
 };
 
-// Records what the router does.
+// Records the actions of the router.
 struct RecordingActions : RouterActions {
   struct Cancelled {
     RequestId request;
@@ -34,8 +35,8 @@
   std::vector<Cancelled> cancelled;
   std::vector<CastVote> votes;
   std::vector<std::string> lines;
-  unsigned watches = 0;                       // opened
-  std::map<std::uint64_t, Duration> wakeups;  // the last delay asked for, by token
+  unsigned watch_count = 0;                   // The number of calls of watch_endpoints().
+  std::map<std::uint64_t, Duration> wakeups;  // The last delay of each token.
 
   void send_attempt(RequestId request, EndpointIndex endpoint) override {
     attempts.push_back({request, endpoint, attempt_counts[request]++});
@@ -46,20 +47,21 @@
     cancelled.push_back({request, attempt});
   }
   void schedule_wakeup(Duration delay, std::uint64_t token) override { wakeups[token] = delay; }
-  void watch_endpoints() override { ++watches; }
+  void watch_endpoints() override { ++watch_count; }
   void cast_vote(ReleaseVersion, unsigned stage, Vote vote) override { votes.push_back({stage, vote}); }
   void log(std::string_view line) override { lines.emplace_back(line); }
 
   bool voted(Vote vote) const {
     return std::any_of(votes.begin(), votes.end(), [&](const CastVote& cast) { return cast.vote == vote; });
   }
+  // Returns whether a log line contains `part`.
   bool logged(const std::string& part) const {
     return std::any_of(lines.begin(), lines.end(),
                        [&](const std::string& line) { return line.find(part) != std::string::npos; });
   }
 };
 
-// Three request classes, one of each kind: 0 idempotent, 1 keyed within a zone, 2 unsafe.
+// Returns settings with three request classes: 0 is idempotent, 1 is keyed within a zone, and 2 is unsafe.
 inline RouterSettings default_settings() {
   RouterSettings settings;
   for (const Idempotency idempotency :
@@ -93,15 +95,15 @@
   return settings;
 }
 
-// What an endpoint makes of an attempt.
+// How an endpoint answers an attempt.
 struct Outcome {
   AttemptResult result = AttemptResult::kOk;
   Duration duration = Duration::ms(50);
-  bool never = false;  // it is not answered at all
+  bool never_answers = false;  // If true, the endpoint never answers.
 };
 
-// One router before `stable` endpoints of version 1 and `canary` ones of version 2, all warm; each attempt
-// ends as `serve` says. Endpoints are in two zones by turns.
+// One router with `stable` endpoints of version 1 and `canary` endpoints of version 2. All of them have their
+// full capacity. Even endpoints are in zone 0 and odd ones in zone 1. Each attempt ends as `serve` returns.
 struct SimulatedRouter {
   static constexpr Duration kStep = Duration::ms(5);
   static constexpr std::uint64_t kTickToken = 1;
@@ -117,10 +119,10 @@
   Instant now = Instant::at_us(0) + Duration::s(100);
   std::map<EndpointIndex, ReleaseVersion> versions;
   std::vector<PendingAttempt> pending;
-  std::size_t served = 0;              // attempts taken up by run() so far
-  std::size_t cancellations_seen = 0;  // the same of cancellations
+  std::size_t processed_attempts = 0;       // The number of attempts that run() has passed to `serve`.
+  std::size_t processed_cancellations = 0;  // The number of cancellations that run() has answered.
   RequestId next_request = 1;
-  unsigned tenant_count = 1;  // requests are theirs by turns
+  unsigned tenant_count = 1;  // The requests belong to these tenants in rotation.
   Outcome (*serve)(ReleaseVersion version, EndpointIndex endpoint) = [](ReleaseVersion, EndpointIndex) {
     return Outcome{};
   };
@@ -134,7 +136,8 @@
     set_release(1, 2, ReleasePhase::kReleased, 1);
   }
 
-  // The complete list: so many stable endpoints, then canary ones that started at `canary_start`.
+  // Replaces the endpoint list by `stable` stable endpoints, followed by `canary` canary endpoints that
+  // started at `canary_start`.
   void set_endpoints(unsigned stable, unsigned canary, Instant canary_start = Instant(),
                      unsigned canary_machine_type = 0) {
     versions.clear();
@@ -161,6 +164,7 @@
     policy->on_release_state({version, stage, phase, exposure_cap, Duration()});
   }
 
+  // Passes a new request to the router and returns its id.
   RequestId request(unsigned request_class = 0, std::uint64_t sticky_key = 0,
                     Duration time_left = Duration::s(2)) {
     policy->set_time(now);
@@ -176,11 +180,12 @@
                             answered_client || result == AttemptResult::kOk});
   }
 
-  // Runs for a while at so many requests a second, of the given classes by turns.
+  // Advances the time by `length` and passes `requests_per_s` requests per second to the router, of the given
+  // classes in rotation.
   void run(Duration length, int requests_per_s, std::vector<unsigned> request_classes = {0}) {
-    double due = 0;
+    double due_requests = 0;
     for (const Instant until = now + length; now < until; now = now + kStep) {
-      for (due += requests_per_s * kStep.s(); due >= 1; due -= 1)
+      for (due_requests += requests_per_s * kStep.s(); due_requests >= 1; due_requests -= 1)
         request(request_classes[next_request % request_classes.size()]);
       serve_new_attempts();
       end_cancelled_attempts();
@@ -194,6 +199,7 @@
     policy->on_wakeup(kTickToken);
   }
 
+  // Returns the number of attempts to endpoints of a version, from the attempt with index `from` on.
   std::size_t sent_to(ReleaseVersion version, std::size_t from = 0) const {
     std::size_t count = 0;
     for (std::size_t i = from; i < actions.attempts.size(); ++i)
@@ -203,16 +209,16 @@
 
  private:
   void serve_new_attempts() {
-    for (; served < actions.attempts.size(); ++served) {
-      const SentAttempt& attempt = actions.attempts[served];
+    for (; processed_attempts < actions.attempts.size(); ++processed_attempts) {
+      const SentAttempt& attempt = actions.attempts[processed_attempts];
       const Outcome outcome = serve(versions[attempt.endpoint], attempt.endpoint);
-      if (!outcome.never) pending.push_back({now + outcome.duration, attempt, outcome});
+      if (!outcome.never_answers) pending.push_back({now + outcome.duration, attempt, outcome});
     }
   }
 
   void end_cancelled_attempts() {
-    for (; cancellations_seen < actions.cancelled.size(); ++cancellations_seen) {
-      const RecordingActions::Cancelled cancelled = actions.cancelled[cancellations_seen];
+    for (; processed_cancellations < actions.cancelled.size(); ++processed_cancellations) {
+      const RecordingActions::Cancelled cancelled = actions.cancelled[processed_cancellations];
       const auto attempt =
           std::find_if(actions.attempts.begin(), actions.attempts.end(), [&](const SentAttempt& sent) {
             return sent.request == cancelled.request && sent.attempt == cancelled.attempt;
@@ -234,7 +240,7 @@
   }
 };
 
-// A router some seconds after its start, with a canary that has just been offered.
+// Returns a router 5 s after its start, at the moment when a canary release begins.
 inline SimulatedRouter router_with_canary(const RouterSettings& settings = default_settings(),
                                           double exposure_cap = 0.4, unsigned stable = 8,
                                           unsigned canary = 3) {
