--- a/src/policy/admission.hpp
+++ b/src/policy/admission.hpp
@@ -18,6 +18,7 @@
 
 class Admission {
  public:
+  // `settings` must outlive this object.
   explicit Admission(const RouterSettings& settings);
 
   // Sets the request's weight and max_latency_fraction, and takes a token of its tenant's quota.
--- a/src/policy/attempt_outcomes.cpp
+++ b/src/policy/attempt_outcomes.cpp
@@ -71,12 +71,12 @@
 void AttemptOutcomes::update_latency(Endpoint& endpoint, const Request& request, const Attempt& attempt,
                                      AttemptResult result, double latency_ms, Instant now) {
   const bool answered = result == AttemptResult::kOk;
-  // An attempt that ended before its predicted latency, or at an ejected endpoint, says nothing about
-  // latency.
+  // An attempt without an answer says nothing about latency if it ended before its predicted latency or at an
+  // ejected endpoint.
   if (!answered && (latency_ms < attempt.predicted_ms || endpoint.outlier.ejected)) return;
   const double normalized_ms = parts_.latency.normalized_ms(latency_ms, request.request_class, attempt.load,
                                                             parts_.slow_start.capacity(endpoint, now));
-  parts_.latency.update_peers(endpoint, normalized_ms, now);
+  parts_.latency.update_peers_estimate(endpoint, normalized_ms, now);
   const bool warm = parts_.slow_start.is_warm(endpoint, now);
   if (warm && endpoint.version <= parts_.release.version()) {
     parts_.regression.add_latency(parts_.release.judged_role(endpoint.version), endpoint.machine_type,
--- a/src/policy/endpoint_lease.cpp
+++ b/src/policy/endpoint_lease.cpp
@@ -35,8 +35,8 @@
 
 LeaseState EndpointLease::state(Instant now) const {
   if (now >= valid_until()) return LeaseState::kExpired;
-  const bool fresh = is_watched_ && line_started_at_ == Instant::never();
-  return fresh ? LeaseState::kFresh : LeaseState::kUnconfirmed;
+  const bool is_fresh = is_watched_ && line_started_at_ == Instant::never();
+  return is_fresh ? LeaseState::kFresh : LeaseState::kUnconfirmed;
 }
 
 Instant EndpointLease::valid_until() const {
--- a/src/policy/latency_estimator.cpp
+++ b/src/policy/latency_estimator.cpp
@@ -48,7 +48,7 @@
   return latency_ms * capacity * mean_ms_ / class_mean_ms_[request_class] / (kOwnLoad + load);
 }
 
-void LatencyEstimator::update_peers(const Endpoint& endpoint, double normalized_ms, Instant now) {
+void LatencyEstimator::update_peers_estimate(const Endpoint& endpoint, double normalized_ms, Instant now) {
   update(peers_[endpoint.zone * machine_type_count_ + endpoint.machine_type], normalized_ms, kMinPeersWeight,
          now);
 }
--- a/src/policy/latency_estimator.hpp
+++ b/src/policy/latency_estimator.hpp
@@ -28,7 +28,7 @@
   // full capacity that the endpoint has at its age.
   double normalized_ms(double latency_ms, unsigned request_class, double load, double capacity) const;
   // Adds a normalized latency to the estimate of the endpoint's zone and machine type.
-  void update_peers(const Endpoint& endpoint, double normalized_ms, Instant now);
+  void update_peers_estimate(const Endpoint& endpoint, double normalized_ms, Instant now);
   // Adds a normalized latency to the endpoint's own estimate.
   void update_endpoint_estimate(Endpoint& endpoint, double normalized_ms, Instant now) const;
   // Adds a latency, which must be of an endpoint with full capacity, to the means over all endpoints.
@@ -74,6 +74,7 @@
   static constexpr Duration kEstimateTimeConstant = Duration::s(2);
   static constexpr double kOwnLoad = 1;  // The load of the request itself, in requests in flight.
 
+  // Returns the estimate of the endpoint's zone and machine type.
   const LatencyEstimate& peers_of(const Endpoint& endpoint) const {
     return peers_[endpoint.zone * machine_type_count_ + endpoint.machine_type];
   }
--- a/src/policy/load_balancer.hpp
+++ b/src/policy/load_balancer.hpp
@@ -37,6 +37,7 @@
     const CapacityModel& capacity;
     const StickyKeys& sticky_keys;
   };
+  // `guards` and `random` must outlive this object.
   LoadBalancer(const Inputs& inputs, RuleGuards& guards, Pcg& random);
 
   // Returns the chosen endpoint, or nothing if no endpoint may receive the request now.
@@ -64,6 +65,7 @@
                                                 Instant now);
   // Returns the index of a candidate drawn at random by weight. `candidates` must not be empty.
   std::size_t draw_candidate(const std::vector<Candidate>& candidates);
+  // Returns whether a canary endpoint is tried before a stable one.
   bool should_prefer_canary(const Request& request, const TrafficSplit& split);
   // Returns a number, at random or from the sticky key, that decides on the role when it is compared with the
   // fraction of requests for the canary.
--- a/src/policy/outlier_detector.hpp
+++ b/src/policy/outlier_detector.hpp
@@ -23,6 +23,7 @@
 
 class OutlierDetector {
  public:
+  // `log` and `random` must outlive this object. Ejection times are jittered by `random`.
   OutlierDetector(const PolicyLog& log, Pcg& random) : log_(log), random_(random) {}
 
   // Adds the outcome of an attempt; `failure` is 0 (success) to 1 (failure). Ejects the endpoint if the test
--- a/src/policy/slow_start.hpp
+++ b/src/policy/slow_start.hpp
@@ -31,6 +31,7 @@
   // A limit of this means that any number of attempts is permitted.
   static constexpr double kUnlimited = 1e9;
 
+  // `settings` must outlive this object.
   explicit SlowStart(const RouterSettings& settings);
 
   // Called once, when the router starts.
