--- a/src/policy/promotion.cpp
+++ b/src/policy/promotion.cpp
@@ -28,7 +28,7 @@
   const double stable = in_service.endpoints.stable;
   const double all = settings.rolling_update ? canary + stable : std::max(canary, stable);
   const double expected =
-      stage < settings.stage_fractions.size() ? settings.stage_fractions[stage] * all : all;
+      stage < settings.stage_endpoint_fractions.size() ? settings.stage_endpoint_fractions[stage] * all : all;
   return canary >= kMinEndpointFraction * expected - kEndpointTolerance;
 }
 
@@ -43,7 +43,7 @@
   const Duration time_in_stage = now - release.stage_started_at();
   // The minimum age is not shortened in the last stage: once it is promoted, the version carries all load,
   // and endpoints of a version that fails under load would be overloaded.
-  const bool is_last_stage = release.stage() + 1 >= settings.stage_fractions.size();
+  const bool is_last_stage = release.stage() + 1 >= settings.stage_endpoint_fractions.size();
   const Duration min_age = kMinNewestCanaryAge * (is_last_stage ? 1.0 : wait_factor);
   if (time_in_stage < min_age + kStageAnnouncementMargin * wait_factor ||
       now - endpoints.newest_canary_start() < min_age)
--- a/src/policy/regression_detector.cpp
+++ b/src/policy/regression_detector.cpp
@@ -62,7 +62,7 @@
       inputs_.release.has_state() && inputs_.release.phase() == ReleasePhase::kReleased;
   latencies_.begin_release(previous_released);
   failures_.begin_release(previous_released);
-  const DecayingMean& usual = inputs_.latency.usual();
+  const DecayingMean& usual = inputs_.latency.long_term_mean();
   const bool has_baseline = inputs_.release.has_state() && usual.count >= kMinBaselineLatencies;
   latency_before_release_ms_ = has_baseline ? usual.mean : 0;
   ready_endpoints_before_release_ = static_cast<double>(inputs_.endpoints.ready());
@@ -142,12 +142,12 @@
 double RegressionDetector::overall_slowdown(const InService& in_service, Instant now) {
   const bool is_canary_phase = inputs_.release.phase() == ReleasePhase::kCanary;
   const double baseline_ms = latency_before_release_ms_ * (is_canary_phase ? 1 : kReleasedBaselineFactor);
-  const double slowdown = baseline_ms > 0 ? inputs_.latency.recent().mean / baseline_ms : 1;
+  const double slowdown = baseline_ms > 0 ? inputs_.latency.short_term_mean().mean / baseline_ms : 1;
   // Until a full window has passed since the start, the router does not know how many requests are usual.
   const RouterSettings& settings = inputs_.settings;
-  if (now - started_at_ >= settings.exposure_window + settings.clock_tick) {
-    const auto arrivals =
-        static_cast<double>(inputs_.arrivals.all_since(now - settings.exposure_window + settings.clock_tick));
+  if (now - started_at_ >= settings.exposure_window + settings.clock_tolerance) {
+    const auto arrivals = static_cast<double>(
+        inputs_.arrivals.count_all_since(now - settings.exposure_window + settings.clock_tolerance));
     if (surges_.detect(arrivals, slowdown > kModerateOverallSlowdownThreshold, now)) on_external_fault(now);
   }
   const bool explained = now - last_external_fault_at_ <= kExternalFaultEffectDuration ||
--- a/src/policy/release_controller.cpp
+++ b/src/policy/release_controller.cpp
@@ -105,7 +105,7 @@
     if (votes_.active_vote() == Vote::kPromote) cast_vote(Vote::kAbstain, now);
     return;
   }
-  const bool promote = !parts_.settings.promoted_by_clock &&
+  const bool promote = !parts_.settings.promoted_automatically &&
                        is_ready_to_promote(parts_.settings, wait_factor_, release, ramp_, parts_.endpoints,
                                            parts_.monitor.in_service(), now);
   if (promote) cast_vote(Vote::kPromote, now);
@@ -125,7 +125,7 @@
   const ReleaseTracker& release = parts_.release;
   parts_.log.write("release %u stage %u: moderate regression, traffic weight stepped back to %.2f",
                    release.version(), release.stage(), ramp_.weight());
-  if (!parts_.settings.promoted_by_clock || pause_voted_) return;
+  if (!parts_.settings.promoted_automatically || pause_voted_) return;
   cast_vote(Vote::kPause, now);
   pause_voted_ = true;
 }
--- a/src/policy/release_tracker.hpp
+++ b/src/policy/release_tracker.hpp
@@ -29,7 +29,7 @@
   }
   // Replaces the current state.
   void apply(const ReleaseState& state, Instant now) {
-    if (is_new_stage(state)) stage_started_at_ = now - state.age;
+    if (is_new_stage(state)) stage_started_at_ = now - state.time_in_stage;
     if (ends_in_rollback(state.phase)) last_rolled_back_ = state.version;
     has_state_ = true;
     version_ = state.version;
--- a/src/policy/vote_scheduler.cpp
+++ b/src/policy/vote_scheduler.cpp
@@ -22,7 +22,7 @@
 
 // Returns the time in which the platform can accept this number of calls.
 Duration time_for_calls(double calls, const RouterSettings& settings) {
-  return Duration::s(calls / std::max(settings.platform_calls_per_s, 1.0));
+  return Duration::s(calls / std::max(settings.max_platform_calls_per_s, 1.0));
 }
 
 }  // namespace
--- a/tests/policy/vote_scheduler_test.cpp
+++ b/tests/policy/vote_scheduler_test.cpp
@@ -12,7 +12,7 @@
   router.run(Duration::s(30), 200);
   EXPECT_GE(router.actions.votes.size(), 3u);
   RouterSettings settings = default_settings();
-  settings.promoted_by_clock = true;
+  settings.promoted_automatically = true;
   SimulatedRouter clocked_router = router_with_canary(settings);
   clocked_router.run(Duration::s(20), 200);
   EXPECT_TRUE(clocked_router.actions.votes.empty());
@@ -20,7 +20,7 @@
 
 TEST(VoteScheduler, ResendsVoteWithoutAnswer) {
   RouterSettings settings = default_settings();
-  settings.platform_calls_per_s = 4;
+  settings.max_platform_calls_per_s = 4;
   SimulatedRouter router = router_with_canary(settings);
   router.run(Duration::s(15), 200);
   ASSERT_TRUE(router.actions.voted(Vote::kPromote));
@@ -36,7 +36,7 @@
 TEST(VoteScheduler, CollectsNeededVotesFromManyRouters) {
   RouterSettings settings = default_settings();
   settings.router_count = 300;
-  settings.platform_calls_per_s = 16;
+  settings.max_platform_calls_per_s = 16;
   settings.abort_votes_needed = 45;
   for (const bool canary_fails : {false, true}) {
     std::vector<Instant> accepted_at;
