--- a/benches/calling.cpp
+++ b/benches/calling.cpp
@@ -25,11 +25,11 @@
 void quota_decision(benchmark::State& state) {
   const auto subjects = static_cast<std::uint32_t>(state.range(0));
   SubjectTable table(static_cast<std::size_t>(subjects));
-  const Rate subject_rate = Rate::per_router({5, 5, 4}, 2, 4, Duration::s(10));
-  const Rate tenant_rate = Rate::per_router({1e6, 1e4, 0}, 8, 4, Duration::s(10));
+  const RouterLimit subject_rate = RouterLimit::share_of({5, 5, 4}, 2, 4, Duration::s(10));
+  const RouterLimit tenant_rate = RouterLimit::share_of({1e6, 1e4, 0}, 8, 4, Duration::s(10));
   std::int64_t now_ns = nanoseconds_of(kBegin);
   Bucket tenant;
-  tenant.start(now_ns, Bucket::kNever, Bucket::kNever);
+  tenant.reset(now_ns, Bucket::kUnset, Bucket::kUnset);
   Pcg chance(3);
   std::uint64_t admitted = 0;
   for (std::uint32_t i = 0; i < subjects; ++i) table.find_or_insert(hash_of(i), kBegin);
@@ -43,15 +43,15 @@
     if (slot == SubjectTable::kNone) continue;
     Bucket& own = table.bucket(slot);
     if (own.wait_ns(subject_rate, now_ns) == 0 && tenant.wait_ns(tenant_rate, now_ns) == 0) {
-      own.take(subject_rate, now_ns);
-      tenant.take(tenant_rate, now_ns);
+      own.consume(subject_rate, now_ns);
+      tenant.consume(tenant_rate, now_ns);
       ++admitted;
     } else {
-      benchmark::DoNotOptimize(own.promise_ns(subject_rate, now_ns));
+      benchmark::DoNotOptimize(own.assign_retry_slot_ns(subject_rate, now_ns));
     }
   }
   benchmark::DoNotOptimize(admitted);
-  state.counters["bytes_per_subject"] = static_cast<double>(table.bytes()) / subjects;
+  state.counters["bytes_per_subject"] = static_cast<double>(table.size_bytes()) / subjects;
 }
 BENCHMARK(quota_decision)->Arg(100)->Arg(10'000)->Arg(1'000'000);
 
--- a/benches/router_under_load.cpp
+++ b/benches/router_under_load.cpp
@@ -40,7 +40,7 @@
 
 calling::CallingSettings benchmark_settings() {
   calling::CallingSettings settings;
-  settings.required = true;
+  settings.requires_authentication = true;
   settings.audience = "ashbeam";
   settings.request_classes = {"look"};
   settings.verifications_per_s = 1e5;
--- a/proofs/operator_files.hpp
+++ b/proofs/operator_files.hpp
@@ -45,7 +45,7 @@
 
   std::string path(const std::string& name) const { return folder_ + "/" + name; }
   void write_keys(const std::vector<tokens::KeyEntry>& keys) const {
-    write_file(path("keys/ring.json"), tokens::key_set_text(keys), 0644);
+    write_file(path("keys/ring.json"), tokens::serialize_key_set(keys), 0644);
   }
   // `lines` as in the operator's file of revoked certificates.
   void write_revoked(const std::string& lines) const { write_file(path("revoked"), lines, 0644); }
--- a/proofs/quota_simulation.cpp
+++ b/proofs/quota_simulation.cpp
@@ -32,13 +32,13 @@
  public:
   QuotaSimulation(std::uint64_t seed, const QuotaSimulationSettings& settings)
       : settings_(settings), chance_(seed),
-        subject_rate_(Rate::per_router({kLimitPerS, kBurst, 0}, kRoutersPerSubject, kPeakFactor, kBank)),
+        subject_rate_(RouterLimit::share_of({kLimitPerS, kBurst, 0}, kRoutersPerSubject, kPeakFactor, kBank)),
         tenant_limit_{kLimitPerS * settings.subjects, 1000.0 * settings.routers, 0},
-        tenant_rate_(Rate::per_router(tenant_limit_, settings.routers, kPeakFactor, kBank)),
+        tenant_rate_(RouterLimit::share_of(tenant_limit_, settings.routers, kPeakFactor, kBank)),
         tenant_buckets_(settings.routers), admitted_(settings.subjects, 0) {
     for (Bucket& bucket : tenant_buckets_) {
       tables_.emplace_back(std::max(64U, settings.subjects * 3 / settings.routers));
-      bucket.start(nanoseconds_of(kBegin), Bucket::kNever, Bucket::kNever);
+      bucket.reset(nanoseconds_of(kBegin), Bucket::kUnset, Bucket::kUnset);
     }
   }
 
@@ -63,7 +63,7 @@
     proof.figure("sim_subjects", settings_.subjects);
     proof.figure("sim_hits", static_cast<double>(sent_));
     proof.figure("sim_bytes_per_subject",
-                 static_cast<double>(tables_[0].bytes()) * settings_.routers / settings_.subjects);
+                 static_cast<double>(tables_[0].size_bytes()) * settings_.routers / settings_.subjects);
     // Each router that a subject meets admits r (T + bank) + burst at most; here two at a time, dealt anew
     // 1 + T / 15 times, each time with what a fresh bucket gives.
     const double deals = 1 + std::ceil(settings_.seconds / kDealS);
@@ -109,14 +109,14 @@
     const std::int64_t own_wait_ns = own.wait_ns(subject_rate_, now_ns);
     const std::int64_t tenant_wait_ns = tenant.wait_ns(tenant_rate_, now_ns);
     if (own_wait_ns == 0 && tenant_wait_ns == 0) {
-      own.take(subject_rate_, now_ns);
-      tenant.take(tenant_rate_, now_ns);
+      own.consume(subject_rate_, now_ns);
+      tenant.consume(tenant_rate_, now_ns);
       ++admitted_[subject];
       ++tenant_admitted_;
       return 0;
     }
-    return std::max(own_wait_ns > 0 ? own.promise_ns(subject_rate_, now_ns) : 0,
-                    tenant_wait_ns > 0 ? tenant.promise_ns(tenant_rate_, now_ns) : 0);
+    return std::max(own_wait_ns > 0 ? own.assign_retry_slot_ns(subject_rate_, now_ns) : 0,
+                    tenant_wait_ns > 0 ? tenant.assign_retry_slot_ns(tenant_rate_, now_ns) : 0);
   }
 
   unsigned router_of(unsigned subject, unsigned connection, double t) const {
@@ -174,9 +174,9 @@
 
   QuotaSimulationSettings settings_;
   Pcg chance_;
-  Rate subject_rate_;
+  RouterLimit subject_rate_;
   Limit tenant_limit_;
-  Rate tenant_rate_;
+  RouterLimit tenant_rate_;
   std::vector<Bucket> tenant_buckets_;   // by router
   std::vector<SubjectTable> tables_;     // by router
   std::vector<std::uint16_t> admitted_;  // by subject
--- a/src/calling/authorizer.hpp
+++ b/src/calling/authorizer.hpp
@@ -54,29 +54,31 @@
                 Duration& retry_after);
   void release(const QuotaHold& hold);
 
-  KeyRing::Change update_keys(std::span<const tokens::KeyEntry> listed, Instant now) {
-    return key_ring_.update(listed, wall_clock(now));
+  KeyRing::UpdateSummary update_keys(std::span<const tokens::KeyEntry> listed, Instant now) {
+    return key_ring_.update(listed, to_wall_clock(now));
   }
   // What is in flight and has been used up stands. Rates of verifications and the sizes of tables do not
   // change.
   void update_settings(const CallingSettings& settings, Instant now);
   // Times of tokens, keys and certificates are of the machine's clock, which may be set while we run; rates
   // and waits are of the time handed in.
-  void set_wall_clock_ahead(Duration ahead) { wall_clock_ahead_ = ahead; }
-  Duration wall_clock_ahead() const { return wall_clock_ahead_; }
+  void set_wall_clock_offset(Duration ahead) { wall_clock_offset_ = ahead; }
+  Duration wall_clock_offset() const { return wall_clock_offset_; }
 
   const KeyRing& key_ring() const { return key_ring_; }
-  std::size_t cached_tokens() const { return verified_tokens_.size(); }
-  std::uint64_t verifications() const { return verifier_.verifications(); }
-  std::uint64_t refused(Refusal refusal) const { return refused_[static_cast<std::size_t>(refusal)]; }
+  std::size_t cached_token_count() const { return verified_tokens_.size(); }
+  std::uint64_t verification_count() const { return verifier_.verification_count(); }
+  std::uint64_t refusal_count(Refusal refusal) const {
+    return refusal_counts_[static_cast<std::size_t>(refusal)];
+  }
 
  private:
-  Refusal count(Refusal refusal) {
-    ++refused_[static_cast<std::size_t>(refusal)];
+  Refusal record_refusal(Refusal refusal) {
+    ++refusal_counts_[static_cast<std::size_t>(refusal)];
     return refusal;
   }
-  Instant wall_clock(Instant now) const { return now + wall_clock_ahead_; }
-  std::uint64_t hash_of(const std::string& principal) const;
+  Instant to_wall_clock(Instant now) const { return now + wall_clock_offset_; }
+  std::uint64_t hash_principal(const std::string& principal) const;
 
   Refusal authenticate_certificate(const ClientCertificate& certificate, Instant now,
                                    Identity& identity) const;
@@ -86,27 +88,27 @@
   Refusal verify_new_token(std::string_view text, const tokens::Digest& digest,
                            const ConnectionHistory& history, Instant now, VerifiedToken*& token,
                            Duration& retry_after);
-  bool may_verify(std::string_view text, const ConnectionHistory& history, Instant now,
-                  Duration& retry_after);
-  bool names_known_subject(std::string_view text, Instant now);
+  bool try_spend_verification(std::string_view text, const ConnectionHistory& history, Instant now,
+                              Duration& retry_after);
+  bool try_spend_known_subject_verification(std::string_view text, Instant now);
   Refusal check_validity(const VerifiedToken& token, const ClientCertificate* certificate, Instant now) const;
-  Refusal look_up_tenant(VerifiedToken& token) const;
+  Refusal resolve_tenant(VerifiedToken& token) const;
 
   CallingSettings settings_;
   std::unique_ptr<TenantDirectory> directory_;
   std::uint64_t directory_epoch_ = 1;  // grows with each new directory
   std::uint64_t hash_seed_;
-  Duration wall_clock_ahead_;
+  Duration wall_clock_offset_;
   KeyRing key_ring_;
   TokenVerifier verifier_;
   TokenCache verified_tokens_;
   RefusedTokenCache refused_tokens_;
   SubjectTable subjects_;
   TenantUsage tenant_usage_;
-  Budget unproven_verifications_;
-  Budget proven_verifications_;
-  NamedBudgets known_subject_verifications_;
-  std::array<std::uint64_t, kRefusalCount> refused_{};
+  Budget unauthenticated_verification_budget_;
+  Budget preferred_verification_budget_;
+  HashedBudgets known_subject_verification_budgets_;
+  std::array<std::uint64_t, kRefusalCount> refusal_counts_{};
 };
 
 }  // namespace ashbeam::calling
--- a/src/calling/budget.hpp
+++ b/src/calling/budget.hpp
@@ -18,7 +18,7 @@
         burst_ns_(burst_units * kNanosecondsPerSecond / units_per_s) {}
 
   bool try_spend(Instant now, double units = 1) {
-    if (wait(now) > Duration()) return false;
+    if (wait_time(now) > Duration()) return false;
     spend(now, units);
     return true;
   }
@@ -28,7 +28,7 @@
     due_ns_ = (due_ns_ > now_ns ? due_ns_ : now_ns) + units * ns_per_unit_;
   }
   // How long until something may be spent; none: now.
-  Duration wait(Instant now) const {
+  Duration wait_time(Instant now) const {
     const double over_ns = due_ns_ - burst_ns_ - nanoseconds(now);
     return over_ns > 0 ? Duration::us(static_cast<std::int64_t>(over_ns / 1e3) + 1) : Duration();
   }
@@ -43,9 +43,9 @@
 };
 
 // A few uses a second for each of many names, in a fixed table: names that fall on one slot share it.
-class NamedBudgets {
+class HashedBudgets {
  public:
-  NamedBudgets(std::size_t slots, double uses_per_s, double burst_uses)
+  HashedBudgets(std::size_t slots, double uses_per_s, double burst_uses)
       : interval_(Duration::us(static_cast<std::int64_t>(1e6 / uses_per_s))),
         tolerance_(interval_ * (burst_uses - 1)), due_(slots) {}
 
--- a/src/calling/handshake_limiter.cpp
+++ b/src/calling/handshake_limiter.cpp
@@ -4,19 +4,21 @@
 
 namespace ashbeam::calling {
 
-HandshakeLimiter::HandshakeLimiter(std::size_t max_in_progress, double cpu_s_per_s, Duration max_silence)
-    : max_in_progress_(max_in_progress), cpu_(cpu_budget(cpu_s_per_s)), max_silence_(max_silence) {}
+HandshakeLimiter::HandshakeLimiter(std::size_t max_in_progress, double cpu_s_per_s,
+                                   Duration min_silence_before_eviction)
+    : max_in_progress_(max_in_progress), cpu_(cpu_budget(cpu_s_per_s)),
+      min_silence_before_eviction_(min_silence_before_eviction) {}
 
 void HandshakeLimiter::set_limits(std::size_t max_in_progress, double cpu_s_per_s) {
   max_in_progress_ = max_in_progress;
   cpu_ = cpu_budget(cpu_s_per_s);
 }
 
-HandshakeLimiter::Started HandshakeLimiter::start(Instant now) {
-  Started started;
+HandshakeLimiter::StartResult HandshakeLimiter::start(Instant now) {
+  StartResult started;
   if (in_progress_.size() >= max_in_progress_) {
     const auto silent = std::find_if(in_progress_.begin(), in_progress_.end(), [&](const Handshake& h) {
-      return !h.waits_for_cpu && now - h.last_step > max_silence_;
+      return !h.is_waiting_for_cpu && now - h.last_step > min_silence_before_eviction_;
     });
     if (silent == in_progress_.end()) return started;
     started.evicted = silent->id;
@@ -33,7 +35,7 @@
 }
 
 bool HandshakeLimiter::may_continue(Id id, Instant now) {
-  const bool may = cpu_.wait(now) <= Duration();
+  const bool may = cpu_.wait_time(now) <= Duration();
   if (may) {
     std::erase(waiting_, id);
   } else if (std::find(waiting_.begin(), waiting_.end(), id) == waiting_.end()) {
@@ -41,14 +43,14 @@
   }
   for (Handshake& handshake : in_progress_) {
     if (handshake.id != id) continue;
-    handshake.waits_for_cpu = !may;
+    handshake.is_waiting_for_cpu = !may;
     handshake.last_step = now;
   }
   return may;
 }
 
-HandshakeLimiter::Id HandshakeLimiter::next_waiting(Instant now) {
-  if (waiting_.empty() || cpu_.wait(now) > Duration()) return kNone;
+HandshakeLimiter::Id HandshakeLimiter::take_next_waiting(Instant now) {
+  if (waiting_.empty() || cpu_.wait_time(now) > Duration()) return kNone;
   const Id id = waiting_.back();
   waiting_.pop_back();
   return id;
--- a/src/calling/key_ring.cpp
+++ b/src/calling/key_ring.cpp
@@ -15,92 +15,92 @@
 const KeyRing::HeldKey* KeyRing::find(KeyRef key) const {
   if (key.slot >= keys_.size()) return nullptr;
   const HeldKey& held = keys_[key.slot];
-  return held.live && held.generation == key.generation ? &held : nullptr;
+  return held.in_use && held.generation == key.generation ? &held : nullptr;
 }
 
 // A key is its name and its public bytes: other bytes under the same name are another key.
 KeyRing::HeldKey* KeyRing::find(const tokens::KeyEntry& entry) {
   const auto found = std::find_if(keys_.begin(), keys_.end(), [&](const HeldKey& held) {
-    return held.live && held.kid == entry.kid && held.key.thumbprint() == entry.key.thumbprint();
+    return held.in_use && held.kid == entry.kid && held.key.thumbprint() == entry.key.thumbprint();
   });
   return found == keys_.end() ? nullptr : &*found;
 }
 
 const KeyRing::HeldKey* KeyRing::find_revoked(const std::string& thumbprint) const {
   const auto found = std::find_if(keys_.begin(), keys_.end(), [&](const HeldKey& held) {
-    return held.live && held.revoked && held.key.thumbprint() == thumbprint;
+    return held.in_use && held.revoked && held.key.thumbprint() == thumbprint;
   });
   return found == keys_.end() ? nullptr : &*found;
 }
 
-bool KeyRing::may_be_forgotten(const HeldKey& held, Instant now) const {
+bool KeyRing::may_be_removed(const HeldKey& held, Instant now) const {
   if (held.listed) return false;
   if (held.revoked) return now - held.revoked_at > settings_.revoked_retention;
-  return now > held.retired_at + settings_.overlap;
+  return now > held.retired_at + settings_.retiring_key_overlap;
 }
 
-unsigned KeyRing::forget_old_keys(Instant now) {
-  unsigned forgotten = 0;
+unsigned KeyRing::remove_expired_keys(Instant now) {
+  unsigned removed = 0;
   for (HeldKey& held : keys_) {
-    if (!held.live || !may_be_forgotten(held, now)) continue;
+    if (!held.in_use || !may_be_removed(held, now)) continue;
     held = HeldKey{};
-    ++forgotten;
+    ++removed;
   }
-  return forgotten;
+  return removed;
 }
 
-KeyRing::HeldKey* KeyRing::slot_for_new_key(Instant now) {
+KeyRing::HeldKey* KeyRing::find_slot_for_new_key(Instant now) {
   for (HeldKey& held : keys_) {
-    if (!held.live) return &held;
+    if (!held.in_use) return &held;
   }
   if (keys_.size() < kMaxKeys) return &keys_.emplace_back();
-  HeldKey* first_retired = nullptr;
+  HeldKey* earliest_retired = nullptr;
   for (HeldKey& held : keys_) {
     if (held.revoked || held.listed || held.retired_at > now) continue;
-    if (!first_retired || held.retired_at < first_retired->retired_at) first_retired = &held;
+    if (!earliest_retired || held.retired_at < earliest_retired->retired_at) earliest_retired = &held;
   }
-  return first_retired;
+  return earliest_retired;
 }
 
 KeyRing::HeldKey* KeyRing::insert(const tokens::KeyEntry& entry, Instant now) {
-  HeldKey* const slot = slot_for_new_key(now);
+  HeldKey* const slot = find_slot_for_new_key(now);
   if (!slot) return nullptr;
-  HeldKey fresh;
-  fresh.kid = entry.kid;
-  fresh.key = entry.key;
-  fresh.active_from = at_unix_s(entry.active_from_unix_s, Instant());
-  fresh.live = true;
-  fresh.generation = ++last_generation_;
+  HeldKey new_key;
+  new_key.kid = entry.kid;
+  new_key.key = entry.key;
+  new_key.active_from = at_unix_s(entry.active_from_unix_s, Instant());
+  new_key.in_use = true;
+  new_key.generation = ++last_generation_;
   // The public bytes may have been revoked under another name.
   if (const HeldKey* const revoked = find_revoked(entry.key.thumbprint())) {
-    fresh.revoked = true;
-    fresh.revoked_at = revoked->revoked_at;
+    new_key.revoked = true;
+    new_key.revoked_at = revoked->revoked_at;
   }
-  *slot = std::move(fresh);
+  *slot = std::move(new_key);
   return slot;
 }
 
-void KeyRing::take_entry(const tokens::KeyEntry& entry, Instant now, Change& change) {
+void KeyRing::apply_entry(const tokens::KeyEntry& entry, Instant now, UpdateSummary& summary) {
   const Instant active_from = at_unix_s(entry.active_from_unix_s, Instant());
   const Instant retired_at = at_unix_s(entry.retired_at_unix_s, Instant::never());
   HeldKey* held = find(entry);
   if (!held) {
     held = insert(entry, now);
     if (!held) return;
-    ++change.added;
+    ++summary.added;
   } else if (!held->listed) {
-    ++change.restored;
+    ++summary.restored;
   } else if (held->retired_at != retired_at) {
-    ++change.retiring;
+    ++summary.retiring;
   }
   if (held->active_from != active_from) {
     held->active_from = active_from;
-    ++change.retiring;
+    ++summary.retiring;
   }
   if (entry.revoked && !held->revoked) {
     held->revoked = true;
     held->revoked_at = now;
-    ++change.revoked;
+    ++summary.revoked;
   }
   held->retired_at = retired_at;
   held->listed = true;
@@ -111,9 +111,9 @@
 unsigned KeyRing::revoke_same_public_keys() {
   unsigned revoked = 0;
   for (const HeldKey& source : keys_) {
-    if (!source.live || !source.revoked) continue;
+    if (!source.in_use || !source.revoked) continue;
     for (HeldKey& held : keys_) {
-      if (!held.live || held.revoked || held.key.thumbprint() != source.key.thumbprint()) continue;
+      if (!held.in_use || held.revoked || held.key.thumbprint() != source.key.thumbprint()) continue;
       held.revoked = true;
       held.revoked_at = source.revoked_at;
       ++revoked;
@@ -125,7 +125,7 @@
 unsigned KeyRing::retire_unlisted_keys(Instant now) {
   unsigned retiring = 0;
   for (HeldKey& held : keys_) {
-    if (!held.live || !held.listed || held.last_listed == updates_) continue;
+    if (!held.in_use || !held.listed || held.last_listed == updates_) continue;
     held.listed = false;
     held.retired_at = std::min(held.retired_at, now);
     ++retiring;
@@ -133,36 +133,36 @@
   return retiring;
 }
 
-KeyRing::Change KeyRing::update(std::span<const tokens::KeyEntry> listed, Instant now) {
+KeyRing::UpdateSummary KeyRing::update(std::span<const tokens::KeyEntry> listed, Instant now) {
   ++updates_;
-  Change change;
-  change.forgotten = forget_old_keys(now);
-  for (const tokens::KeyEntry& entry : listed) take_entry(entry, now, change);
-  change.revoked += revoke_same_public_keys();
-  change.retiring += retire_unlisted_keys(now);
-  if (change.any()) ++epoch_;
-  return change;
+  UpdateSummary summary;
+  summary.removed = remove_expired_keys(now);
+  for (const tokens::KeyEntry& entry : listed) apply_entry(entry, now, summary);
+  summary.revoked += revoke_same_public_keys();
+  summary.retiring += retire_unlisted_keys(now);
+  if (summary.has_changes()) ++epoch_;
+  return summary;
 }
 
 bool KeyRing::has_kid(std::string_view kid) const {
   return std::any_of(keys_.begin(), keys_.end(),
-                     [&](const HeldKey& held) { return held.live && held.kid == kid; });
+                     [&](const HeldKey& held) { return held.in_use && held.kid == kid; });
 }
 
 std::size_t KeyRing::size() const {
   return static_cast<std::size_t>(
-      std::count_if(keys_.begin(), keys_.end(), [](const HeldKey& held) { return held.live; }));
+      std::count_if(keys_.begin(), keys_.end(), [](const HeldKey& held) { return held.in_use; }));
 }
 
-Refusal KeyRing::check(KeyRef key, Instant issued, Instant now) const {
+Refusal KeyRing::check(KeyRef key, Instant issued_at, Instant now) const {
   const HeldKey* const held = find(key);
   if (!held) return Refusal::kKeyRetired;
   if (held->revoked) return Refusal::kKeyRevoked;
   const Instant earliest = held->active_from - settings_.leeway;
-  if (now < earliest || issued < earliest) return Refusal::kNotYetValid;
+  if (now < earliest || issued_at < earliest) return Refusal::kNotYetValid;
   if (held->retired_at == Instant::never()) return Refusal::kNone;
-  const bool signed_too_late = issued > held->retired_at + settings_.leeway;
-  const bool shown_too_late = now > held->retired_at + settings_.overlap;
+  const bool signed_too_late = issued_at > held->retired_at + settings_.leeway;
+  const bool shown_too_late = now > held->retired_at + settings_.retiring_key_overlap;
   return signed_too_late || shown_too_late ? Refusal::kKeyRetired : Refusal::kNone;
 }
 
--- a/src/calling/principal.cpp
+++ b/src/calling/principal.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-bool is_plain(char c) {
+bool needs_no_encoding(char c) {
   const bool alphanumeric = (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9');
   return alphanumeric || std::string_view("-._~@:+").find(c) != std::string_view::npos;
 }
@@ -14,7 +14,7 @@
 void append_percent_encoded(std::string& output, std::string_view name) {
   constexpr char kHexDigits[] = "0123456789ABCDEF";
   for (const char c : name) {
-    if (is_plain(c)) {
+    if (needs_no_encoding(c)) {
       output += c;
       continue;
     }
--- a/src/calling/principal.hpp
+++ b/src/calling/principal.hpp
@@ -22,14 +22,14 @@
 // What a request brings to prove who sends it.
 struct Credentials {
   std::string_view authorization;  // the field's value; empty: none
-  bool ambiguous = false;          // a field that credentials are read from stands more than once
+  bool is_ambiguous = false;       // a field that credentials are read from stands more than once
   std::string_view account;        // X-Account
   const ClientCertificate* certificate = nullptr;
 };
 
 // What is remembered of a connection between its requests.
 struct ConnectionHistory {
-  bool authenticated = false;  // a principal has been proven on it before
+  bool is_authenticated = false;  // a principal has been proven on it before
 };
 
 // The principal that is proven.
--- a/src/calling/quota.hpp
+++ b/src/calling/quota.hpp
@@ -27,32 +27,32 @@
 constexpr std::int64_t nanoseconds_of(Instant at) { return at.us() * 1000; }
 
 // A limit's figures for one router.
-struct Rate {
+struct RouterLimit {
   std::int64_t interval_ns = 0;  // between requests at the sustained rate; 0: not limited
   std::int64_t peak_interval_ns = 0;
   std::int64_t tolerance_ns = 0;  // how early a request of a burst may come, at the sustained rate
   std::int64_t peak_tolerance_ns = 0;
-  std::int64_t bank_ns = 0;
+  std::int64_t credit_window_ns = 0;
   std::uint32_t max_in_flight = 0;  // 0: not limited
 
   // The part of `limit` that one of `routers` routers holds.
-  static Rate per_router(const Limit& limit, double routers, double peak_factor, Duration bank);
+  static RouterLimit share_of(const Limit& limit, double routers, double peak_factor, Duration credit_window);
 };
 
 // The state of one limited tenant or subject: theoretical arrival times, in nanoseconds of Unix time.
 struct Bucket {
-  static constexpr std::int64_t kNever = INT64_MIN;
-  std::int64_t sustained_due_ns = kNever;
-  std::int64_t peak_due_ns = kNever;
-  std::int64_t promised_ns = kNever;  // the last slot promised to a rejected request
+  static constexpr std::int64_t kUnset = INT64_MIN;
+  std::int64_t sustained_due_ns = kUnset;
+  std::int64_t peak_due_ns = kUnset;
+  std::int64_t last_retry_slot_ns = kUnset;  // the last slot promised to a rejected request
 
   // Starts full, but never due earlier than the two floors.
-  void start(std::int64_t now_ns, std::int64_t sustained_floor_ns, std::int64_t peak_floor_ns);
+  void reset(std::int64_t now_ns, std::int64_t sustained_floor_ns, std::int64_t peak_floor_ns);
   // How long until one request may be taken; 0: now.
-  std::int64_t wait_ns(const Rate& rate, std::int64_t now_ns) const;
-  void take(const Rate& rate, std::int64_t now_ns);
+  std::int64_t wait_ns(const RouterLimit& limit, std::int64_t now_ns) const;
+  void consume(const RouterLimit& limit, std::int64_t now_ns);
   // How long a rejected request is to wait; its slot counts as promised.
-  std::int64_t promise_ns(const Rate& rate, std::int64_t now_ns);
+  std::int64_t assign_retry_slot_ns(const RouterLimit& limit, std::int64_t now_ns);
 };
 
 }  // namespace ashbeam::calling
--- a/src/calling/refusal.hpp
+++ b/src/calling/refusal.hpp
@@ -36,13 +36,13 @@
   kInFlightLimit,
 };
 
-struct RefusalAnswer {
+struct RefusalResponse {
   Refusal refusal;
   unsigned http_status;
-  std::string_view name;  // as on the wire
+  std::string_view wire_name;  // as on the wire
 };
 
-constexpr RefusalAnswer kRefusalAnswers[] = {
+constexpr RefusalResponse kRefusalResponses[] = {
     {Refusal::kNone, 200, "none"},
     {Refusal::kNoCredentials, 401, "missing"},
     {Refusal::kMalformed, 401, "unreadable"},
@@ -66,22 +66,22 @@
     {Refusal::kRateLimit, 429, "rate"},
     {Refusal::kInFlightLimit, 429, "in-hand"},
 };
-constexpr std::size_t kRefusalCount = std::size(kRefusalAnswers);
+constexpr std::size_t kRefusalCount = std::size(kRefusalResponses);
 
-constexpr bool refusal_answers_in_order() {
+constexpr bool refusal_responses_are_in_order() {
   for (std::size_t i = 0; i < kRefusalCount; ++i) {
-    if (static_cast<std::size_t>(kRefusalAnswers[i].refusal) != i) return false;
+    if (static_cast<std::size_t>(kRefusalResponses[i].refusal) != i) return false;
   }
   return true;
 }
-static_assert(refusal_answers_in_order());
+static_assert(refusal_responses_are_in_order());
 static_assert(kRefusalCount == static_cast<std::size_t>(Refusal::kInFlightLimit) + 1);
 
 constexpr std::string_view name_of(Refusal refusal) {
-  return kRefusalAnswers[static_cast<std::size_t>(refusal)].name;
+  return kRefusalResponses[static_cast<std::size_t>(refusal)].wire_name;
 }
 constexpr unsigned http_status_of(Refusal refusal) {
-  return kRefusalAnswers[static_cast<std::size_t>(refusal)].http_status;
+  return kRefusalResponses[static_cast<std::size_t>(refusal)].http_status;
 }
 
 }  // namespace ashbeam::calling
--- a/src/calling/refused_token_cache.cpp
+++ b/src/calling/refused_token_cache.cpp
@@ -13,13 +13,14 @@
 Refusal RefusedTokenCache::find(const tokens::Digest& digest, std::uint64_t key_ring_epoch,
                                 Instant now) const {
   const Entry& entry = entries_[slot_of(digest)];
-  const bool holds = entry.key_ring_epoch == key_ring_epoch && entry.until > now && entry.digest == digest;
-  return holds ? entry.refusal : Refusal::kNone;
+  const bool is_cached =
+      entry.key_ring_epoch == key_ring_epoch && entry.expires_at > now && entry.digest == digest;
+  return is_cached ? entry.refusal : Refusal::kNone;
 }
 
 void RefusedTokenCache::insert(const tokens::Digest& digest, std::uint64_t key_ring_epoch, Refusal refusal,
-                               Instant until) {
-  entries_[slot_of(digest)] = {digest, key_ring_epoch, until, refusal};
+                               Instant expires_at) {
+  entries_[slot_of(digest)] = {digest, key_ring_epoch, expires_at, refusal};
 }
 
 }  // namespace ashbeam::calling
--- a/src/calling/refused_token_cache.hpp
+++ b/src/calling/refused_token_cache.hpp
@@ -17,13 +17,14 @@
   explicit RefusedTokenCache(std::size_t slots) : entries_(slots) {}
   // kNone: not known as refused.
   Refusal find(const tokens::Digest& digest, std::uint64_t key_ring_epoch, Instant now) const;
-  void insert(const tokens::Digest& digest, std::uint64_t key_ring_epoch, Refusal refusal, Instant until);
+  void insert(const tokens::Digest& digest, std::uint64_t key_ring_epoch, Refusal refusal,
+              Instant expires_at);
 
  private:
   struct Entry {
     tokens::Digest digest{};
     std::uint64_t key_ring_epoch = 0;
-    Instant until;
+    Instant expires_at;
     Refusal refusal = Refusal::kNone;
   };
   std::size_t slot_of(const tokens::Digest& digest) const;
--- a/src/calling/subject_table.cpp
+++ b/src/calling/subject_table.cpp
@@ -17,7 +17,7 @@
 }
 
 // Of the subjects without requests in flight, the one that owes least.
-std::uint32_t SubjectTable::way_to_evict(const Set& set) {
+std::uint32_t SubjectTable::find_way_to_evict(const Set& set) {
   std::uint32_t best = kNone;
   for (std::uint32_t way = 0; way < kWays; ++way) {
     if (set.in_flight[way] != 0) continue;
@@ -37,15 +37,15 @@
   }
   Floor& floor = floors_[index];
   if (free_way == kNone) {
-    free_way = way_to_evict(set);
+    free_way = find_way_to_evict(set);
     if (free_way == kNone) return kNone;
-    ++evicted_;
+    ++eviction_count_;
     floor.sustained_due_ns = std::max(floor.sustained_due_ns, set.buckets[free_way].sustained_due_ns);
     floor.peak_due_ns = std::max(floor.peak_due_ns, set.buckets[free_way].peak_due_ns);
   }
   set.tags[free_way] = tag;
   set.in_flight[free_way] = 0;
-  set.buckets[free_way].start(nanoseconds_of(now), floor.sustained_due_ns, floor.peak_due_ns);
+  set.buckets[free_way].reset(nanoseconds_of(now), floor.sustained_due_ns, floor.peak_due_ns);
   return slot_at(index, free_way);
 }
 
--- a/src/calling/subject_table.hpp
+++ b/src/calling/subject_table.hpp
@@ -28,8 +28,8 @@
     for (std::size_t offset = 0; offset < sizeof(Set); offset += kCacheLineBytes)
       __builtin_prefetch(set + offset);
   }
-  std::uint64_t evicted() const { return evicted_; }
-  std::size_t bytes() const { return sets_.size() * (sizeof(Set) + sizeof(Floor)); }
+  std::uint64_t eviction_count() const { return eviction_count_; }
+  std::size_t size_bytes() const { return sets_.size() * (sizeof(Set) + sizeof(Floor)); }
 
  private:
   static constexpr std::uint32_t kWays = 8;
@@ -42,8 +42,8 @@
   };
   // What evicted subjects owed.
   struct Floor {
-    std::int64_t sustained_due_ns = Bucket::kNever;
-    std::int64_t peak_due_ns = Bucket::kNever;
+    std::int64_t sustained_due_ns = Bucket::kUnset;
+    std::int64_t peak_due_ns = Bucket::kUnset;
   };
   std::size_t set_of(std::uint64_t hash) const {
     return static_cast<std::size_t>(((hash >> 32U) * sets_.size()) >> 32U);
@@ -52,11 +52,11 @@
   static std::uint32_t slot_at(std::size_t set, std::uint32_t way) {
     return static_cast<std::uint32_t>(set) * kWays + way;
   }
-  static std::uint32_t way_to_evict(const Set& set);
+  static std::uint32_t find_way_to_evict(const Set& set);
 
   std::vector<Set, HugePageAllocator<Set>> sets_;
   std::vector<Floor> floors_;  // by set; written once the set is full
-  std::uint64_t evicted_ = 0;
+  std::uint64_t eviction_count_ = 0;
 };
 
 }  // namespace ashbeam::calling
--- a/src/calling/tenant_directory.cpp
+++ b/src/calling/tenant_directory.cpp
@@ -12,10 +12,10 @@
 }
 
 // By request class: whether it is among those that are allowed.
-std::vector<bool> allowed_of(const CallingSettings& settings, bool any_class,
-                             const std::vector<std::string>& allowed_classes) {
-  std::vector<bool> allowed(settings.request_classes.size(), any_class);
-  if (any_class) return allowed;
+std::vector<bool> allowed_request_classes(const CallingSettings& settings, bool allows_any_class,
+                                          const std::vector<std::string>& allowed_classes) {
+  std::vector<bool> allowed(settings.request_classes.size(), allows_any_class);
+  if (allows_any_class) return allowed;
   for (std::size_t i = 0; i < allowed.size(); ++i)
     allowed[i] = contains(allowed_classes, settings.request_classes[i]);
   return allowed;
@@ -36,14 +36,15 @@
     TenantDirectory::Tenant tenant;
     tenant.name = given.name;
     tenant.issuer = given.issuer.empty() ? settings_.issuer : given.issuer;
-    tenant.policy_tenant = policy_tenant_of(given.name);
-    tenant.rate = part(given.tenant_limit, settings_.router_count);
-    tenant.only_listed = given.only_listed;
-    const std::vector<bool> allowed = allowed_of(settings_, given.any_class, given.allowed_classes);
-    tenant.rules.push_back({allowed, part(given.subject_limit, routers_per_subject_)});
+    tenant.policy_tenant = find_policy_tenant(given.name);
+    tenant.limit = router_share(given.tenant_limit, settings_.router_count);
+    tenant.allows_only_listed_subjects = given.allows_only_listed_subjects;
+    const std::vector<bool> allowed =
+        allowed_request_classes(settings_, given.allows_any_class, given.allowed_classes);
+    tenant.rules.push_back({allowed, router_share(given.subject_limit, routers_per_subject_)});
     for (const SubjectSettings& subject : given.subjects) {
       const auto rule = static_cast<std::uint32_t>(tenant.rules.size());
-      tenant.rules.push_back(rule_of(subject, given.subject_limit, allowed));
+      tenant.rules.push_back(build_rule(subject, given.subject_limit, allowed));
       if (subject.name.ends_with('*')) {
         tenant.prefix_rules.push_back({subject.name.substr(0, subject.name.size() - 1), rule});
       } else {
@@ -56,19 +57,19 @@
   }
 
  private:
-  Rate part(const Limit& limit, double routers) const {
-    return Rate::per_router(limit, routers, settings_.peak_factor, settings_.bank);
+  RouterLimit router_share(const Limit& limit, double routers) const {
+    return RouterLimit::share_of(limit, routers, settings_.peak_factor, settings_.credit_window);
   }
-  std::uint32_t policy_tenant_of(const std::string& name) const {
+  std::uint32_t find_policy_tenant(const std::string& name) const {
     const auto& names = settings_.policy_tenants;
     return static_cast<std::uint32_t>(std::find(names.begin(), names.end(), name) - names.begin());
   }
   // A subject is allowed no class that its tenant is not.
-  TenantDirectory::Rule rule_of(const SubjectSettings& subject, const Limit& default_limit,
-                                const std::vector<bool>& allowed_to_tenant) const {
+  TenantDirectory::Rule build_rule(const SubjectSettings& subject, const Limit& default_limit,
+                                   const std::vector<bool>& allowed_to_tenant) const {
     TenantDirectory::Rule rule;
-    rule.allowed = allowed_of(settings_, subject.any_class, subject.allowed_classes);
-    rule.rate = part(subject.limit.value_or(default_limit), routers_per_subject_);
+    rule.allowed = allowed_request_classes(settings_, subject.allows_any_class, subject.allowed_classes);
+    rule.limit = router_share(subject.limit.value_or(default_limit), routers_per_subject_);
     for (std::size_t i = 0; i < rule.allowed.size(); ++i)
       rule.allowed[i] = rule.allowed[i] && allowed_to_tenant[i];
     return rule;
@@ -79,11 +80,11 @@
 };
 
 // Collects what is wrong with the settings' names.
-class NameCheck {
+class NameValidator {
  public:
-  explicit NameCheck(const CallingSettings& settings) : settings_(settings) {}
+  explicit NameValidator(const CallingSettings& settings) : settings_(settings) {}
 
-  std::vector<std::string> run() {
+  std::vector<std::string> validate() {
     std::vector<std::string> names;
     std::vector<std::string> organisations;
     for (const TenantSettings& tenant : settings_.tenants) {
@@ -139,14 +140,16 @@
   return found == index.end() ? kNone : found->second;
 }
 
-std::uint32_t TenantDirectory::Tenant::rule_of(std::string_view subject) const {
+std::uint32_t TenantDirectory::Tenant::find_rule(std::string_view subject) const {
   if (const auto found = rule_by_subject.find(subject); found != rule_by_subject.end()) return found->second;
   for (const PrefixRule& candidate : prefix_rules) {
     if (subject.starts_with(candidate.prefix)) return candidate.rule;
   }
-  return only_listed ? kNone : 0;
+  return allows_only_listed_subjects ? kNone : 0;
 }
 
-std::vector<std::string> find_problems(const CallingSettings& settings) { return NameCheck(settings).run(); }
+std::vector<std::string> validate_settings(const CallingSettings& settings) {
+  return NameValidator(settings).validate();
+}
 
 }  // namespace ashbeam::calling
--- a/src/calling/tenant_directory.hpp
+++ b/src/calling/tenant_directory.hpp
@@ -20,7 +20,7 @@
   // What a group of subjects may do.
   struct Rule {
     std::vector<bool> allowed;  // by request class
-    Rate rate;                  // of each subject
+    RouterLimit limit;          // of each subject
   };
   struct PrefixRule {
     std::string prefix;
@@ -30,13 +30,13 @@
     std::string name;
     std::string issuer;
     std::uint32_t policy_tenant = 0;  // index in CallingSettings::policy_tenants, or their number
-    Rate rate;                        // of all its subjects together
-    bool only_listed = false;
+    RouterLimit limit;                // of all its subjects together
+    bool allows_only_listed_subjects = false;
     std::vector<Rule> rules;  // the first is for subjects that are not listed
     IndexByName rule_by_subject;
     std::vector<PrefixRule> prefix_rules;  // the longest prefix first
 
-    std::uint32_t rule_of(std::string_view subject) const;  // kNone: it has no rights
+    std::uint32_t find_rule(std::string_view subject) const;  // kNone: it has no rights
   };
 
   explicit TenantDirectory(const CallingSettings& settings);
@@ -54,6 +54,6 @@
 };
 
 // What in the settings contradicts itself or names what is not there, a line each; empty if nothing.
-std::vector<std::string> find_problems(const CallingSettings& settings);
+std::vector<std::string> validate_settings(const CallingSettings& settings);
 
 }  // namespace ashbeam::calling
--- a/src/calling/tenant_usage.cpp
+++ b/src/calling/tenant_usage.cpp
@@ -24,7 +24,7 @@
     }
     used[free_slot] = true;
     usages_[free_slot] = Usage{};
-    usages_[free_slot].bucket.start(nanoseconds_of(now), Bucket::kNever, Bucket::kNever);
+    usages_[free_slot].bucket.reset(nanoseconds_of(now), Bucket::kUnset, Bucket::kUnset);
     slot_by_name_.emplace(name, free_slot);
     slot_by_index_[index] = free_slot;
   }
--- a/src/calling/token_cache.cpp
+++ b/src/calling/token_cache.cpp
@@ -15,7 +15,7 @@
 VerifiedToken& TokenCache::insert(VerifiedToken token, Instant now) {
   const std::uint64_t key = key_of(token.digest);
   if (const Tokens::Index known = tokens_.find(key); known != Tokens::kNone) tokens_.erase(known);
-  if (tokens_.size() >= max_tokens_) tokens_.erase(entry_to_evict(now));
+  if (tokens_.size() >= max_tokens_) tokens_.erase(find_entry_to_evict(now));
   VerifiedToken& inserted = tokens_[tokens_.insert(key)];
   inserted = std::move(token);
   return inserted;
@@ -38,10 +38,10 @@
   return entry != Tokens::kNone && tokens_[entry].digest == digest ? entry : Tokens::kNone;
 }
 
-TokenCache::Tokens::Index TokenCache::entry_to_evict(Instant now) {
+TokenCache::Tokens::Index TokenCache::find_entry_to_evict(Instant now) {
   Tokens::Index candidate = tokens_.least_recent();
   for (int i = 0; i < kEvictionCandidates && candidate != Tokens::kNone; ++i) {
-    if (tokens_[candidate].expires <= now) return candidate;
+    if (tokens_[candidate].expires_at <= now) return candidate;
     candidate = tokens_.next_more_recent(candidate);
   }
   return tokens_.least_recent();
--- a/src/calling/token_cache.hpp
+++ b/src/calling/token_cache.hpp
@@ -17,9 +17,9 @@
 struct VerifiedToken {
   tokens::Digest digest{};  // of its text
   KeyRef key;
-  Instant issued;
+  Instant issued_at;
   Instant not_before;
-  Instant expires;
+  Instant expires_at;
   std::string issuer;
   std::string tenant;
   std::string subject;
@@ -50,7 +50,7 @@
 
   static std::uint64_t key_of(const tokens::Digest& digest);
   Tokens::Index find_entry(const tokens::Digest& digest);
-  Tokens::Index entry_to_evict(Instant now);
+  Tokens::Index find_entry_to_evict(Instant now);
 
   std::size_t max_tokens_;
   Tokens tokens_;
--- a/src/calling/token_verifier.hpp
+++ b/src/calling/token_verifier.hpp
@@ -22,16 +22,16 @@
   // it. Else the first fault, in the order: form, key, signature, claims, lifetime, expiry, state of the key.
   Refusal verify(std::string_view text, const CallingSettings& settings, const KeyRing& key_ring,
                  Instant wall_now, VerifiedToken& token);
-  std::uint64_t verifications() const { return verifications_; }
+  std::uint64_t verification_count() const { return verification_count_; }
 
  private:
   Refusal check_signature(std::string_view text, const std::optional<tokens::Jws>& jws,
                           const KeyRing& key_ring, KeyRef& key) const;
-  void verify_with_decoy(tokens::Algorithm algorithm, std::string_view signed_bytes,
-                         std::string_view signature) const;
+  void verify_with_dummy_key(tokens::Algorithm algorithm, std::string_view signed_bytes,
+                             std::string_view signature) const;
 
-  std::array<tokens::Key, 2> decoys_;  // by algorithm: verified with where there is no key
-  std::uint64_t verifications_ = 0;
+  std::array<tokens::Key, 2> dummy_keys_;  // by algorithm: verified with where there is no key
+  std::uint64_t verification_count_ = 0;
 };
 
 }  // namespace ashbeam::calling
--- a/src/program/access_config_loader.cpp
+++ b/src/program/access_config_loader.cpp
@@ -116,12 +116,12 @@
 
 void AccessConfigLoader::check_wall_clock() {
   const Duration ahead = loop_.wall_clock_offset();
-  const Duration before = service_.authorizer()->wall_clock_ahead();
+  const Duration before = service_.authorizer()->wall_clock_offset();
   if (ahead > before + kWallClockTolerance || ahead < before - kWallClockTolerance) {
     const std::int64_t change_ms = (ahead - before).us() / 1000;
     log_("calling: the machine's clock was set by " + std::to_string(change_ms) + " ms");
   }
-  service_.authorizer()->set_wall_clock_ahead(ahead);
+  service_.authorizer()->set_wall_clock_offset(ahead);
 }
 
 // While a folder's file system hangs, keys that have been revoked there are not known here.
@@ -184,11 +184,11 @@
 void AccessConfigLoader::apply_key_sets(const KeyFolder& folder) {
   keys_stamp_ = folder.stamp;
   const auto change = service_.authorizer()->update_keys(folder.keys, loop_.now());
-  if (!change.any()) return;
+  if (!change.has_changes()) return;
   log_("calling: key ring " + std::to_string(service_.authorizer()->key_ring().epoch()) + ": " +
        std::to_string(folder.keys.size()) + " keys listed, " + std::to_string(change.added) + " new, " +
        std::to_string(change.restored) + " back, " + std::to_string(change.retiring) + " retiring, " +
-       std::to_string(change.revoked) + " revoked, " + std::to_string(change.forgotten) + " forgotten");
+       std::to_string(change.revoked) + " revoked, " + std::to_string(change.removed) + " forgotten");
 }
 
 }  // namespace ashbeam
--- a/src/program/keys_command.cpp
+++ b/src/program/keys_command.cpp
@@ -68,7 +68,7 @@
   explicit SigningKeys(const std::string& folder) : folder_(made_folder(folder)), lock_(folder_) {
     if (!std::filesystem::exists(set_path())) return;
     tokens::KeySet set = tokens::parse_key_set(read_file(set_path(), tokens::kMaxKeySetBytes));
-    if (!set.problem.empty()) throw FileError(set_path(), set.problem);
+    if (!set.error.empty()) throw FileError(set_path(), set.error);
     entries_ = std::move(set.keys);
   }
 
@@ -83,7 +83,7 @@
     if (!entry) throw std::runtime_error("no key is called " + kid);
     return *entry;
   }
-  void save() const { write_file(set_path(), tokens::key_set_text(entries_), kPublicFileMode); }
+  void save() const { write_file(set_path(), tokens::serialize_key_set(entries_), kPublicFileMode); }
 
   void save_private(const tokens::KeyEntry& entry) const {
     const std::string jwk =
@@ -94,7 +94,7 @@
     const std::string path = private_path(kid);
     need_private(path);
     const tokens::KeySet set = tokens::parse_key_set(read_file(path, tokens::kMaxKeySetBytes));
-    if (set.keys.size() != 1) throw FileError(path, set.problem);
+    if (set.keys.size() != 1) throw FileError(path, set.error);
     return set.keys.front().key;
   }
 
@@ -159,7 +159,7 @@
   entry.active_from_unix_s = std::floor(unix_now_s() + parse_span(options.from).s());
   keys.save_private(entry);
   keys.entries().push_back(entry);
-  if (keys.entries().size() > tokens::kMaxKeysOfSet)
+  if (keys.entries().size() > tokens::kMaxKeysPerSet)
     throw std::runtime_error("more than 64 keys: remove old ones");
   keys.save();
   std::printf("%s\n", entry.kid.c_str());
--- a/src/program/operator_config.cpp
+++ b/src/program/operator_config.cpp
@@ -26,7 +26,7 @@
   if (!value.given()) return limit;
   limit.requests_per_s = value["per_s"].number;
   limit.burst_requests = value["burst"].number;
-  limit.in_flight = static_cast<std::uint32_t>(value["in_hand"].number);
+  limit.max_in_flight = static_cast<std::uint32_t>(value["in_hand"].number);
   return limit;
 }
 
@@ -39,7 +39,7 @@
 calling::SubjectSettings subject_of(const Value& value) {
   calling::SubjectSettings subject;
   subject.name = value["name"].text;
-  subject.any_class = !value["path_groups"].given();
+  subject.allows_any_class = !value["path_groups"].given();
   subject.allowed_classes = names_of(value["path_groups"]);
   if (value["limit"].given()) subject.limit = limit_of(value["limit"]);
   return subject;
@@ -50,11 +50,11 @@
   tenant.name = value["name"].text;
   tenant.issuer = value["issuer"].text;
   tenant.organisation = value["organisation"].text;
-  tenant.any_class = !value["path_groups"].given();
+  tenant.allows_any_class = !value["path_groups"].given();
   tenant.allowed_classes = names_of(value["path_groups"]);
   tenant.tenant_limit = limit_of(value["limit"]);
   tenant.subject_limit = limit_of(value["each"]);
-  tenant.only_listed = value["only_listed"].boolean;
+  tenant.allows_only_listed_subjects = value["only_listed"].boolean;
   for (const Value& subject : value["subjects"].items) tenant.subjects.push_back(subject_of(subject));
   return tenant;
 }
@@ -116,11 +116,11 @@
   CallingConfig read_calling(const Value& value) {
     CallingConfig config;
     calling::CallingSettings& settings = config.settings;
-    settings.required = value["prove"].text == "required";
+    settings.requires_authentication = value["prove"].text == "required";
     if (value["tokens"].given()) read_tokens(value["tokens"], config);
     settings.max_subjects = static_cast<std::size_t>(value["subjects"].number);
     settings.routers_per_subject = static_cast<std::uint32_t>(value["reach"].number);
-    settings.bank = value["bank"].span();
+    settings.credit_window = value["bank"].span();
     settings.peak_factor = value["lend"].number;
     for (const Value& tenant : value["tenants"].items) settings.tenants.push_back(tenant_of(tenant));
     if (deployment_) {
@@ -130,7 +130,7 @@
       }
     }
     set_known_names(settings, deployment_);
-    for (const std::string& problem : calling::find_problems(settings)) {
+    for (const std::string& problem : calling::validate_settings(settings)) {
       add_problem(value["tenants"], "calling.tenants", "names that fit", problem);
     }
     return config;
@@ -145,7 +145,7 @@
     settings.audience = value["audience"].text;
     settings.tenant_claim = value["tenant_claim"].text;
     settings.leeway = value["leeway"].span();
-    settings.overlap = value["overlap"].span();
+    settings.retiring_key_overlap = value["overlap"].span();
     settings.max_token_lifetime = value["longest"].span();
     settings.max_cached_tokens = static_cast<std::size_t>(value["cached"].number);
     settings.verifications_per_s = value["verifications_per_s"].number;
--- a/src/routing/request_authorization.cpp
+++ b/src/routing/request_authorization.cpp
@@ -39,7 +39,7 @@
   if (!authorizer_) return &identity_;
   calling::Credentials asked;
   asked.authorization = head.find("Authorization").value_or("");
-  asked.ambiguous = head.count("Authorization") > 1 || head.count(header::kTenant) > 1;
+  asked.is_ambiguous = head.count("Authorization") > 1 || head.count(header::kTenant) > 1;
   asked.account = head.find(header::kTenant).value_or("");
   asked.certificate = proof.certificate;
   Duration retry_after;
@@ -80,7 +80,7 @@
   std::string counts;
   for (std::size_t i = 1; i < kReasons; ++i) {
     const auto reason = static_cast<calling::Refusal>(i);
-    const std::uint64_t refused = authorizer_->refused(reason) - logged_refusals_[i];
+    const std::uint64_t refused = authorizer_->refusal_count(reason) - logged_refusals_[i];
     if (refused == 0) continue;
     logged_refusals_[i] += refused;
     if (!counts.empty()) counts += ", ";
--- a/src/store/files.cpp
+++ b/src/store/files.cpp
@@ -130,9 +130,9 @@
   folder.stamp = key_folder_stamp(path);
   for (const std::string& file : key_set_paths(path)) {
     tokens::KeySet set = tokens::parse_key_set(read_file(file, tokens::kMaxKeySetBytes));
-    if (!set.problem.empty()) throw FileError(file, set.problem);
+    if (!set.error.empty()) throw FileError(file, set.error);
     if (set.has_private_keys) need_private(file);
-    folder.passed_over += set.ignored;
+    folder.passed_over += set.ignored_keys;
     for (tokens::KeyEntry& listed : set.keys) folder.keys.push_back(std::move(listed));
   }
   return folder;
--- a/src/tokens/base64url.cpp
+++ b/src/tokens/base64url.cpp
@@ -10,11 +10,11 @@
 constexpr std::string_view kAlphabet = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_";
 constexpr unsigned kBitsPerByte = 8;
 constexpr unsigned kBitsPerDigit = 6;
-constexpr std::uint8_t kNoDigit = 255;
+constexpr std::uint8_t kInvalidDigit = 255;
 
 constexpr std::array<std::uint8_t, 256> digit_values() {
   std::array<std::uint8_t, 256> values{};
-  for (auto& value : values) value = kNoDigit;
+  for (auto& value : values) value = kInvalidDigit;
   for (std::size_t i = 0; i < kAlphabet.size(); ++i)
     values[static_cast<unsigned char>(kAlphabet[i])] = static_cast<std::uint8_t>(i);
   return values;
@@ -48,7 +48,7 @@
   unsigned bits = 0;
   for (const char c : text) {
     const std::uint8_t digit = kDigitValues[static_cast<unsigned char>(c)];
-    if (digit == kNoDigit) return std::nullopt;
+    if (digit == kInvalidDigit) return std::nullopt;
     buffer = (buffer << kBitsPerDigit) | digit;
     bits += kBitsPerDigit;
     if (bits < kBitsPerByte) continue;
--- a/src/tokens/json_members.cpp
+++ b/src/tokens/json_members.cpp
@@ -5,7 +5,7 @@
 
 namespace ashbeam::tokens {
 
-bool has_repeated_member(const Json& object) {
+bool has_duplicate_member(const Json& object) {
   std::set<std::string> names;
   bool repeated = false;
   object.for_each_member([&](const std::string& name, const Json&) {
@@ -16,7 +16,7 @@
 
 std::optional<Json> parse_object(std::string_view text) {
   auto object = Json::parse(text);
-  if (!object || !object->is_object() || has_repeated_member(*object)) return std::nullopt;
+  if (!object || !object->is_object() || has_duplicate_member(*object)) return std::nullopt;
   return object;
 }
 
--- a/src/tokens/json_members.hpp
+++ b/src/tokens/json_members.hpp
@@ -8,7 +8,7 @@
 
 namespace ashbeam::tokens {
 
-bool has_repeated_member(const Json& object);
+bool has_duplicate_member(const Json& object);
 // Nothing where the text is no JSON object, or has a member twice.
 std::optional<Json> parse_object(std::string_view text);
 
--- a/src/tokens/jws.cpp
+++ b/src/tokens/jws.cpp
@@ -36,18 +36,18 @@
 bool read_audiences(const Json& claims, std::vector<std::string>& audiences) {
   const auto given = claims.member("aud");
   if (!given) return true;
-  bool good = true;
+  bool is_valid = true;
   const auto add = [&](const Json& audience) {
     const auto text = audience.text();
-    good = good && text && text->size() <= kMaxNameBytes && audiences.size() < kMaxAudiences;
-    if (good) audiences.push_back(*text);
+    is_valid = is_valid && text && text->size() <= kMaxNameBytes && audiences.size() < kMaxAudiences;
+    if (is_valid) audiences.push_back(*text);
   };
   if (given->is_array()) {
     given->for_each_element(add);
   } else {
     add(*given);
   }
-  return good;
+  return is_valid;
 }
 
 // A binding of a kind that is not known here is not passed over.
@@ -106,12 +106,13 @@
   if (!object) return std::nullopt;
   Claims claims;
   std::optional<Instant> not_before;
-  const bool good = read_name(*object, "iss", claims.issuer) && read_name(*object, "sub", claims.subject) &&
-                    read_name(*object, tenant_claim, claims.tenant) &&
-                    read_time(*object, "exp", claims.expires) && read_time(*object, "nbf", not_before) &&
-                    read_time(*object, "iat", claims.issued) && read_audiences(*object, claims.audiences) &&
-                    read_certificate_binding(*object, claims.certificate_sha256);
-  if (!good) return std::nullopt;
+  const bool is_valid =
+      read_name(*object, "iss", claims.issuer) && read_name(*object, "sub", claims.subject) &&
+      read_name(*object, tenant_claim, claims.tenant) && read_time(*object, "exp", claims.expires_at) &&
+      read_time(*object, "nbf", not_before) && read_time(*object, "iat", claims.issued_at) &&
+      read_audiences(*object, claims.audiences) &&
+      read_certificate_binding(*object, claims.certificate_sha256);
+  if (!is_valid) return std::nullopt;
   claims.not_before = not_before.value_or(Instant());
   return claims;
 }
--- a/src/tokens/jws.hpp
+++ b/src/tokens/jws.hpp
@@ -33,8 +33,8 @@
   std::string subject;
   std::string tenant;
   std::vector<std::string> audiences;
-  std::optional<Instant> expires;
-  std::optional<Instant> issued;
+  std::optional<Instant> expires_at;
+  std::optional<Instant> issued_at;
   Instant not_before;                        // the far past: not given
   std::optional<Digest> certificate_sha256;  // cnf.x5t#S256 (RFC 8705, section 3.1)
 };
--- a/src/tokens/key_set.hpp
+++ b/src/tokens/key_set.hpp
@@ -9,7 +9,7 @@
 
 namespace ashbeam::tokens {
 
-constexpr std::size_t kMaxKeysOfSet = 64;
+constexpr std::size_t kMaxKeysPerSet = 64;
 constexpr std::size_t kMaxKeySetBytes = 262'144;  // 256 KiB
 constexpr std::size_t kMaxKidBytes = 64;
 
@@ -23,13 +23,13 @@
 
 struct KeySet {
   std::vector<KeyEntry> keys;
-  unsigned ignored = 0;  // keys of other kinds: RFC 7517, section 5
+  unsigned ignored_keys = 0;  // keys of other kinds: RFC 7517, section 5
   bool has_private_keys = false;
-  std::string problem;  // why the text is no key set; then `keys` is empty
+  std::string error;  // why the text is no key set; then `keys` is empty
 };
 
 KeySet parse_key_set(std::string_view text);
 // The public parts alone.
-std::string key_set_text(const std::vector<KeyEntry>& keys);
+std::string serialize_key_set(const std::vector<KeyEntry>& keys);
 
 }  // namespace ashbeam::tokens
--- a/src/tokens/keys.cpp
+++ b/src/tokens/keys.cpp
@@ -24,7 +24,7 @@
 
 unsigned char* unsigned_bytes(std::string& bytes) { return reinterpret_cast<unsigned char*>(bytes.data()); }
 
-std::string padded_bytes(const BIGNUM* number) {
+std::string to_padded_bytes(const BIGNUM* number) {
   std::string bytes(kKeyPartBytes, '\0');
   const int size = static_cast<int>(kKeyPartBytes);
   if (BN_bn2binpad(number, unsigned_bytes(bytes), size) != size)
@@ -32,22 +32,22 @@
   return bytes;
 }
 
-OpensslPtr<BIGNUM> big_number(std::string_view bytes) {
+OpensslPtr<BIGNUM> to_bignum(std::string_view bytes) {
   return OpensslPtr<BIGNUM>(BN_bin2bn(unsigned_bytes(bytes), static_cast<int>(bytes.size()), nullptr));
 }
 
-OpensslPtr<BIGNUM> number_param(const EVP_PKEY* key, const char* name) {
+OpensslPtr<BIGNUM> get_bignum_param(const EVP_PKEY* key, const char* name) {
   BIGNUM* number = nullptr;
   if (EVP_PKEY_get_bn_param(key, name, &number) != 1) throw KeyError("no key can be made");
   return OpensslPtr<BIGNUM>(number);
 }
 
-std::shared_ptr<EVP_PKEY> shared_key(EVP_PKEY* key) {
+std::shared_ptr<EVP_PKEY> make_shared_key(EVP_PKEY* key) {
   if (!key) throw KeyError("no key of that kind");
   return {key, EVP_PKEY_free};
 }
 
-OpensslPtr<OSSL_PARAM> p256_params(std::string_view x, std::string_view y, const BIGNUM* private_part) {
+OpensslPtr<OSSL_PARAM> make_p256_params(std::string_view x, std::string_view y, const BIGNUM* private_part) {
   const std::string point = kUncompressedPoint + std::string(x) + std::string(y);
   const OpensslPtr<OSSL_PARAM_BLD> builder(OSSL_PARAM_BLD_new());
   OSSL_PARAM_BLD_push_utf8_string(builder.get(), OSSL_PKEY_PARAM_GROUP_NAME, "P-256", 0);
@@ -56,16 +56,16 @@
   return OpensslPtr<OSSL_PARAM>(OSSL_PARAM_BLD_to_param(builder.get()));
 }
 
-std::shared_ptr<EVP_PKEY> p256_key(std::string_view x, std::string_view y, std::string_view d) {
-  const OpensslPtr<BIGNUM> private_part = d.empty() ? nullptr : big_number(d);
-  const OpensslPtr<OSSL_PARAM> params = p256_params(x, y, private_part.get());
+std::shared_ptr<EVP_PKEY> make_p256_key(std::string_view x, std::string_view y, std::string_view d) {
+  const OpensslPtr<BIGNUM> private_part = d.empty() ? nullptr : to_bignum(d);
+  const OpensslPtr<OSSL_PARAM> params = make_p256_params(x, y, private_part.get());
   const OpensslPtr<EVP_PKEY_CTX> context(EVP_PKEY_CTX_new_from_name(nullptr, "EC", nullptr));
   const int selection = private_part ? EVP_PKEY_KEYPAIR : EVP_PKEY_PUBLIC_KEY;
   EVP_PKEY* raw_key = nullptr;
   if (!params || !context || EVP_PKEY_fromdata_init(context.get()) != 1 ||
       EVP_PKEY_fromdata(context.get(), &raw_key, selection, params.get()) != 1)
     throw KeyError("no point of P-256");
-  auto key = shared_key(raw_key);
+  auto key = make_shared_key(raw_key);
   const OpensslPtr<EVP_PKEY_CTX> check(EVP_PKEY_CTX_new_from_pkey(nullptr, key.get(), nullptr));
   if (!check || EVP_PKEY_public_check(check.get()) != 1) throw KeyError("no point of P-256");
   if (private_part && EVP_PKEY_pairwise_check(check.get()) != 1)
@@ -73,7 +73,7 @@
   return key;
 }
 
-std::string raw_public_part(const EVP_PKEY* ed25519_key) {
+std::string get_raw_public_key(const EVP_PKEY* ed25519_key) {
   std::string bytes(kKeyPartBytes, '\0');
   std::size_t size = bytes.size();
   if (EVP_PKEY_get_raw_public_key(ed25519_key, unsigned_bytes(bytes), &size) != 1)
@@ -81,16 +81,18 @@
   return bytes;
 }
 
-std::shared_ptr<EVP_PKEY> ed25519_key(std::string_view x, std::string_view d) {
+std::shared_ptr<EVP_PKEY> make_ed25519_key(std::string_view x, std::string_view d) {
   if (d.empty())
-    return shared_key(EVP_PKEY_new_raw_public_key(EVP_PKEY_ED25519, nullptr, unsigned_bytes(x), x.size()));
-  auto key = shared_key(EVP_PKEY_new_raw_private_key(EVP_PKEY_ED25519, nullptr, unsigned_bytes(d), d.size()));
-  if (raw_public_part(key.get()) != x) throw KeyError("private and public part do not belong together");
+    return make_shared_key(
+        EVP_PKEY_new_raw_public_key(EVP_PKEY_ED25519, nullptr, unsigned_bytes(x), x.size()));
+  auto key =
+      make_shared_key(EVP_PKEY_new_raw_private_key(EVP_PKEY_ED25519, nullptr, unsigned_bytes(d), d.size()));
+  if (get_raw_public_key(key.get()) != x) throw KeyError("private and public part do not belong together");
   return key;
 }
 
 // RFC 7638, section 3: the required members in lexicographic order, without white space.
-std::string thumbprint_of(Algorithm algorithm, std::string_view x, std::string_view y) {
+std::string compute_thumbprint(Algorithm algorithm, std::string_view x, std::string_view y) {
   std::string members;
   if (algorithm == Algorithm::kEs256) {
     members = R"({"crv":"P-256","kty":"EC","x":")" + encode_base64url(x) + R"(","y":")" +
@@ -109,11 +111,11 @@
 };
 
 // ES256's signature is r and s side by side (RFC 7518, section 3.4); OpenSSL takes and gives DER.
-DerSignature der_signature(std::string_view r_and_s) {
+DerSignature to_der_signature(std::string_view r_and_s) {
   constexpr std::size_t kHalf = kSignatureBytes / 2;
   const OpensslPtr<ECDSA_SIG> parts(ECDSA_SIG_new());
-  ECDSA_SIG_set0(parts.get(), big_number(r_and_s.substr(0, kHalf)).release(),
-                 big_number(r_and_s.substr(kHalf)).release());
+  ECDSA_SIG_set0(parts.get(), to_bignum(r_and_s.substr(0, kHalf)).release(),
+                 to_bignum(r_and_s.substr(kHalf)).release());
   DerSignature der;
   if (i2d_ECDSA_SIG(parts.get(), nullptr) > static_cast<int>(der.bytes.size())) return der;
   unsigned char* output = der.bytes.data();
@@ -121,13 +123,13 @@
   return der;
 }
 
-std::string r_and_s_of(const unsigned char* der, std::size_t size) {
+std::string from_der_signature(const unsigned char* der, std::size_t size) {
   const OpensslPtr<ECDSA_SIG> parts(d2i_ECDSA_SIG(nullptr, &der, static_cast<long>(size)));
-  return padded_bytes(ECDSA_SIG_get0_r(parts.get())) + padded_bytes(ECDSA_SIG_get0_s(parts.get()));
+  return to_padded_bytes(ECDSA_SIG_get0_r(parts.get())) + to_padded_bytes(ECDSA_SIG_get0_s(parts.get()));
 }
 
 // Ed25519 hashes by itself.
-const EVP_MD* message_digest_of(Algorithm algorithm) {
+const EVP_MD* message_digest_for(Algorithm algorithm) {
   return algorithm == Algorithm::kEs256 ? EVP_sha256() : nullptr;
 }
 
@@ -155,44 +157,46 @@
 
 Key Key::from_parts(Algorithm algorithm, std::string_view x, std::string_view y, std::string_view d) {
   const bool is_curve_point = algorithm == Algorithm::kEs256;
-  const bool good_lengths = x.size() == kKeyPartBytes && y.size() == (is_curve_point ? kKeyPartBytes : 0) &&
-                            (d.empty() || d.size() == kKeyPartBytes);
-  if (!good_lengths) throw KeyError("a figure of a key has the wrong length");
+  const bool has_valid_lengths = x.size() == kKeyPartBytes &&
+                                 y.size() == (is_curve_point ? kKeyPartBytes : 0) &&
+                                 (d.empty() || d.size() == kKeyPartBytes);
+  if (!has_valid_lengths) throw KeyError("a figure of a key has the wrong length");
   Key key;
   key.algorithm_ = algorithm;
-  key.key_ = is_curve_point ? p256_key(x, y, d) : ed25519_key(x, d);
+  key.key_ = is_curve_point ? make_p256_key(x, y, d) : make_ed25519_key(x, d);
   key.x_ = x;
   key.y_ = y;
   key.d_ = d;
-  key.thumbprint_ = thumbprint_of(algorithm, x, y);
+  key.thumbprint_ = compute_thumbprint(algorithm, x, y);
   return key;
 }
 
 Key Key::generate(Algorithm algorithm) {
   if (algorithm == Algorithm::kEs256) {
-    const auto key = shared_key(EVP_EC_gen("P-256"));
-    const auto x = number_param(key.get(), OSSL_PKEY_PARAM_EC_PUB_X);
-    const auto y = number_param(key.get(), OSSL_PKEY_PARAM_EC_PUB_Y);
-    const auto d = number_param(key.get(), OSSL_PKEY_PARAM_PRIV_KEY);
-    return from_parts(algorithm, padded_bytes(x.get()), padded_bytes(y.get()), padded_bytes(d.get()));
+    const auto key = make_shared_key(EVP_EC_gen("P-256"));
+    const auto x = get_bignum_param(key.get(), OSSL_PKEY_PARAM_EC_PUB_X);
+    const auto y = get_bignum_param(key.get(), OSSL_PKEY_PARAM_EC_PUB_Y);
+    const auto d = get_bignum_param(key.get(), OSSL_PKEY_PARAM_PRIV_KEY);
+    return from_parts(algorithm, to_padded_bytes(x.get()), to_padded_bytes(y.get()),
+                      to_padded_bytes(d.get()));
   }
-  const auto key = shared_key(EVP_PKEY_Q_keygen(nullptr, nullptr, "ED25519"));
+  const auto key = make_shared_key(EVP_PKEY_Q_keygen(nullptr, nullptr, "ED25519"));
   std::string d(kKeyPartBytes, '\0');
   std::size_t size = d.size();
   if (EVP_PKEY_get_raw_private_key(key.get(), unsigned_bytes(d), &size) != 1)
     throw KeyError("no key can be made");
-  return from_parts(algorithm, raw_public_part(key.get()), {}, d);
+  return from_parts(algorithm, get_raw_public_key(key.get()), {}, d);
 }
 
 bool Key::verify(std::string_view signed_bytes, std::string_view signature) const {
   if (!key_ || signature.size() != kSignatureBytes) return false;
   thread_local const OpensslPtr<EVP_MD_CTX> context(EVP_MD_CTX_new());
   EVP_MD_CTX_reset(context.get());
-  if (EVP_DigestVerifyInit(context.get(), nullptr, message_digest_of(algorithm_), nullptr, key_.get()) != 1)
+  if (EVP_DigestVerifyInit(context.get(), nullptr, message_digest_for(algorithm_), nullptr, key_.get()) != 1)
     return false;
   DerSignature der;
   if (algorithm_ == Algorithm::kEs256) {
-    der = der_signature(signature);
+    der = to_der_signature(signature);
     if (der.size == 0) return false;
     signature = der.view();
   }
@@ -205,10 +209,10 @@
   const OpensslPtr<EVP_MD_CTX> context(EVP_MD_CTX_new());
   std::array<unsigned char, kMaxSignatureBytes> signature{};
   std::size_t size = signature.size();
-  if (EVP_DigestSignInit(context.get(), nullptr, message_digest_of(algorithm_), nullptr, key_.get()) != 1 ||
+  if (EVP_DigestSignInit(context.get(), nullptr, message_digest_for(algorithm_), nullptr, key_.get()) != 1 ||
       EVP_DigestSign(context.get(), signature.data(), &size, unsigned_bytes(bytes), bytes.size()) != 1)
     throw KeyError("signing failed");
-  if (algorithm_ == Algorithm::kEs256) return r_and_s_of(signature.data(), size);
+  if (algorithm_ == Algorithm::kEs256) return from_der_signature(signature.data(), size);
   return {reinterpret_cast<const char*>(signature.data()), size};
 }
 
--- a/src/transport/handshake_scheduler.cpp
+++ b/src/transport/handshake_scheduler.cpp
@@ -24,7 +24,7 @@
 }
 
 std::optional<HandshakeScheduler::Id> HandshakeScheduler::admit() {
-  const calling::HandshakeLimiter::Started started = limiter_.start(loop_.now());
+  const calling::HandshakeLimiter::StartResult started = limiter_.start(loop_.now());
   if (started.evicted != calling::HandshakeLimiter::kNone) {
     const auto evicted = streams_.find(started.evicted);
     if (evicted != streams_.end()) evicted->second->evict();
@@ -39,7 +39,7 @@
   return may;
 }
 
-void HandshakeScheduler::add_cpu_time(Duration cpu_time) { limiter_.record_cpu(cpu_time, loop_.now()); }
+void HandshakeScheduler::add_cpu_time(Duration cpu_time) { limiter_.record_cpu_time(cpu_time, loop_.now()); }
 
 void HandshakeScheduler::finish(Id id) {
   streams_.erase(id);
@@ -48,7 +48,7 @@
 
 void HandshakeScheduler::resume_deferred() {
   for (;;) {
-    const Id id = limiter_.next_waiting(loop_.now());
+    const Id id = limiter_.take_next_waiting(loop_.now());
     if (id == calling::HandshakeLimiter::kNone) break;
     const auto deferred = streams_.find(id);
     if (deferred != streams_.end()) deferred->second->resume_handshake();
@@ -57,8 +57,8 @@
 }
 
 void HandshakeScheduler::schedule_resumption() {
-  if (!limiter_.any_waiting() || resumption_.is_scheduled()) return;
-  resumption_.schedule_after(std::max(kMinDeferral, limiter_.wait(loop_.now())));
+  if (!limiter_.has_waiting() || resumption_.is_scheduled()) return;
+  resumption_.schedule_after(std::max(kMinDeferral, limiter_.wait_time(loop_.now())));
 }
 
 }  // namespace ashbeam
--- a/src/transport/handshake_scheduler.hpp
+++ b/src/transport/handshake_scheduler.hpp
@@ -33,7 +33,7 @@
   bool may_proceed(Id id);
   void add_cpu_time(Duration cpu_time);
   void finish(Id id);
-  std::size_t in_progress() const { return limiter_.in_progress(); }
+  std::size_t in_progress() const { return limiter_.in_progress_count(); }
 
  private:
   void resume_deferred();
--- a/tests/access_config_loader_test.cpp
+++ b/tests/access_config_loader_test.cpp
@@ -43,7 +43,7 @@
                0644);
   }
   void write_key_set(const std::vector<tokens::KeyEntry>& set) const {
-    write_file(folder_.at("keys/ring.json"), tokens::key_set_text(set), 0644);
+    write_file(folder_.at("keys/ring.json"), tokens::serialize_key_set(set), 0644);
   }
   void start_router() {
     before_start_ = [this] {
@@ -59,8 +59,8 @@
   }
   unsigned ask(const TokenSigner& signer) {
     Stream c = connect_client();
-    c.send(get(1500,
-               "Authorization: Bearer " + signer.token("shop", "r", loop_.now(), Duration::s(60)) + "\r\n"));
+    c.send(get(1500, "Authorization: Bearer " + signer.make_token("shop", "r", loop_.now(), Duration::s(60)) +
+                         "\r\n"));
     Stream h = take_attempt(100);
     if (h.fd >= 0 && !h.read_message().empty()) h.send(kOkAnswer);
     return status_of(c.read_message());
@@ -95,7 +95,7 @@
   write_operator_file("");
   write_key_set({signer_.entry()});
   start_router();
-  const std::string good = tokens::key_set_text({signer_.entry()});
+  const std::string good = tokens::serialize_key_set({signer_.entry()});
   struct Row {
     std::string what, text;
     unsigned mode;
--- a/tests/authorized_requests_test.cpp
+++ b/tests/authorized_requests_test.cpp
@@ -23,8 +23,8 @@
   }
   Instant now() const { return loop_.now(); }
   std::string bearer(const std::string& subject, const std::string& more_members = "") const {
-    return "Authorization: Bearer " + signer_.token("shop", subject, now(), Duration::s(60), more_members) +
-           "\r\n";
+    return "Authorization: Bearer " +
+           signer_.make_token("shop", subject, now(), Duration::s(60), more_members) + "\r\n";
   }
   // Sends it, serves it if it reaches an endpoint, and returns the answer; `seen` is what the endpoint got.
   std::string serve(const std::string& request, std::string* seen = nullptr) {
@@ -53,9 +53,9 @@
   begin_with({signer_.entry()});
   const TokenSigner other("k1", tokens::Algorithm::kEdDsa);
   const std::string forged =
-      "Authorization: Bearer " + other.token("shop", "r", now(), Duration::s(60)) + "\r\n";
+      "Authorization: Bearer " + other.make_token("shop", "r", now(), Duration::s(60)) + "\r\n";
   const std::string old = "Authorization: Bearer " +
-                          signer_.token("shop", "r", now() - Duration::s(600), Duration::s(60)) + "\r\n";
+                          signer_.make_token("shop", "r", now() - Duration::s(600), Duration::s(60)) + "\r\n";
   struct Row {
     std::string fields;
     std::string word;
@@ -113,7 +113,7 @@
 
 TEST_F(AuthorizedRequestsTest, AKeyRotatedOrRevokedWhileABodyStillComes) {
   settings_.tenants[0].allowed_classes = {"look", "pay"};
-  settings_.overlap = Duration::s(5);
+  settings_.retiring_key_overlap = Duration::s(5);
   begin_with({signer_.entry()});
   const TokenSigner next("k2", tokens::Algorithm::kEs256);
   for (const bool revoked : {false, true}) {
@@ -143,7 +143,7 @@
   begin_with({signer_.entry()});
   const std::string whole = post("pay", 1900);
   const std::size_t at = whole.find("\r\n") + 2;
-  const std::string token = signer_.token("shop", "r", now(), Duration::s(1));
+  const std::string token = signer_.make_token("shop", "r", now(), Duration::s(1));
   Stream client_stream = connect_client();
   client_stream.send(whole.substr(0, at) + "Authorization: Bearer " + token + "\r\n" + whole.substr(at));
   Stream attempt = take_attempt();
@@ -155,7 +155,7 @@
 }
 
 TEST_F(AuthorizedRequestsTest, WhereProofIsOptionalAnUnprovenAccountIsServed) {
-  settings_.required = false;
+  settings_.requires_authentication = false;
   begin_with({signer_.entry()});
   std::string seen;
   EXPECT_EQ(
--- a/tests/authorizer_test.cpp
+++ b/tests/authorizer_test.cpp
@@ -31,8 +31,8 @@
     identity = {};
     return authorizer.authenticate(credentials, history, now, identity, retry_after);
   }
-  std::string token(const std::string& more_members = "", Duration lifetime = Duration::s(60)) const {
-    return signer.token("shop", "r", now, lifetime, more_members);
+  std::string make_token(const std::string& more_members = "", Duration lifetime = Duration::s(60)) const {
+    return signer.make_token("shop", "r", now, lifetime, more_members);
   }
 };
 
@@ -85,16 +85,16 @@
       {with_header(fixture.signer, es + "}",
                    R"({"aud":"ashbeam","sub":"r","tenant":"else","iat":1700000000,"exp":1700000060})"),
        Refusal::kUnknownTenant},
-      {fixture.token(R"(,"nbf":1700000040)"), Refusal::kNotYetValid},
-      {fixture.token("", Duration::s(86401)), Refusal::kLifetimeTooLong},
-      {fixture.token(R"(,"cnf":{"jkt":"x"})"), Refusal::kMalformed},
-      {fixture.token(R"(,"cnf":{"x5t#S256":")" + tokens::encode_base64url(std::string(32, 'p')) + "\"}"),
+      {fixture.make_token(R"(,"nbf":1700000040)"), Refusal::kNotYetValid},
+      {fixture.make_token("", Duration::s(86401)), Refusal::kLifetimeTooLong},
+      {fixture.make_token(R"(,"cnf":{"jkt":"x"})"), Refusal::kMalformed},
+      {fixture.make_token(R"(,"cnf":{"x5t#S256":")" + tokens::encode_base64url(std::string(32, 'p')) + "\"}"),
        Refusal::kCertificateBinding},
       {"", Refusal::kMalformed},
       {std::string(5000, 'a'), Refusal::kMalformed},
       {"..", Refusal::kMalformed},
-      {fixture.token() + ".x", Refusal::kMalformed},
-      {fixture.token() + "=", Refusal::kMalformed},
+      {fixture.make_token() + ".x", Refusal::kMalformed},
+      {fixture.make_token() + "=", Refusal::kMalformed},
   };
   for (const Row& row : rows) {
     EXPECT_EQ(name_of(fixture.authenticate(row.token)), name_of(row.refusal)) << row.token;
@@ -105,12 +105,12 @@
 TEST(Authorizer, WhateverIsWrongCostsOneVerificationAndNoneForTheSameAgain) {
   AuthorizerFixture fixture;
   for (const std::string& token :
-       {fixture.token(), std::string("x.y.z"), with_header(fixture.signer, R"({"alg":"none"})", "{}"),
+       {fixture.make_token(), std::string("x.y.z"), with_header(fixture.signer, R"({"alg":"none"})", "{}"),
         with_header(fixture.signer, R"({"alg":"ES256","kid":"no"})", "{}")}) {
-    const auto before = fixture.authorizer.verifications();
+    const auto before = fixture.authorizer.verification_count();
     fixture.authenticate(token);
     fixture.authenticate(token);
-    EXPECT_EQ(fixture.authorizer.verifications(), before + 1) << token;
+    EXPECT_EQ(fixture.authorizer.verification_count(), before + 1) << token;
   }
 }
 
@@ -120,8 +120,8 @@
       AuthorizerFixture fixture;
       fixture.settings.leeway = wide ? Duration::s(130) : Duration::s(30);
       fixture.authorizer.update_settings(fixture.settings, fixture.now);
-      const std::string token =
-          fixture.signer.token("shop", "r", fixture.now + Duration::s(ahead ? 120 : -120), Duration::s(60));
+      const std::string token = fixture.signer.make_token(
+          "shop", "r", fixture.now + Duration::s(ahead ? 120 : -120), Duration::s(60));
       const Refusal refusal = fixture.authenticate(token);
       EXPECT_EQ(name_of(refusal), wide ? "none" : ahead ? "early" : "expired");
     }
@@ -130,14 +130,14 @@
 
 TEST(Authorizer, AClockThatIsSetWhileItRuns) {
   AuthorizerFixture fixture;
-  const std::string token = fixture.token();
+  const std::string token = fixture.make_token();
   EXPECT_EQ(fixture.authenticate(token), Refusal::kNone);
-  fixture.authorizer.set_wall_clock_ahead(Duration::s(300));  // the machine stood still for so long
+  fixture.authorizer.set_wall_clock_offset(Duration::s(300));  // the machine stood still for so long
   EXPECT_EQ(fixture.authenticate(token), Refusal::kExpired);
   const std::string fresh =
-      fixture.signer.token("shop", "r", fixture.now + Duration::s(300), Duration::s(60));
+      fixture.signer.make_token("shop", "r", fixture.now + Duration::s(300), Duration::s(60));
   EXPECT_EQ(fixture.authenticate(fresh), Refusal::kNone);
-  fixture.authorizer.set_wall_clock_ahead(Duration());
+  fixture.authorizer.set_wall_clock_offset(Duration());
   EXPECT_EQ(fixture.authenticate(fresh), Refusal::kNotYetValid);
 }
 
@@ -145,11 +145,11 @@
   AuthorizerFixture fixture;
   const TokenSigner twin("k1", tokens::Algorithm::kEs256);
   fixture.authorizer.update_keys(std::vector{fixture.signer.entry(), twin.entry()}, fixture.now);
-  EXPECT_EQ(fixture.authenticate(fixture.token()), Refusal::kNone);
-  EXPECT_EQ(fixture.authenticate(twin.token("shop", "r", fixture.now, Duration::s(60))), Refusal::kNone);
+  EXPECT_EQ(fixture.authenticate(fixture.make_token()), Refusal::kNone);
+  EXPECT_EQ(fixture.authenticate(twin.make_token("shop", "r", fixture.now, Duration::s(60))), Refusal::kNone);
   EXPECT_EQ(
       fixture.authenticate(
-          TokenSigner("k1", tokens::Algorithm::kEs256).token("shop", "r", fixture.now, Duration::s(60))),
+          TokenSigner("k1", tokens::Algorithm::kEs256).make_token("shop", "r", fixture.now, Duration::s(60))),
       Refusal::kSignature);
 }
 
@@ -166,12 +166,12 @@
   theirs.sha256.fill('q');
   elsewhere.organisation = "other";
   const std::string bound =
-      fixture.token(R"(,"cnf":{"x5t#S256":")" + tokens::encode_base64url(std::string(32, 'p')) + "\"}");
+      fixture.make_token(R"(,"cnf":{"x5t#S256":")" + tokens::encode_base64url(std::string(32, 'p')) + "\"}");
   EXPECT_EQ(fixture.authenticate(bound, &mine), Refusal::kNone);
   EXPECT_EQ(fixture.authenticate(bound, &theirs), Refusal::kCertificateBinding);
   EXPECT_EQ(fixture.authenticate(bound), Refusal::kCertificateBinding);
-  EXPECT_EQ(fixture.authenticate(fixture.token(), &elsewhere), Refusal::kTenantMismatch);
-  EXPECT_EQ(fixture.authenticate(fixture.token(), &mine), Refusal::kNone);
+  EXPECT_EQ(fixture.authenticate(fixture.make_token(), &elsewhere), Refusal::kTenantMismatch);
+  EXPECT_EQ(fixture.authenticate(fixture.make_token(), &mine), Refusal::kNone);
 }
 
 TEST(Authorizer, ACertificateAloneProvesAPrincipal) {
@@ -196,12 +196,12 @@
   AuthorizerFixture fixture;
   fixture.settings.tenants[0].subject_limit = {10, 2, 0};
   fixture.authorizer.update_settings(fixture.settings, fixture.now);
-  const std::string token = fixture.token();
-  QuotaHold admission;
+  const std::string token = fixture.make_token();
+  QuotaHold hold;
   Duration retry_after;
   const auto admit = [&](unsigned request_class) {
     EXPECT_EQ(fixture.authenticate(token), Refusal::kNone);
-    return fixture.authorizer.admit(fixture.identity, request_class, fixture.now, admission, retry_after);
+    return fixture.authorizer.admit(fixture.identity, request_class, fixture.now, hold, retry_after);
   };
   EXPECT_EQ(admit(0), Refusal::kNone);
   EXPECT_EQ(admit(0), Refusal::kNone);
@@ -210,11 +210,11 @@
   fixture.authorizer.update_settings(fixture.settings, fixture.now);
   EXPECT_EQ(admit(0), Refusal::kNone);
   EXPECT_EQ(admit(0), Refusal::kRateLimit);
-  fixture.settings.tenants[0].any_class = false;
+  fixture.settings.tenants[0].allows_any_class = false;
   fixture.settings.tenants[0].allowed_classes = {"pay"};
   fixture.authorizer.update_settings(fixture.settings, fixture.now);
   EXPECT_EQ(admit(0), Refusal::kRequestClass);
-  fixture.settings.tenants[0].only_listed = true;
+  fixture.settings.tenants[0].allows_only_listed_subjects = true;
   fixture.authorizer.update_settings(fixture.settings, fixture.now);
   EXPECT_EQ(fixture.authenticate(token), Refusal::kUnknownSubject);
   fixture.settings.tenants[0].name = "renamed";
@@ -227,11 +227,10 @@
   ConnectionHistory unproven;
   unsigned busy = 0;
   unsigned bad = 0;
-  EXPECT_EQ(fixture.authenticate(fixture.token()), Refusal::kNone);
-  QuotaHold admission;
+  EXPECT_EQ(fixture.authenticate(fixture.make_token()), Refusal::kNone);
+  QuotaHold hold;
   Duration retry_after;
-  EXPECT_EQ(fixture.authorizer.admit(fixture.identity, 0, fixture.now, admission, retry_after),
-            Refusal::kNone);
+  EXPECT_EQ(fixture.authorizer.admit(fixture.identity, 0, fixture.now, hold, retry_after), Refusal::kNone);
   const TokenSigner forger("k1", tokens::Algorithm::kEs256);
   for (int i = 0; i < 4000; ++i) {
     fixture.now = fixture.now + Duration::us(50);  // ten times what may be verified
@@ -247,13 +246,13 @@
     ++(refusal == Refusal::kVerificationsBusy ? busy : bad);
     EXPECT_TRUE(refusal != Refusal::kVerificationsBusy || retry_after > Duration());
     if (i % 400 == 399) {
-      fixture.history.authenticated = true;
-      EXPECT_EQ(fixture.authenticate(fixture.token(",\"m\":" + std::to_string(i))), Refusal::kNone)
+      fixture.history.is_authenticated = true;
+      EXPECT_EQ(fixture.authenticate(fixture.make_token(",\"m\":" + std::to_string(i))), Refusal::kNone)
           << "a new token on a proven connection";
     }
     if (i % 1000 == 999) {
       fixture.history = {};
-      EXPECT_EQ(fixture.authenticate(fixture.token(",\"o\":" + std::to_string(i))), Refusal::kNone)
+      EXPECT_EQ(fixture.authenticate(fixture.make_token(",\"o\":" + std::to_string(i))), Refusal::kNone)
           << "and on a new one, by a known name";
     }
   }
@@ -275,23 +274,23 @@
   for (int i = 0; i < 10000; ++i) {
     fixture.now = fixture.now + Duration::us(100);
     const std::string field =
-        "Bearer " + fixture.signer.token("shop", "s" + std::to_string(i), fixture.now, Duration::s(60));
+        "Bearer " + fixture.signer.make_token("shop", "s" + std::to_string(i), fixture.now, Duration::s(60));
     Credentials credentials;
     credentials.authorization = field;
     Identity identity;
-    QuotaHold admission;
+    QuotaHold hold;
     Duration retry_after;
     ASSERT_EQ(authorizer.authenticate(credentials, history, fixture.now, identity, retry_after),
               Refusal::kNone);
     const auto admit_and_release = [&] {
-      if (authorizer.admit(identity, 0, fixture.now, admission, retry_after) != Refusal::kNone) return false;
-      authorizer.release(admission);
+      if (authorizer.admit(identity, 0, fixture.now, hold, retry_after) != Refusal::kNone) return false;
+      authorizer.release(hold);
       return true;
     };
     if (admit_and_release()) ++admitted;
     if (admit_and_release()) ++admitted_again;
   }
-  EXPECT_LE(authorizer.cached_tokens(), 256U);
+  EXPECT_LE(authorizer.cached_token_count(), 256U);
   EXPECT_EQ(admitted_again, 0U);  // each has its one request at most: being evicted gains none
   EXPECT_GT(admitted, 900U);
 }
--- a/tests/calling_helpers.hpp
+++ b/tests/calling_helpers.hpp
@@ -23,8 +23,8 @@
     return entry;
   }
   // `more_members` of the claims, each with its comma before it.
-  std::string token(const std::string& tenant, const std::string& subject, Instant now, Duration lifetime,
-                    const std::string& more_members = "") const {
+  std::string make_token(const std::string& tenant, const std::string& subject, Instant now,
+                         Duration lifetime, const std::string& more_members = "") const {
     const auto unix_s = [](Instant at) {
       return std::to_string(static_cast<long long>(std::floor(static_cast<double>(at.us()) / 1e6)));
     };
@@ -37,7 +37,7 @@
 
 inline calling::CallingSettings shop_settings() {
   calling::CallingSettings settings;
-  settings.required = true;
+  settings.requires_authentication = true;
   settings.audience = "ashbeam";
   settings.request_classes = {"look", "book", "pay"};
   settings.policy_tenants = {"shop"};
--- a/tests/handshake_limiter_test.cpp
+++ b/tests/handshake_limiter_test.cpp
@@ -20,17 +20,17 @@
   EXPECT_TRUE(limiter.may_continue(second.id, at_ms(60)));
   const auto third = limiter.start(at_ms(120));
   EXPECT_EQ(third.evicted, first.id);
-  limiter.record_cpu(Duration::ms(60), at_ms(120));
+  limiter.record_cpu_time(Duration::ms(60), at_ms(120));
   EXPECT_FALSE(limiter.may_continue(second.id, at_ms(121)));
   EXPECT_FALSE(limiter.may_continue(third.id, at_ms(122)));
-  EXPECT_EQ(limiter.next_waiting(at_ms(123)), HandshakeLimiter::kNone);
-  const Instant later = at_ms(124) + limiter.wait(at_ms(124));
+  EXPECT_EQ(limiter.take_next_waiting(at_ms(123)), HandshakeLimiter::kNone);
+  const Instant later = at_ms(124) + limiter.wait_time(at_ms(124));
   EXPECT_EQ(limiter.start(later).id, HandshakeLimiter::kNone);  // those that wait for CPU are not evicted
-  EXPECT_EQ(limiter.next_waiting(later), third.id);
-  EXPECT_EQ(limiter.next_waiting(later), second.id);
+  EXPECT_EQ(limiter.take_next_waiting(later), third.id);
+  EXPECT_EQ(limiter.take_next_waiting(later), second.id);
   limiter.finish(second.id);
   limiter.finish(third.id);
-  EXPECT_EQ(limiter.in_progress(), 0U);
+  EXPECT_EQ(limiter.in_progress_count(), 0U);
 }
 
 }  // namespace
--- a/tests/key_ring_test.cpp
+++ b/tests/key_ring_test.cpp
@@ -57,26 +57,26 @@
   for (int i = 0; i < 5; ++i)
     signers.emplace_back("k" + std::to_string(i % 3), tokens::Algorithm::kEdDsa);  // names shared
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
-    Pcg chance(seed);
-    const Duration overlap = Duration::s(1 + chance.next_below(10));
-    const Duration leeway = Duration::ms(chance.next_below(1500));
+    Pcg random(seed);
+    const Duration overlap = Duration::s(1 + random.next_below(10));
+    const Duration leeway = Duration::ms(random.next_below(1500));
     KeyRing ring({overlap, leeway});
     std::vector<PlainKey> plain(signers.size());
     Instant now = kBegin;
     for (int step = 0; step < 60; ++step) {
-      now = now + Duration::ms(chance.next_below(3000));
+      now = now + Duration::ms(random.next_below(3000));
       std::vector<tokens::KeyEntry> set;
       for (std::size_t i = 0; i < signers.size(); ++i) {
-        const bool listed = chance.next_below(3) > 0;
-        const bool revoked = listed && chance.next_below(60) == 0;
+        const bool listed = random.next_below(3) > 0;
+        const bool revoked = listed && random.next_below(60) == 0;
         if (listed) set.push_back(revoked ? revoked_entry(signers[i]) : signers[i].entry());
         plain[i].history.push_back({now, listed, revoked});
       }
       ring.update(set, now);
       for (int query = 0; query < 10; ++query) {
-        const std::size_t i = chance.next_below(static_cast<std::uint32_t>(signers.size()));
-        const Instant at = now + Duration::ms(chance.next_below(12000));
-        const Instant issued = at - Duration::ms(chance.next_below(12000));
+        const std::size_t i = random.next_below(static_cast<std::uint32_t>(signers.size()));
+        const Instant at = now + Duration::ms(random.next_below(12000));
+        const Instant issued = at - Duration::ms(random.next_below(12000));
         Refusal refusal = Refusal::kKeyRetired;
         ring.try_candidates(signers[i].kid, tokens::Algorithm::kEdDsa, [&](KeyRef key) {
           if (ring.key(key).thumbprint() != signers[i].key.thumbprint()) return false;
--- a/tests/quota_test.cpp
+++ b/tests/quota_test.cpp
@@ -40,22 +40,22 @@
 
 TEST(Rates, AgreeWithTwoPlainBucketsOfTokens) {
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
-    Pcg chance(seed);
-    const double per_s = 0.5 + chance.next_below(50);
-    const double burst = 1 + chance.next_below(9);
-    const double bank_s = chance.next_below(20);
-    const double peak_factor = 1 + chance.next_below(5);
-    const Rate rate = Rate::per_router({per_s, burst, 0}, 1, peak_factor, Duration::s(bank_s));
+    Pcg random(seed);
+    const double per_s = 0.5 + random.next_below(50);
+    const double burst = 1 + random.next_below(9);
+    const double bank_s = random.next_below(20);
+    const double peak_factor = 1 + random.next_below(5);
+    const RouterLimit rate = RouterLimit::share_of({per_s, burst, 0}, 1, peak_factor, Duration::s(bank_s));
     PlainRate plain{per_s, burst, bank_s, peak_factor};
     Bucket bucket;
     const std::int64_t begin_ns = nanoseconds_of(kBegin);
     std::int64_t now_ns = begin_ns;
-    bucket.start(now_ns, Bucket::kNever, Bucket::kNever);
+    bucket.reset(now_ns, Bucket::kUnset, Bucket::kUnset);
     std::uint64_t taken = 0;
     std::uint64_t at_the_edge = 0;
     for (int i = 0; i < 3000; ++i) {
-      const double gap_s = chance.next_below(20) == 0 ? bank_s : 1.5 / per_s / peak_factor;
-      now_ns += static_cast<std::int64_t>(chance.next_double() * gap_s * 2e9);
+      const double gap_s = random.next_below(20) == 0 ? bank_s : 1.5 / per_s / peak_factor;
+      now_ns += static_cast<std::int64_t>(random.next_double() * gap_s * 2e9);
       const double elapsed_s = static_cast<double>(now_ns - begin_ns) / 1e9;
       const bool fits = bucket.wait_ns(rate, now_ns) == 0;
       PlainRate tried = plain;
@@ -68,7 +68,7 @@
         break;
       }
       if (!fits) continue;
-      bucket.take(rate, now_ns);
+      bucket.consume(rate, now_ns);
       plain = tried;
       ++taken;
     }
@@ -78,20 +78,20 @@
 }
 
 TEST(Rates, NeverMoreThanTheStatedBoundInAnySpan) {
-  Pcg chance(5);
+  Pcg random(5);
   const double per_s = 20;
   const double burst = 5;
   const double bank_s = 3;
-  const Rate rate = Rate::per_router({per_s, burst, 0}, 1, 4, Duration::s(bank_s));
+  const RouterLimit rate = RouterLimit::share_of({per_s, burst, 0}, 1, 4, Duration::s(bank_s));
   Bucket bucket;
   std::int64_t now_ns = nanoseconds_of(kBegin);
-  bucket.start(now_ns, Bucket::kNever, Bucket::kNever);
+  bucket.reset(now_ns, Bucket::kUnset, Bucket::kUnset);
   std::deque<double> taken;  // at which seconds
   for (int i = 0; i < 40000; ++i) {
-    now_ns += static_cast<std::int64_t>(chance.next_below(500) == 0 ? chance.next_double() * 5e9
-                                                                    : chance.next_double() * 2e7);
+    now_ns += static_cast<std::int64_t>(random.next_below(500) == 0 ? random.next_double() * 5e9
+                                                                    : random.next_double() * 2e7);
     if (bucket.wait_ns(rate, now_ns) > 0) continue;
-    bucket.take(rate, now_ns);
+    bucket.consume(rate, now_ns);
     taken.push_back(static_cast<double>(now_ns) / 1e9);
   }
   for (std::size_t i = 0; i < taken.size(); i += 7) {
@@ -105,25 +105,25 @@
 }
 
 TEST(Rates, WhoWaitsForRetryAfterIsTakenWhereNobodyElseCame) {
-  const Rate rate = Rate::per_router({10, 3, 0}, 1, 4, Duration::s(5));
+  const RouterLimit rate = RouterLimit::share_of({10, 3, 0}, 1, 4, Duration::s(5));
   Bucket bucket;
   std::int64_t now_ns = nanoseconds_of(kBegin);
-  bucket.start(now_ns, Bucket::kNever, Bucket::kNever);
+  bucket.reset(now_ns, Bucket::kUnset, Bucket::kUnset);
   std::multiset<std::int64_t> retries;  // at which nanoseconds, as promised
   unsigned rejected = 0;
   unsigned taken = 0;
   const auto send = [&] {
     if (bucket.wait_ns(rate, now_ns) == 0) {
-      bucket.take(rate, now_ns);
+      bucket.consume(rate, now_ns);
     } else {
-      retries.insert(now_ns + bucket.promise_ns(rate, now_ns));
+      retries.insert(now_ns + bucket.assign_retry_slot_ns(rate, now_ns));
       ++rejected;
     }
   };
   for (int i = 0; i < 200; ++i) send();
   for (const std::int64_t when_ns : retries) {
     if (bucket.wait_ns(rate, when_ns) > 0) continue;
-    bucket.take(rate, when_ns);
+    bucket.consume(rate, when_ns);
     ++taken;
   }
   // 50 promises reach the bank's end; the others share what was given out already.
@@ -134,20 +134,21 @@
   for (int i = 0; i < 40; ++i) send();
   for (const std::int64_t when_ns : retries) {
     ASSERT_EQ(bucket.wait_ns(rate, when_ns), 0);  // fewer than the bank holds: each one
-    bucket.take(rate, when_ns);
+    bucket.consume(rate, when_ns);
   }
 }
 
 TEST(Rates, ARoutersPartOfALimit) {
-  const Rate tenth = Rate::per_router({100, 50, 20}, 10, 4, Duration::s(10));
+  const RouterLimit tenth = RouterLimit::share_of({100, 50, 20}, 10, 4, Duration::s(10));
   EXPECT_EQ(tenth.interval_ns, 100'000'000);
   EXPECT_EQ(tenth.peak_interval_ns, 25'000'000);
   EXPECT_EQ(tenth.tolerance_ns, 400'000'000);
   EXPECT_EQ(tenth.max_in_flight, 2U);
-  const Rate smallest = Rate::per_router({1, 1, 1}, 1000, 4, Duration::s(10));  // at least one whole request
+  const RouterLimit smallest =
+      RouterLimit::share_of({1, 1, 1}, 1000, 4, Duration::s(10));  // at least one whole request
   EXPECT_EQ(smallest.tolerance_ns, 0);
   EXPECT_EQ(smallest.max_in_flight, 1U);
-  EXPECT_EQ(Rate::per_router({}, 10, 4, Duration::s(10)).interval_ns, 0);
+  EXPECT_EQ(RouterLimit::share_of({}, 10, 4, Duration::s(10)).interval_ns, 0);
 }
 
 }  // namespace
--- a/tests/records_test.cpp
+++ b/tests/records_test.cpp
@@ -155,9 +155,9 @@
       "dir/o.cue", nullptr);
   ASSERT_TRUE(o.calling && !o.tls);
   EXPECT_EQ(o.calling->key_folder, "dir/k");
-  EXPECT_TRUE(o.calling->settings.required);
+  EXPECT_TRUE(o.calling->settings.requires_authentication);
   EXPECT_EQ(o.calling->settings.tenants[0].subject_limit, (calling::Limit{5, 2, 0}));
-  EXPECT_EQ(o.calling->settings.tenants[0].subjects[0].limit->in_flight, 3U);
+  EXPECT_EQ(o.calling->settings.tenants[0].subjects[0].limit->max_in_flight, 3U);
   EXPECT_EQ(operator_file_problems(""), "");
 }
 
--- a/tests/stored_keys_test.cpp
+++ b/tests/stored_keys_test.cpp
@@ -75,7 +75,7 @@
     EXPECT_EQ(entry.revoked, expected[i].revoked) << entry.kid;
     EXPECT_FALSE(entry.key.is_private()) << entry.kid;
   }
-  EXPECT_EQ(tokens::key_set_text(folder.keys), read_file(kFolder + "/ring.json", kMaxFileBytes));
+  EXPECT_EQ(tokens::serialize_key_set(folder.keys), read_file(kFolder + "/ring.json", kMaxFileBytes));
 }
 
 TEST(StoredKeys, TokensOfAnEarlierVersionVerify) {
--- a/tests/subject_table_test.cpp
+++ b/tests/subject_table_test.cpp
@@ -19,20 +19,20 @@
 std::uint64_t hash_of(std::uint64_t subject) { return subject * 0x9e3779b97f4a7c15ULL; }
 
 TEST(SubjectTable, BeingEvictedNeverGainsARequest) {
-  Pcg chance(11);
-  const Rate rate = Rate::per_router({0.2, 2, 0}, 1, 1, Duration());
+  Pcg random(11);
+  const RouterLimit rate = RouterLimit::share_of({0.2, 2, 0}, 1, 1, Duration());
   SubjectTable table(64);
   std::map<std::uint64_t, Bucket> plain;  // each subject's own, never evicted
   Instant now = kBegin;
   unsigned more = 0;
   unsigned fewer = 0;
   for (int i = 0; i < 40000; ++i) {
-    now = now + Duration::ms(chance.next_below(8));
-    const std::uint64_t hash = hash_of(chance.next_below(400) + 1);
+    now = now + Duration::ms(random.next_below(8));
+    const std::uint64_t hash = hash_of(random.next_below(400) + 1);
     const std::int64_t now_ns = nanoseconds_of(now);
     const auto [entry, is_new] = plain.try_emplace(hash);
     Bucket& own = entry->second;
-    if (is_new) own.start(now_ns, Bucket::kNever, Bucket::kNever);
+    if (is_new) own.reset(now_ns, Bucket::kUnset, Bucket::kUnset);
     const std::uint32_t slot = table.find_or_insert(hash, now);
     ASSERT_NE(slot, SubjectTable::kNone);
     Bucket& shared = table.bucket(slot);
@@ -41,12 +41,12 @@
     if (admitted && !expected) ++more;
     if (!admitted && expected) ++fewer;
     if (!admitted) continue;
-    shared.take(rate, now_ns);
-    own.take(rate, now_ns);
+    shared.consume(rate, now_ns);
+    own.consume(rate, now_ns);
   }
   EXPECT_EQ(more, 0U);
   EXPECT_GT(fewer, 0U);  // it errs toward the limit, and that happens
-  EXPECT_GT(table.evicted(), 1000U);
+  EXPECT_GT(table.eviction_count(), 1000U);
 }
 
 TEST(SubjectTable, SubjectsWithRequestsInFlightAreNotEvicted) {
--- a/tests/token_cache_test.cpp
+++ b/tests/token_cache_test.cpp
@@ -13,7 +13,7 @@
 VerifiedToken token_numbered(unsigned char number, Duration lifetime) {
   VerifiedToken token;
   token.digest.fill(number);
-  token.expires = kBegin + lifetime;
+  token.expires_at = kBegin + lifetime;
   return token;
 }
 
--- a/tests/tokens_test.cpp
+++ b/tests/tokens_test.cpp
@@ -9,10 +9,10 @@
 namespace {
 
 TEST(Base64url, EachByteStringHasOneEncoding) {
-  Pcg chance(3);
+  Pcg random(3);
   for (int i = 0; i < 300; ++i) {
     std::string bytes;
-    for (unsigned n = chance.next_below(40); n > 0; --n) bytes += static_cast<char>(chance.next_below(256));
+    for (unsigned n = random.next_below(40); n > 0; --n) bytes += static_cast<char>(random.next_below(256));
     EXPECT_EQ(tokens::decode_base64url(tokens::encode_base64url(bytes)), bytes);
   }
   for (const char* bad : {"a", "ab=", "a+b/", "ab c", "QQ==", "QR", "AAB"})
@@ -37,8 +37,8 @@
     entry.active_from_unix_s = 5;
     entry.retired_at_unix_s = 9;
     entry.revoked = true;
-    const tokens::KeySet read = tokens::parse_key_set(tokens::key_set_text({entry}));
-    ASSERT_EQ(read.keys.size(), 1U) << read.problem;
+    const tokens::KeySet read = tokens::parse_key_set(tokens::serialize_key_set({entry}));
+    ASSERT_EQ(read.keys.size(), 1U) << read.error;
     EXPECT_TRUE(read.keys[0].key.verify("hello", signature));
     EXPECT_EQ(read.keys[0].key.thumbprint(), key.thumbprint());
     EXPECT_TRUE(read.keys[0].revoked && read.keys[0].active_from_unix_s == 5 &&
@@ -51,7 +51,7 @@
       "{" + TokenSigner("k", tokens::Algorithm::kEs256).key.jwk_members(false) + ",\"kid\":\"a\"}";
   EXPECT_EQ(tokens::parse_key_set("{\"keys\":[" + good +
                                   R"(,{"kty":"oct","k":"AAAA","kid":"s"},{"kty":"RSA","kid":"r"}]})")
-                .ignored,
+                .ignored_keys,
             2U);
   std::string off_curve = good;  // a point that is not on the curve
   const std::size_t x = off_curve.find("\"x\":\"") + 5;
@@ -63,7 +63,7 @@
         std::string(R"({"keys":[{"kty":"OKP","crv":"Ed25519","x":"AA","kid":"a"}]})"),
         "{\"keys\":[" + encryption + "]}", std::string(300'000, ' ')}) {
     const tokens::KeySet set = tokens::parse_key_set(text);
-    EXPECT_FALSE(set.problem.empty()) << text.substr(0, 50);
+    EXPECT_FALSE(set.error.empty()) << text.substr(0, 50);
     EXPECT_TRUE(set.keys.empty());
   }
 }
