--- a/src/calling/authorizer.cpp
+++ b/src/calling/authorizer.cpp
@@ -30,6 +30,7 @@
   return {settings.verifications_per_s, std::max(1.0, settings.verifications_per_s / 10)};
 }
 
+// Returns whether the refusal applies to each later use of the same token.
 bool is_permanent(Refusal refusal) {
   return refusal == Refusal::kKeyRevoked || refusal == Refusal::kKeyRetired || refusal == Refusal::kExpired;
 }
@@ -73,7 +74,7 @@
   const auto text = bearer_token(credentials.authorization);
   Refusal refusal = Refusal::kNone;
   if (credentials.is_ambiguous) {
-    refusal = Refusal::kMalformed;  // an endpoint might read the other value
+    refusal = Refusal::kMalformed;  // an endpoint might use the other value
   } else if (text) {
     refusal = authenticate_token(*text, credentials, history, now, identity, retry_after);
   } else if (credentials.certificate) {
@@ -127,7 +128,8 @@
   identity.subject_hash = token->subject_hash;
   identity.principal = token->principal;
   subjects_.prefetch(token->subject_hash);
-  // One tenant's certificate does not carry another's token.
+  // A token must not be sent over a connection whose certificate belongs to another tenant. A token that is
+  // bound to the certificate has been checked above.
   if (credentials.certificate && !token->certificate_sha256) {
     const std::uint32_t tenant = directory_->find_by_organisation(credentials.certificate->organisation);
     if (tenant != TenantDirectory::kNone && tenant != identity.tenant) return Refusal::kTenantMismatch;
@@ -135,13 +137,13 @@
   return Refusal::kNone;
 }
 
-// kNone: `token` points to its entry in the cache.
+// On Refusal::kNone, `token` points to the entry in the cache.
 Refusal Authorizer::verify_new_token(std::string_view text, const tokens::Digest& digest,
                                      const ConnectionHistory& history, Instant now, VerifiedToken*& token,
                                      Duration& retry_after) {
   const Refusal known = refused_tokens_.find(digest, key_ring_.epoch(), now);
   if (known != Refusal::kNone) return known;
-  // A verification costs us more than the token costs its sender.
+  // Verifying a token costs the router more than sending it costs the client, so verifications are limited.
   if (!try_spend_verification(text, history, now, retry_after)) return Refusal::kVerificationsBusy;
   VerifiedToken new_token;
   const Refusal refusal = verifier_.verify(text, settings_, key_ring_, to_wall_clock(now), new_token);
@@ -167,7 +169,8 @@
   return false;
 }
 
-// Whether a token that is not verified yet names a subject that was admitted lately, and may be tried for it.
+// Returns whether a token that is not verified yet claims a recently admitted subject whose verification
+// budget is not exhausted. Spends one verification of that budget if so.
 bool Authorizer::try_spend_known_subject_verification(std::string_view text, Instant now) {
   const auto jws = tokens::parse_jws(text);
   const auto claims = jws ? tokens::parse_claims(jws->payload, settings_.tenant_claim) : std::nullopt;
@@ -217,8 +220,9 @@
   if (subject_slot == SubjectTable::kNone ||
       is_in_flight_limit_reached(subjects_.in_flight(subject_slot), rule.limit) ||
       is_in_flight_limit_reached(usage.in_flight, tenant.limit)) {
-    // No slot in the table: all subjects that share its place have requests in flight.
-    retry_after = settings_.max_request_duration;  // whatever is in flight now has ended by then
+    // Without a slot, all subjects of the same set in the table have requests in flight. By the end of
+    // `max_request_duration`, each request that is now in flight has ended.
+    retry_after = settings_.max_request_duration;
     return record_refusal(Refusal::kInFlightLimit);
   }
 
@@ -227,8 +231,8 @@
   const std::int64_t subject_wait_ns = subject_bucket.wait_ns(rule.limit, now_ns);
   const std::int64_t tenant_wait_ns = usage.bucket.wait_ns(tenant.limit, now_ns);
   if (subject_wait_ns > 0 || tenant_wait_ns > 0) {
-    // A subject that is over its own limit takes no slot of the tenant's: that would let its others wait
-    // longer.
+    // A subject over its own limit is not assigned a retry slot of its tenant: that would make the tenant's
+    // other subjects wait longer.
     const std::int64_t retry_slot_wait_ns = subject_wait_ns > 0
                                                 ? subject_bucket.assign_retry_slot_ns(rule.limit, now_ns)
                                                 : usage.bucket.assign_retry_slot_ns(tenant.limit, now_ns);
--- a/src/calling/budget.hpp
+++ b/src/calling/budget.hpp
@@ -1,5 +1,6 @@
-// Budgets of work over time, in two forms: one for a resource, and a table of small ones by name. The time is
-// an argument and never goes back.
+// Rate limiters for the router's own work, such as signature verifications and the CPU time of TLS
+// handshakes: Budget limits one resource, and HashedBudgets limits each of many names. Callers pass the
+// current time, which must not decrease.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -9,25 +10,26 @@
 
 namespace ashbeam::calling {
 
-// So many units of something a second, with a burst. The unit is the owner's: a verification, a second of
-// CPU.
+// Allows a number of units per second, with a burst. The owner chooses the unit: for example one
+// verification, or one second of CPU time.
 class Budget {
  public:
   Budget(double units_per_s, double burst_units)
       : ns_per_unit_(kNanosecondsPerSecond / units_per_s),
         burst_ns_(burst_units * kNanosecondsPerSecond / units_per_s) {}
 
+  // Spends `units` and returns true if the budget is not exhausted; otherwise spends nothing.
   bool try_spend(Instant now, double units = 1) {
     if (wait_time(now) > Duration()) return false;
     spend(now, units);
     return true;
   }
-  // Spends what has been used already, whether it was there or not.
+  // Records units that have been used already, even if they exceed the budget.
   void spend(Instant now, double units) {
     const double now_ns = nanoseconds(now);
     due_ns_ = (due_ns_ > now_ns ? due_ns_ : now_ns) + units * ns_per_unit_;
   }
-  // How long until something may be spent; none: now.
+  // Returns the time until units may be spent again; zero if they may be spent now.
   Duration wait_time(Instant now) const {
     const double over_ns = due_ns_ - burst_ns_ - nanoseconds(now);
     return over_ns > 0 ? Duration::us(static_cast<std::int64_t>(over_ns / 1e3) + 1) : Duration();
@@ -39,16 +41,19 @@
 
   double ns_per_unit_;
   double burst_ns_;
-  double due_ns_ = 0;
+  double due_ns_ = 0;  // when all units spent so far have been earned back
 };
 
-// A few uses a second for each of many names, in a fixed table: names that fall on one slot share it.
+// Allows a few uses per second for each of many names. The table has a fixed size; names that map to the same
+// slot share its budget.
 class HashedBudgets {
  public:
   HashedBudgets(std::size_t slots, double uses_per_s, double burst_uses)
       : interval_(Duration::us(static_cast<std::int64_t>(1e6 / uses_per_s))),
         tolerance_(interval_ * (burst_uses - 1)), due_(slots) {}
 
+  // Records one use of the name with this hash and returns true if its budget allows the use; otherwise
+  // records nothing.
   bool try_use(std::uint64_t hash, Instant now) {
     Instant& due = due_[hash % due_.size()];
     if (due > now + tolerance_) return false;
@@ -57,8 +62,8 @@
   }
 
  private:
-  Duration interval_;
-  Duration tolerance_;
+  Duration interval_;   // between uses at the sustained rate
+  Duration tolerance_;  // by which a use of a burst may come early
   std::vector<Instant> due_;
 };
 
--- a/src/calling/handshake_limiter.hpp
+++ b/src/calling/handshake_limiter.hpp
@@ -1,9 +1,11 @@
-// How much of the machine TLS handshakes may take: so many in progress, and so much CPU a second. A handshake
-// costs the server more than the client, so that a flood of them would otherwise take all of it.
+// Limits how much of the machine TLS handshakes may use: the number of handshakes in progress and the CPU
+// time per second. A handshake costs the server more than the client, so a flood of handshakes could
+// otherwise use all of the CPU.
 //
-// Order of calls, for a handshake: start(), may_continue() before each step, record_cpu_time() after it,
-// finish() at its end, however it ends. Where may_continue() says no, take_next_waiting() names it some time
-// later. No I/O; the time is an argument.
+// Order of calls for a handshake: start(), then may_continue() before and record_cpu_time() after each
+// computing step, and finish() when the handshake ends, whether it succeeds or not. A handshake for which
+// may_continue() returns false waits for CPU time, until take_next_waiting() returns its id. The limiter
+// performs no I/O; callers pass the current time.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -19,27 +21,31 @@
   using Id = std::uint64_t;
   static constexpr Id kNone = 0;
 
-  // `cpu_s_per_s`: seconds of CPU a second, of which a tenth may be used at once. A handshake whose client
-  // has been silent for longer than `min_silence_before_eviction` may be evicted.
+  // `cpu_s_per_s` is the CPU time in seconds that handshakes may use per second; a tenth of it may be used in
+  // one burst. A handshake may be evicted if its client has sent nothing for longer than
+  // `min_silence_before_eviction`.
   HandshakeLimiter(std::size_t max_in_progress, double cpu_s_per_s, Duration min_silence_before_eviction);
+  // Replaces the limits. Handshakes in progress are retained, also those over a lower limit.
   void set_limits(std::size_t max_in_progress, double cpu_s_per_s);
 
   struct StartResult {
-    Id id = kNone;       // kNone: no capacity for this one
-    Id evicted = kNone;  // this one is to be ended
+    Id id = kNone;       // the new handshake; kNone if it may not start
+    Id evicted = kNone;  // a handshake that the caller must abort to make room for the new one
   };
-  // At the bound the handshake that has waited longest for its client's bytes is evicted, if it may be: an
-  // honest client answers within a round trip or two.
+  // Registers a new handshake. At the limit, the oldest handshake whose client has been silent for longer
+  // than the threshold is evicted: a client that follows the protocol answers within one or two round trips.
   StartResult start(Instant now);
   void finish(Id id);
-  // Whether the next step may be computed now.
+  // Returns whether the next step of the handshake may be computed now. If not, the handshake is queued for
+  // CPU time.
   bool may_continue(Id id, Instant now);
   void record_cpu_time(Duration cpu, Instant now) { cpu_.spend(now, cpu.s()); }
 
-  // How long until a waiting handshake may continue; none: now.
+  // Returns the time until a waiting handshake may continue; zero if one may continue now.
   Duration wait_time(Instant now) const { return cpu_.wait_time(now); }
-  // The one that began to wait last goes first: where more wait than can be served, those that are served are
-  // still in time, instead of all of them being too late. kNone: none waits, or there is no CPU for it.
+  // Removes and returns the handshake that started to wait last, or kNone if none waits or no CPU time is
+  // available. The last one goes first because under overload those that are served then still finish before
+  // their timeout, whereas in the order of arrival all of them would finish too late.
   Id take_next_waiting(Instant now);
   bool has_waiting() const { return !waiting_.empty(); }
   std::size_t in_progress_count() const { return in_progress_.size(); }
@@ -53,10 +59,10 @@
   static Budget cpu_budget(double cpu_s_per_s) { return {cpu_s_per_s, cpu_s_per_s / 10}; }
 
   std::size_t max_in_progress_;
-  Budget cpu_;  // seconds of CPU
+  Budget cpu_;  // in seconds of CPU time
   Duration min_silence_before_eviction_;
-  std::vector<Handshake> in_progress_;  // in the order of their start
-  std::vector<Id> waiting_;             // for CPU, in the order that they began to
+  std::vector<Handshake> in_progress_;  // in the order in which they started
+  std::vector<Id> waiting_;             // for CPU time, in the order in which they started to wait
   Id last_id_ = kNone;
 };
 
--- a/src/calling/key_ring.cpp
+++ b/src/calling/key_ring.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-Instant at_unix_s(double unix_s, Instant if_not_given) {
-  return unix_s > 0 ? Instant::at_us(static_cast<std::int64_t>(unix_s * 1e6)) : if_not_given;
+Instant at_unix_s(double unix_s, Instant default_value) {
+  return unix_s > 0 ? Instant::at_us(static_cast<std::int64_t>(unix_s * 1e6)) : default_value;
 }
 
 }  // namespace
@@ -18,7 +18,8 @@
   return held.in_use && held.generation == key.generation ? &held : nullptr;
 }
 
-// A key is its name and its public bytes: other bytes under the same name are another key.
+// A key is identified by its kid and its public key together. Another public key with the same kid is another
+// key.
 KeyRing::HeldKey* KeyRing::find(const tokens::KeyEntry& entry) {
   const auto found = std::find_if(keys_.begin(), keys_.end(), [&](const HeldKey& held) {
     return held.in_use && held.kid == entry.kid && held.key.thumbprint() == entry.key.thumbprint();
@@ -49,6 +50,7 @@
   return removed;
 }
 
+// Returns a free slot, or else the slot of the key that retired earliest; null if no key may be replaced.
 KeyRing::HeldKey* KeyRing::find_slot_for_new_key(Instant now) {
   for (HeldKey& held : keys_) {
     if (!held.in_use) return &held;
@@ -71,7 +73,7 @@
   new_key.active_from = at_unix_s(entry.active_from_unix_s, Instant());
   new_key.in_use = true;
   new_key.generation = ++last_generation_;
-  // The public bytes may have been revoked under another name.
+  // The same public key may have been revoked under another kid.
   if (const HeldKey* const revoked = find_revoked(entry.key.thumbprint())) {
     new_key.revoked = true;
     new_key.revoked_at = revoked->revoked_at;
@@ -104,10 +106,10 @@
   }
   held->retired_at = retired_at;
   held->listed = true;
-  held->last_listed = updates_;
+  held->last_listed = update_count_;
 }
 
-// Revoking is of the public bytes, whatever name they are listed under.
+// A revocation applies to the public key, under each kid that it is listed with.
 unsigned KeyRing::revoke_same_public_keys() {
   unsigned revoked = 0;
   for (const HeldKey& source : keys_) {
@@ -125,7 +127,7 @@
 unsigned KeyRing::retire_unlisted_keys(Instant now) {
   unsigned retiring = 0;
   for (HeldKey& held : keys_) {
-    if (!held.in_use || !held.listed || held.last_listed == updates_) continue;
+    if (!held.in_use || !held.listed || held.last_listed == update_count_) continue;
     held.listed = false;
     held.retired_at = std::min(held.retired_at, now);
     ++retiring;
@@ -134,7 +136,7 @@
 }
 
 KeyRing::UpdateSummary KeyRing::update(std::span<const tokens::KeyEntry> listed, Instant now) {
-  ++updates_;
+  ++update_count_;
   UpdateSummary summary;
   summary.removed = remove_expired_keys(now);
   for (const tokens::KeyEntry& entry : listed) apply_entry(entry, now, summary);
@@ -161,9 +163,9 @@
   const Instant earliest = held->active_from - settings_.leeway;
   if (now < earliest || issued_at < earliest) return Refusal::kNotYetValid;
   if (held->retired_at == Instant::never()) return Refusal::kNone;
-  const bool signed_too_late = issued_at > held->retired_at + settings_.leeway;
-  const bool shown_too_late = now > held->retired_at + settings_.retiring_key_overlap;
-  return signed_too_late || shown_too_late ? Refusal::kKeyRetired : Refusal::kNone;
+  const bool issued_after_retirement = issued_at > held->retired_at + settings_.leeway;
+  const bool overlap_has_ended = now > held->retired_at + settings_.retiring_key_overlap;
+  return issued_after_retirement || overlap_has_ended ? Refusal::kKeyRetired : Refusal::kNone;
 }
 
 }  // namespace ashbeam::calling
--- a/src/calling/key_ring.hpp
+++ b/src/calling/key_ring.hpp
@@ -1,9 +1,12 @@
-// The keys that tokens are verified with, each of them coming, current, retiring, retired or revoked.
+// The public keys that tokens are verified with, and their states: a key is not yet active (listed as
+// "coming"), current, retiring, retired or revoked.
 //
-// Job: take whole key sets, and say whether a key counts for a token. A key that a set no longer names
-// retires from then on; a key that has been revoked stays revoked, whatever later sets say. No I/O; the time
-// is an argument, of the clock that tokens are dated by. Errors: a Refusal. Killed, it loses when unnamed
-// keys began to retire: they are then unknown.
+// update() applies complete key sets, and check() returns whether a key is valid for a token. A key
+// retires at the time that its entry gives, or when a set no longer lists it. A retiring key still verifies
+// tokens for the overlap period, if they were issued before it retired. A revoked key stays revoked, whatever
+// later sets say. The key ring performs no I/O. Callers pass the current time of the clock that tokens are
+// dated by, the wall clock. Errors are reported as a Refusal. State is kept in memory alone: after a restart,
+// keys that are no longer listed are unknown, even if their overlap period has not ended.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -18,7 +21,8 @@
 
 namespace ashbeam::calling {
 
-// A key of the ring. Slots are reused; `generation` tells the keys of a slot apart.
+// Refers to a key of the ring. Slots are reused for later keys; `generation` is unique to each key, so that a
+// reference to a removed key is never taken for its successor.
 struct KeyRef {
   std::uint32_t slot = UINT32_MAX;
   std::uint32_t generation = 0;
@@ -28,31 +32,38 @@
 class KeyRing {
  public:
   struct Settings {
-    Duration retiring_key_overlap;                         // in which a retiring key still verifies
-    Duration leeway;                                       // between the issuer's clock and ours, either way
-    Duration revoked_retention = Duration::s(7 * 86'400);  // longer than any token lives
+    // How long a key verifies tokens after it has retired, if they were issued before.
+    Duration retiring_key_overlap;
+    // Maximum assumed difference between the issuer's clock and this machine's, in either direction.
+    Duration leeway;
+    // How long a revoked key is kept after its revocation when it is no longer listed. Longer than the
+    // lifetime of any token.
+    Duration revoked_retention = Duration::s(7 * 86'400);
   };
-  // How many keys an update has changed.
+  // The number of keys that an update has changed, by the kind of change.
   struct UpdateSummary {
     unsigned added = 0;
-    unsigned restored = 0;  // listed again
-    unsigned retiring = 0;  // no longer listed, or listed with other times
+    unsigned restored = 0;  // listed again after they had been unlisted
+    unsigned retiring = 0;  // no longer listed, or listed with other activation or retirement times
     unsigned revoked = 0;
-    unsigned removed = 0;
+    unsigned removed = 0;  // deleted after their overlap or retention period
     bool has_changes() const { return added + restored + retiring + revoked + removed > 0; }
   };
-  static constexpr std::size_t kMaxKeys = 256;         // whatever their state
-  static constexpr unsigned kMaxCandidatesPerKid = 4;  // so that no kid costs verifications without bound
+  // Maximum number of keys in the ring, of all states together.
+  static constexpr std::size_t kMaxKeys = 256;
+  // Maximum number of keys of one kid that are tried for a token. It bounds the verifications for each token.
+  static constexpr unsigned kMaxCandidatesPerKid = 4;
 
   explicit KeyRing(const Settings& settings) : settings_(settings) {}
   void set_settings(const Settings& settings) { settings_ = settings; }
 
-  // Takes the set as it stands from `now` on. Over the bound the key that retired first is dropped for a new
-  // one; where none has retired, the new one is not taken. A revoked key is never dropped.
+  // Replaces the set of listed keys, with effect from `now` on. If the ring is full, a new key replaces the
+  // key that retired earliest; if no key has retired, the new key is not added. Revoked keys are never
+  // replaced.
   UpdateSummary update(std::span<const tokens::KeyEntry> listed, Instant now);
 
-  // Calls `try_key` with each key of that name and algorithm, listed ones first, until it returns true; at
-  // most kMaxCandidatesPerKid. False where there is no such key.
+  // Calls `try_key` with each key that has this kid and algorithm, listed keys first, until it returns true
+  // or kMaxCandidatesPerKid keys have been tried. Returns false if there is no such key.
   template <class TryKey>
   bool try_candidates(std::string_view kid, tokens::Algorithm algorithm, TryKey&& try_key) const {
     unsigned tried_count = 0;
@@ -67,13 +78,16 @@
     }
     return tried_count > 0;
   }
-  bool has_kid(std::string_view kid) const;  // with whatever algorithm
+  // Returns whether a key of any algorithm has this kid.
+  bool has_kid(std::string_view kid) const;
 
-  // Whether this key counts now for a token that it signed at `issued`: kNone, kKeyRevoked, kKeyRetired or
-  // kNotYetValid.
+  // Returns whether the key is valid at `now` for a token issued at `issued_at`: kNone, kKeyRevoked,
+  // kKeyRetired or kNotYetValid.
   Refusal check(KeyRef key, Instant issued_at, Instant now) const;
+  // `key` must refer to a key that is in the ring.
   const tokens::Key& key(KeyRef key) const { return keys_[key.slot].key; }
-  std::uint64_t epoch() const { return epoch_; }  // grows with each change
+  // Returns a number that is incremented with each update that changes a key.
+  std::uint64_t epoch() const { return epoch_; }
   std::size_t size() const;
 
  private:
@@ -83,11 +97,11 @@
     Instant active_from;
     Instant retired_at;
     Instant revoked_at;
-    bool in_use = false;  // false: the slot is free
+    bool in_use = false;  // false if the slot is free
     bool listed = false;
     bool revoked = false;
     std::uint32_t generation = 0;
-    std::uint64_t last_listed = 0;  // the update that listed it last
+    std::uint64_t last_listed = 0;  // number of the update that listed the key last
   };
   const HeldKey* find(KeyRef key) const;
   HeldKey* find(const tokens::KeyEntry& entry);
@@ -103,7 +117,7 @@
   Settings settings_;
   std::vector<HeldKey> keys_;
   std::uint32_t last_generation_ = 0;
-  std::uint64_t updates_ = 0;
+  std::uint64_t update_count_ = 0;
   std::uint64_t epoch_ = 0;
 };
 
--- a/src/calling/quota.cpp
+++ b/src/calling/quota.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr double kNanosecondsPerSecond = 1e9;
-constexpr double kMaxSpanNs = 9e17;  // fits std::int64_t beside a Unix time
+constexpr double kMaxSpanNs = 9e17;  // about 28 years; added to a Unix time it still fits std::int64_t
 
 std::int64_t at_least_1_ns(double ns) { return std::max<std::int64_t>(1, std::llround(ns)); }
 std::int64_t bounded_ns(double ns) { return std::llround(std::min(kMaxSpanNs, ns)); }
--- a/src/calling/refusal.hpp
+++ b/src/calling/refusal.hpp
@@ -1,5 +1,5 @@
-// Why a request is not admitted, with the HTTP status (RFC 9110, section 15.5) and the word that the client
-// is given (in X-Refused, or in WWW-Authenticate after RFC 6750, section 3).
+// The reasons for which a request is refused. Each has an HTTP status (RFC 9110, section 15.5) and a word
+// that is sent to the client: in X-Refused, or in WWW-Authenticate (RFC 6750, section 3).
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -10,10 +10,10 @@
 
 enum class Refusal : std::uint8_t {
   kNone,
-  // Nobody is proven.
+  // 401: the request could not be authenticated.
   kNoCredentials,
-  kMalformed,
-  kAlgorithm,
+  kMalformed,  // credentials that cannot be parsed, or that are ambiguous
+  kAlgorithm,  // not supported, or not the algorithm of the key
   kUnknownKey,
   kSignature,
   kKeyRevoked,
@@ -22,26 +22,27 @@
   kAudience,
   kNotYetValid,
   kExpired,
-  kLifetimeTooLong,
-  kCertificateBinding,
-  kCertificate,
-  // Somebody is proven, without the right.
+  kLifetimeTooLong,     // longer than CallingSettings::max_token_lifetime
+  kCertificateBinding,  // the token is bound to another certificate (RFC 8705)
+  kCertificate,         // the client certificate is not valid
+  // 403: the principal is authenticated, but has no right to send this request.
   kUnknownTenant,
-  kTenantMismatch,
+  kTenantMismatch,  // X-Account or the certificate names another tenant than the token
   kUnknownSubject,
-  kRequestClass,
-  // The right is there, the capacity is not.
-  kVerificationsBusy,
+  kRequestClass,  // the principal has no right to the request class
+  // 429: a limit of the router or of the principal has been reached.
+  kVerificationsBusy,  // too many signature verifications per second
   kRateLimit,
-  kInFlightLimit,
+  kInFlightLimit,  // too many requests in flight
 };
 
 struct RefusalResponse {
   Refusal refusal;
   unsigned http_status;
-  std::string_view wire_name;  // as on the wire
+  std::string_view wire_name;  // the word that is sent to the client
 };
 
+// Indexed by Refusal.
 constexpr RefusalResponse kRefusalResponses[] = {
     {Refusal::kNone, 200, "none"},
     {Refusal::kNoCredentials, 401, "missing"},
@@ -77,6 +78,7 @@
 static_assert(refusal_responses_are_in_order());
 static_assert(kRefusalCount == static_cast<std::size_t>(Refusal::kInFlightLimit) + 1);
 
+// Returns the word that is sent to the client.
 constexpr std::string_view name_of(Refusal refusal) {
   return kRefusalResponses[static_cast<std::size_t>(refusal)].wire_name;
 }
--- a/src/calling/refused_token_cache.hpp
+++ b/src/calling/refused_token_cache.hpp
@@ -1,6 +1,6 @@
-// Tokens that have been refused: the same text again costs no verification. A fixed table; a token that falls
-// on another's slot takes it. An entry holds for one epoch of the key ring, since a key that is unknown today
-// may be listed tomorrow.
+// Tokens that were refused recently, so that the same text costs no second verification. The table has a
+// fixed size; a token replaces another one that maps to the same slot. An entry is valid for one epoch of the
+// key ring, because a key that is unknown now may be listed by the next update.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -15,7 +15,7 @@
 class RefusedTokenCache {
  public:
   explicit RefusedTokenCache(std::size_t slots) : entries_(slots) {}
-  // kNone: not known as refused.
+  // Returns why the token was refused, or Refusal::kNone if it has no valid entry.
   Refusal find(const tokens::Digest& digest, std::uint64_t key_ring_epoch, Instant now) const;
   void insert(const tokens::Digest& digest, std::uint64_t key_ring_epoch, Refusal refusal,
               Instant expires_at);
--- a/src/calling/subject_table.cpp
+++ b/src/calling/subject_table.cpp
@@ -16,7 +16,8 @@
   return kNone;
 }
 
-// Of the subjects without requests in flight, the one that owes least.
+// Returns the subject without requests in flight whose sustained rate is due earliest, that is, the one that
+// has consumed least. Returns kNone if all subjects have requests in flight.
 std::uint32_t SubjectTable::find_way_to_evict(const Set& set) {
   std::uint32_t best = kNone;
   for (std::uint32_t way = 0; way < kWays; ++way) {
--- a/src/calling/tenant_directory.cpp
+++ b/src/calling/tenant_directory.cpp
@@ -11,7 +11,7 @@
   return std::find(names.begin(), names.end(), name) != names.end();
 }
 
-// By request class: whether it is among those that are allowed.
+// Returns by index of the request class whether it is allowed.
 std::vector<bool> allowed_request_classes(const CallingSettings& settings, bool allows_any_class,
                                           const std::vector<std::string>& allowed_classes) {
   std::vector<bool> allowed(settings.request_classes.size(), allows_any_class);
@@ -25,7 +25,7 @@
   return tenant.organisation.empty() ? tenant.name : tenant.organisation;
 }
 
-// Turns one tenant's settings into its entry of the directory.
+// Creates the directory entry of a tenant from its settings.
 class TenantBuilder {
  public:
   explicit TenantBuilder(const CallingSettings& settings)
@@ -64,7 +64,7 @@
     const auto& names = settings_.policy_tenants;
     return static_cast<std::uint32_t>(std::find(names.begin(), names.end(), name) - names.begin());
   }
-  // A subject is allowed no class that its tenant is not.
+  // A subject may only send requests of classes that its tenant may send.
   TenantDirectory::Rule build_rule(const SubjectSettings& subject, const Limit& default_limit,
                                    const std::vector<bool>& allowed_to_tenant) const {
     TenantDirectory::Rule rule;
@@ -79,7 +79,7 @@
   double routers_per_subject_;
 };
 
-// Collects what is wrong with the settings' names.
+// Collects duplicate names and references to unknown request classes in the settings.
 class NameValidator {
  public:
   explicit NameValidator(const CallingSettings& settings) : settings_(settings) {}
@@ -108,14 +108,14 @@
   }
   void check_classes(const std::string& owner, const std::vector<std::string>& classes) {
     for (const std::string& name : classes) {
-      // The settings call request classes path groups.
+      // The operator's file calls request classes path groups.
       if (contains(settings_.request_classes, name)) continue;
       problems_.push_back(owner);
-      problems_.back().append(": no path group is called ").append(name);
+      problems_.back().append(": path group ").append(name).append(" is not defined");
     }
   }
   void check_unique(std::vector<std::string>& seen, const std::string& name, const std::string& what) {
-    if (contains(seen, name)) problems_.push_back(what + " " + name + " stands twice");
+    if (contains(seen, name)) problems_.push_back(what + " " + name + " is listed twice");
     seen.push_back(name);
   }
 
--- a/src/calling/tenant_directory.hpp
+++ b/src/calling/tenant_directory.hpp
@@ -1,5 +1,5 @@
-// Tenants, and what they and their subjects may do, as small indices. Built whole from the operator's
-// settings and never changed; a new directory replaces it.
+// The tenants of the operator's settings with the rights and limits of their subjects, resolved to indices. A
+// directory is immutable; when the settings change, a new directory replaces it.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -17,10 +17,10 @@
   static constexpr std::uint32_t kNone = UINT32_MAX;
   using IndexByName = std::map<std::string, std::uint32_t, std::less<>>;
 
-  // What a group of subjects may do.
+  // The rights and limits of a group of subjects.
   struct Rule {
-    std::vector<bool> allowed;  // by request class
-    RouterLimit limit;          // of each subject
+    std::vector<bool> allowed;  // by index of the request class
+    RouterLimit limit;          // of each subject in the group
   };
   struct PrefixRule {
     std::string prefix;
@@ -29,17 +29,21 @@
   struct Tenant {
     std::string name;
     std::string issuer;
-    std::uint32_t policy_tenant = 0;  // index in CallingSettings::policy_tenants, or their number
-    RouterLimit limit;                // of all its subjects together
+    // Index in CallingSettings::policy_tenants, or their number if the tenant is not listed there.
+    std::uint32_t policy_tenant = 0;
+    RouterLimit limit;  // of all its subjects together
     bool allows_only_listed_subjects = false;
-    std::vector<Rule> rules;  // the first is for subjects that are not listed
+    std::vector<Rule> rules;  // the first applies to subjects that are not listed
     IndexByName rule_by_subject;
     std::vector<PrefixRule> prefix_rules;  // the longest prefix first
 
-    std::uint32_t find_rule(std::string_view subject) const;  // kNone: it has no rights
+    // Returns the index in `rules` of the rule that applies to the subject: that of its name, else that of
+    // the longest matching prefix, else the first. Returns kNone if the subject has no rights.
+    std::uint32_t find_rule(std::string_view subject) const;
   };
 
   explicit TenantDirectory(const CallingSettings& settings);
+  // Each returns the index of the tenant, or kNone if there is none.
   std::uint32_t find_by_name(std::string_view name) const { return find(by_name_, name); }
   std::uint32_t find_by_organisation(std::string_view name) const { return find(by_organisation_, name); }
   const Tenant& operator[](std::uint32_t tenant) const { return tenants_[tenant]; }
@@ -53,7 +57,8 @@
   IndexByName by_organisation_;
 };
 
-// What in the settings contradicts itself or names what is not there, a line each; empty if nothing.
+// Returns one line for each duplicate name and each reference to an unknown request class in the settings.
+// Returns an empty list if the settings are valid.
 std::vector<std::string> validate_settings(const CallingSettings& settings);
 
 }  // namespace ashbeam::calling
--- a/src/calling/tenant_usage.hpp
+++ b/src/calling/tenant_usage.hpp
@@ -1,6 +1,6 @@
-// What each tenant has used of its quota and has in flight. It belongs to the tenant's name, so that it
-// stands when the operator's settings are read anew: a tenant that is gone keeps its slot until its last
-// request has ended. No I/O; the time is an argument.
+// The consumed quota and the requests in flight of each tenant. Usage is stored under the tenant's name, so
+// that it is retained when the operator's settings are reloaded. A tenant that has been removed from the
+// settings keeps its slot until its last request has ended. Callers pass the current time.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -20,16 +20,17 @@
     std::uint32_t in_flight = 0;  // requests
   };
 
-  // To be called with each new directory, before slot_of() is called for it.
+  // Assigns a slot to each tenant of a new directory. Must be called before slot_of() is called with an index
+  // of that directory.
   void assign_slots(const TenantDirectory& directory, Instant now);
-  // The slot of the tenant with that index in the directory.
+  // Returns the slot of the tenant with this index in the directory.
   std::uint32_t slot_of(std::uint32_t tenant_index) const { return slot_by_index_[tenant_index]; }
   Usage& operator[](std::uint32_t slot) { return usages_[slot]; }
 
  private:
   std::vector<Usage> usages_;
   std::map<std::string, std::uint32_t, std::less<>> slot_by_name_;
-  std::vector<std::uint32_t> slot_by_index_;  // by the directory's index
+  std::vector<std::uint32_t> slot_by_index_;  // by index in the directory
 };
 
 }  // namespace ashbeam::calling
--- a/src/calling/token_cache.cpp
+++ b/src/calling/token_cache.cpp
@@ -32,7 +32,7 @@
   return key;
 }
 
-// The key is only the beginning of the digest: two tokens may share it.
+// The map key is only the first 8 bytes of the digest, so two tokens may share it. The whole digest decides.
 TokenCache::Tokens::Index TokenCache::find_entry(const tokens::Digest& digest) {
   const Tokens::Index entry = tokens_.find(key_of(digest));
   return entry != Tokens::kNone && tokens_[entry].digest == digest ? entry : Tokens::kNone;
--- a/src/calling/token_cache.hpp
+++ b/src/calling/token_cache.hpp
@@ -1,5 +1,5 @@
-// Tokens that have been verified, by the hash of their text: at most so many, the least recently used ones
-// evicted first. No I/O; the time is an argument.
+// A cache of verified tokens by the SHA-256 of their text. Its size is limited; the least recently used
+// tokens are evicted first. Callers pass the current time.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -13,9 +13,10 @@
 
 namespace ashbeam::calling {
 
-// What a token says whose signature is good. Its key's state and its times are checked again at each request.
+// The contents of a token whose signature has been verified. The state of its key and its validity times are
+// checked again for each request.
 struct VerifiedToken {
-  tokens::Digest digest{};  // of its text
+  tokens::Digest digest{};  // SHA-256 of its text
   KeyRef key;
   Instant issued_at;
   Instant not_before;
@@ -23,11 +24,11 @@
   std::string issuer;
   std::string tenant;
   std::string subject;
-  std::string principal;                             // as endpoints see it
-  std::uint64_t subject_hash = 0;                    // of the principal
-  std::optional<tokens::Digest> certificate_sha256;  // where it counts beside this certificate alone
+  std::string principal;                             // as sent to endpoints
+  std::uint64_t subject_hash = 0;                    // hash of `principal`
+  std::optional<tokens::Digest> certificate_sha256;  // set if the token is bound to this client certificate
 
-  // What the tenant directory of this epoch makes of it; epoch 0: not looked up yet.
+  // The tenant and rule that the directory of this epoch resolves the token to. Epoch 0: not resolved yet.
   std::uint64_t directory_epoch = 0;
   std::uint32_t tenant_index = UINT32_MAX;
   std::uint32_t rule = 0;
@@ -36,10 +37,12 @@
 class TokenCache {
  public:
   explicit TokenCache(std::size_t max_tokens) : max_tokens_(max_tokens) {}
-  // Marks it as the most recently used; nullptr: not cached. The token stands until the next call.
+  // Returns the token and marks it as the most recently used one, or returns nullptr if it is not cached. The
+  // pointer is valid until the next call of insert() or erase().
   VerifiedToken* find(const tokens::Digest& digest);
-  // Over the bound, an expired one among the eight least recently used is evicted, or else the very least
-  // recently used.
+  // Adds a token. If the cache is full, it first evicts an expired token among the eight least recently used
+  // ones, or the least recently used one if none of them has expired. The reference is valid until the next
+  // call of insert() or erase().
   VerifiedToken& insert(VerifiedToken token, Instant now);
   void erase(const tokens::Digest& digest);
   std::size_t size() const { return tokens_.size(); }
--- a/src/calling/token_verifier.cpp
+++ b/src/calling/token_verifier.cpp
@@ -40,7 +40,8 @@
 
 Refusal TokenVerifier::check_signature(std::string_view text, const std::optional<tokens::Jws>& jws,
                                        const KeyRing& key_ring, KeyRef& key) const {
-  // The token names an algorithm; what counts is whether one of its key's keys is for that algorithm.
+  // The token's `alg` is not trusted: the signature is verified only with keys of its kid that are for that
+  // algorithm.
   const auto algorithm = jws ? tokens::parse_algorithm(jws->algorithm) : std::nullopt;
   if (!algorithm) {
     verify_with_dummy_key(tokens::Algorithm::kEdDsa, text, std::string(tokens::kSignatureBytes, '\1'));
@@ -67,7 +68,8 @@
   if (refusal != Refusal::kNone) return refusal;
   refusal = read_claims(jws->payload, settings, token);
   if (refusal != Refusal::kNone) return refusal;
-  // Times and the key's state are checked again at each request; a token that will never count is not cached.
+  // The validity times and the state of the key are checked again for each request. They are checked here as
+  // well, so that a token that is expired or whose key is not valid is not cached.
   if (wall_now > token.expires_at + settings.leeway) return Refusal::kExpired;
   return key_ring.check(token.key, token.issued_at, wall_now);
 }
--- a/src/calling/token_verifier.hpp
+++ b/src/calling/token_verifier.hpp
@@ -1,6 +1,6 @@
-// Verifies a token that has not been seen before: signature, then claims. Whatever is wrong with a token, one
-// signature is computed for it, so that the time that it takes tells nothing of what is wrong. No I/O; the
-// time is an argument, of the clock that tokens are dated by.
+// Verifies a token that is not cached: first its signature, then its claims. At least one signature is
+// verified for each token, whatever is wrong with it, so that the response time does not reveal which check
+// failed. Callers pass the current time of the clock that tokens are dated by, the wall clock.
 #pragma once
 #include <array>
 #include <cstdint>
@@ -18,8 +18,9 @@
 class TokenVerifier {
  public:
   TokenVerifier();
-  // kNone: `token` holds what the token says, without a digest, a subject hash and what a directory makes of
-  // it. Else the first fault, in the order: form, key, signature, claims, lifetime, expiry, state of the key.
+  // On Refusal::kNone, `token` holds the claims and the key of the token. The caller sets its digest,
+  // principal and subject hash, and resolves it with the tenant directory. Otherwise returns the first check
+  // that failed, in this order: format, key, signature, claims, lifetime, expiry, state of the key.
   Refusal verify(std::string_view text, const CallingSettings& settings, const KeyRing& key_ring,
                  Instant wall_now, VerifiedToken& token);
   std::uint64_t verification_count() const { return verification_count_; }
@@ -30,7 +31,7 @@
   void verify_with_dummy_key(tokens::Algorithm algorithm, std::string_view signed_bytes,
                              std::string_view signature) const;
 
-  std::array<tokens::Key, 2> dummy_keys_;  // by algorithm: verified with where there is no key
+  std::array<tokens::Key, 2> dummy_keys_;  // by algorithm; used where no key matches the token
   std::uint64_t verification_count_ = 0;
 };
 
--- a/src/tokens/json_members.hpp
+++ b/src/tokens/json_members.hpp
@@ -1,5 +1,5 @@
-// JSON objects of keys and tokens. A member that stands twice is refused: another reader might take the other
-// value.
+// Parsing of JSON objects in keys and tokens. Objects with duplicate member names are rejected, because
+// another parser might use the other value.
 #pragma once
 #include <optional>
 #include <string_view>
@@ -9,7 +9,7 @@
 namespace ashbeam::tokens {
 
 bool has_duplicate_member(const Json& object);
-// Nothing where the text is no JSON object, or has a member twice.
+// Returns no value if the text is not a JSON object, or if the object has a duplicate member name.
 std::optional<Json> parse_object(std::string_view text);
 
 }  // namespace ashbeam::tokens
--- a/src/tokens/jws.cpp
+++ b/src/tokens/jws.cpp
@@ -10,9 +10,9 @@
 
 namespace {
 
-constexpr double kMaxUnixS = 1e11;
+constexpr double kMaxUnixS = 1e11;  // the year 5138
 
-// False where the claim is there and no NumericDate (RFC 7519, section 2).
+// Returns false if the claim is present but is not a NumericDate (RFC 7519, section 2).
 bool read_time(const Json& claims, const char* name, std::optional<Instant>& time) {
   const auto given = claims.member(name);
   if (!given) return true;
@@ -22,7 +22,7 @@
   return true;
 }
 
-// False where the claim is there and no text, or too long.
+// Returns false if the claim is present but is not a string, or is too long.
 bool read_name(const Json& claims, std::string_view claim, std::string& name) {
   const auto given = claims.member(claim);
   if (!given) return true;
@@ -32,7 +32,8 @@
   return true;
 }
 
-// One audience or a list (RFC 7519, section 4.1.3). False where one is no text, too long, or one too many.
+// Reads one audience or a list (RFC 7519, section 4.1.3). Returns false if an audience is not a string or is
+// too long, or if there are more than kMaxAudiences.
 bool read_audiences(const Json& claims, std::vector<std::string>& audiences) {
   const auto given = claims.member("aud");
   if (!given) return true;
@@ -50,7 +51,8 @@
   return is_valid;
 }
 
-// A binding of a kind that is not known here is not passed over.
+// Returns false if `cnf` is present but has no valid x5t#S256. A confirmation method that is not supported is
+// thus rejected rather than ignored, because ignoring it would remove the binding.
 bool read_certificate_binding(const Json& claims, std::optional<Digest>& certificate_sha256) {
   const auto confirmation = claims.member("cnf");
   if (!confirmation) return true;
@@ -66,7 +68,7 @@
 
 bool is_jwt_type(const std::string& type) { return type == "JWT" || type == "jwt" || type == "at+jwt"; }
 
-// False where the header is not one of a token that is understood here.
+// Returns false if the header is invalid; see parse_jws().
 bool read_header(std::string_view text, Jws& jws) {
   const auto header = parse_object(text);
   if (!header || header->member("crit") || header->member("b64")) return false;
--- a/src/tokens/key_set.cpp
+++ b/src/tokens/key_set.cpp
@@ -11,15 +11,15 @@
 
 namespace {
 
-constexpr double kMaxUnixS = 1e11;
+constexpr double kMaxUnixS = 1e11;  // the year 5138
 
 std::string decode_member(const Json& jwk, const char* name) {
   auto bytes = decode_base64url(jwk.text(name));
-  if (!bytes) throw KeyError(std::string("'") + name + "' is no base64url");
+  if (!bytes) throw KeyError(std::string("'") + name + "' is not valid base64url");
   return *std::move(bytes);
 }
 
-// Nothing for a key of another kind, or for another use.
+// Returns no value if the key has an unsupported type, curve or algorithm, or another use than signatures.
 std::optional<Algorithm> read_algorithm(const Json& jwk) {
   const std::string type = jwk.text("kty");
   const std::string curve = jwk.text("crv");
@@ -37,19 +37,23 @@
 
 double read_unix_time(const Json& jwk, const char* name) {
   const double unix_s = jwk.number(name, 0);
-  if (unix_s < 0 || unix_s > kMaxUnixS) throw KeyError("a time is out of range");
+  if (unix_s < 0 || unix_s > kMaxUnixS)
+    throw KeyError(std::string("'") + name + "' is " + std::to_string(unix_s) +
+                   ", expected seconds of Unix time from 0 to " + std::to_string(kMaxUnixS));
   return unix_s;
 }
 
-// Nothing for a key that is to be ignored; throws KeyError where it spoils its set.
+// Returns no value if the key is to be ignored. Throws KeyError if it makes the whole set invalid.
 std::optional<KeyEntry> parse_key(const Json& jwk) {
-  if (!jwk.is_object()) throw KeyError("no object");
-  if (has_duplicate_member(jwk)) throw KeyError("a member stands twice");
+  if (!jwk.is_object()) throw KeyError("not a JSON object");
+  if (has_duplicate_member(jwk)) throw KeyError("duplicate member name");
   const auto algorithm = read_algorithm(jwk);
   if (!algorithm) return std::nullopt;
   KeyEntry entry;
   entry.kid = jwk.text("kid");
-  if (entry.kid.empty() || entry.kid.size() > kMaxKidBytes) throw KeyError("'kid' is missing or too long");
+  if (entry.kid.empty() || entry.kid.size() > kMaxKidBytes)
+    throw KeyError("'kid' has " + std::to_string(entry.kid.size()) + " bytes, expected 1 to " +
+                   std::to_string(kMaxKidBytes));
   const std::string y = *algorithm == Algorithm::kEs256 ? decode_member(jwk, "y") : "";
   const std::string d = jwk.member("d") ? decode_member(jwk, "d") : "";
   const std::string x = decode_member(jwk, "x");
@@ -80,7 +84,8 @@
   const auto document = text.size() <= kMaxKeySetBytes ? Json::parse(text) : std::nullopt;
   const auto list = document && document->is_object() ? document->member("keys") : std::nullopt;
   if (!list || !list->is_array()) {
-    set.error = "wanted a JSON object with a list 'keys'";
+    set.error = "expected a JSON object with an array 'keys', of at most " + std::to_string(kMaxKeySetBytes) +
+                " bytes; received " + std::to_string(text.size()) + " bytes";
     return set;
   }
   unsigned position = 0;
@@ -93,7 +98,8 @@
         ++set.ignored_keys;
         return;
       }
-      if (set.keys.size() >= kMaxKeysPerSet) throw KeyError("more than 64 keys");
+      if (set.keys.size() >= kMaxKeysPerSet)
+        throw KeyError("more than " + std::to_string(kMaxKeysPerSet) + " keys in the set");
       set.has_private_keys = set.has_private_keys || entry->key.is_private();
       set.keys.push_back(*std::move(entry));
     } catch (const std::runtime_error& error) {
--- a/src/tokens/keys.cpp
+++ b/src/tokens/keys.cpp
@@ -14,8 +14,9 @@
 
 namespace {
 
-constexpr char kUncompressedPoint = '\x04';        // SEC 1, section 2.3.3
-constexpr std::size_t kMaxDerSignatureBytes = 80;  // of ES256: two integers of 33 bytes, and their headers
+constexpr char kUncompressedPoint = '\x04';  // SEC 1, section 2.3.3
+// An ES256 signature in DER is two integers of up to 33 bytes with their headers.
+constexpr std::size_t kMaxDerSignatureBytes = 80;
 constexpr std::size_t kMaxSignatureBytes = 128;
 
 const unsigned char* unsigned_bytes(std::string_view bytes) {
@@ -28,7 +29,7 @@
   std::string bytes(kKeyPartBytes, '\0');
   const int size = static_cast<int>(kKeyPartBytes);
   if (BN_bn2binpad(number, unsigned_bytes(bytes), size) != size)
-    throw KeyError("a key's figure is too large");
+    throw KeyError("a number of the key is longer than " + std::to_string(kKeyPartBytes) + " bytes");
   return bytes;
 }
 
@@ -38,12 +39,13 @@
 
 OpensslPtr<BIGNUM> get_bignum_param(const EVP_PKEY* key, const char* name) {
   BIGNUM* number = nullptr;
-  if (EVP_PKEY_get_bn_param(key, name, &number) != 1) throw KeyError("no key can be made");
+  if (EVP_PKEY_get_bn_param(key, name, &number) != 1)
+    throw KeyError(std::string("OpenSSL returned no key parameter '") + name + "'");
   return OpensslPtr<BIGNUM>(number);
 }
 
 std::shared_ptr<EVP_PKEY> make_shared_key(EVP_PKEY* key) {
-  if (!key) throw KeyError("no key of that kind");
+  if (!key) throw KeyError("OpenSSL could not create the key");
   return {key, EVP_PKEY_free};
 }
 
@@ -64,12 +66,13 @@
   EVP_PKEY* raw_key = nullptr;
   if (!params || !context || EVP_PKEY_fromdata_init(context.get()) != 1 ||
       EVP_PKEY_fromdata(context.get(), &raw_key, selection, params.get()) != 1)
-    throw KeyError("no point of P-256");
+    throw KeyError("the public part is not a point on P-256");
   auto key = make_shared_key(raw_key);
   const OpensslPtr<EVP_PKEY_CTX> check(EVP_PKEY_CTX_new_from_pkey(nullptr, key.get(), nullptr));
-  if (!check || EVP_PKEY_public_check(check.get()) != 1) throw KeyError("no point of P-256");
+  if (!check || EVP_PKEY_public_check(check.get()) != 1)
+    throw KeyError("the public part is not a point on P-256");
   if (private_part && EVP_PKEY_pairwise_check(check.get()) != 1)
-    throw KeyError("private and public part do not belong together");
+    throw KeyError("the private part does not match the public part");
   return key;
 }
 
@@ -77,7 +80,7 @@
   std::string bytes(kKeyPartBytes, '\0');
   std::size_t size = bytes.size();
   if (EVP_PKEY_get_raw_public_key(ed25519_key, unsigned_bytes(bytes), &size) != 1)
-    throw KeyError("private and public part do not belong together");
+    throw KeyError("OpenSSL returned no public part of the Ed25519 key");
   return bytes;
 }
 
@@ -87,11 +90,12 @@
         EVP_PKEY_new_raw_public_key(EVP_PKEY_ED25519, nullptr, unsigned_bytes(x), x.size()));
   auto key =
       make_shared_key(EVP_PKEY_new_raw_private_key(EVP_PKEY_ED25519, nullptr, unsigned_bytes(d), d.size()));
-  if (get_raw_public_key(key.get()) != x) throw KeyError("private and public part do not belong together");
+  if (get_raw_public_key(key.get()) != x) throw KeyError("the private part does not match the public part");
   return key;
 }
 
-// RFC 7638, section 3: the required members in lexicographic order, without white space.
+// Computes the thumbprint of RFC 7638, section 3, from the required members in lexicographic order, without
+// white space.
 std::string compute_thumbprint(Algorithm algorithm, std::string_view x, std::string_view y) {
   std::string members;
   if (algorithm == Algorithm::kEs256) {
@@ -106,11 +110,12 @@
 
 struct DerSignature {
   std::array<unsigned char, kMaxDerSignatureBytes> bytes{};
-  std::size_t size = 0;  // 0: it can't be written
+  std::size_t size = 0;  // 0 if the encoding failed
   std::string_view view() const { return {reinterpret_cast<const char*>(bytes.data()), size}; }
 };
 
-// ES256's signature is r and s side by side (RFC 7518, section 3.4); OpenSSL takes and gives DER.
+// Converts an ES256 signature, which is r and s concatenated (RFC 7518, section 3.4), to the DER encoding
+// that OpenSSL uses.
 DerSignature to_der_signature(std::string_view r_and_s) {
   constexpr std::size_t kHalf = kSignatureBytes / 2;
   const OpensslPtr<ECDSA_SIG> parts(ECDSA_SIG_new());
@@ -123,12 +128,13 @@
   return der;
 }
 
+// Converts a signature in DER to r and s concatenated.
 std::string from_der_signature(const unsigned char* der, std::size_t size) {
   const OpensslPtr<ECDSA_SIG> parts(d2i_ECDSA_SIG(nullptr, &der, static_cast<long>(size)));
   return to_padded_bytes(ECDSA_SIG_get0_r(parts.get())) + to_padded_bytes(ECDSA_SIG_get0_s(parts.get()));
 }
 
-// Ed25519 hashes by itself.
+// Returns null for Ed25519, which includes its own hash.
 const EVP_MD* message_digest_for(Algorithm algorithm) {
   return algorithm == Algorithm::kEs256 ? EVP_sha256() : nullptr;
 }
@@ -151,7 +157,7 @@
   if (EVP_DigestInit_ex2(context.get(), method.get(), nullptr) != 1 ||
       EVP_DigestUpdate(context.get(), bytes.data(), bytes.size()) != 1 ||
       EVP_DigestFinal_ex(context.get(), digest.data(), &size) != 1)
-    throw std::runtime_error("SHA-256 can't be had");
+    throw std::runtime_error("OpenSSL could not compute SHA-256");
   return digest;
 }
 
@@ -160,7 +166,12 @@
   const bool has_valid_lengths = x.size() == kKeyPartBytes &&
                                  y.size() == (is_curve_point ? kKeyPartBytes : 0) &&
                                  (d.empty() || d.size() == kKeyPartBytes);
-  if (!has_valid_lengths) throw KeyError("a figure of a key has the wrong length");
+  if (!has_valid_lengths) {
+    throw KeyError("wrong length of an " + std::string(name_of(algorithm)) + " key: x has " +
+                   std::to_string(x.size()) + " bytes, y " + std::to_string(y.size()) + ", d " +
+                   std::to_string(d.size()) + "; expected " + std::to_string(kKeyPartBytes) +
+                   " for each part that the key has");
+  }
   Key key;
   key.algorithm_ = algorithm;
   key.key_ = is_curve_point ? make_p256_key(x, y, d) : make_ed25519_key(x, d);
@@ -184,7 +195,7 @@
   std::string d(kKeyPartBytes, '\0');
   std::size_t size = d.size();
   if (EVP_PKEY_get_raw_private_key(key.get(), unsigned_bytes(d), &size) != 1)
-    throw KeyError("no key can be made");
+    throw KeyError("OpenSSL returned no private part of the Ed25519 key");
   return from_parts(algorithm, get_raw_public_key(key.get()), {}, d);
 }
 
@@ -205,13 +216,13 @@
 }
 
 std::string Key::sign(std::string_view bytes) const {
-  if (!is_private()) throw KeyError("the private part is not here");
+  if (!is_private()) throw KeyError("cannot sign: the key has no private part");
   const OpensslPtr<EVP_MD_CTX> context(EVP_MD_CTX_new());
   std::array<unsigned char, kMaxSignatureBytes> signature{};
   std::size_t size = signature.size();
   if (EVP_DigestSignInit(context.get(), nullptr, message_digest_for(algorithm_), nullptr, key_.get()) != 1 ||
       EVP_DigestSign(context.get(), signature.data(), &size, unsigned_bytes(bytes), bytes.size()) != 1)
-    throw KeyError("signing failed");
+    throw KeyError("OpenSSL could not compute the " + std::string(name_of(algorithm_)) + " signature");
   if (algorithm_ == Algorithm::kEs256) return from_der_signature(signature.data(), size);
   return {reinterpret_cast<const char*>(signature.data()), size};
 }
--- a/src/tokens/openssl_ptr.hpp
+++ b/src/tokens/openssl_ptr.hpp
@@ -1,4 +1,4 @@
-// OpenSSL's objects, owned: freed when their pointer goes out of scope.
+// Owning pointers to OpenSSL objects.
 #pragma once
 #include <openssl/ec.h>
 #include <openssl/evp.h>
--- a/tests/access_config_loader_test.cpp
+++ b/tests/access_config_loader_test.cpp
@@ -100,10 +100,10 @@
     std::string what, text;
     unsigned mode;
   } const rows[] = {
-      {"wanted a JSON object", good.substr(0, good.size() / 2), 0644},
+      {"expected a JSON object with an array 'keys'", good.substr(0, good.size() / 2), 0644},
       {"a private key that others may read",
        "{\"keys\":[{\"kid\":\"p\"," + signer_.key.jwk_members(true) + "}]}", 0644},
-      {"'x' is no base64url", R"({"keys":[{"kty":"OKP","crv":"Ed25519","kid":"a","x":"*"}]})", 0644},
+      {"'x' is not valid base64url", R"({"keys":[{"kty":"OKP","crv":"Ed25519","kid":"a","x":"*"}]})", 0644},
   };
   for (const Row& row : rows) {
     write_file(folder_.at("keys/other.json"), row.text, row.mode);
@@ -145,7 +145,7 @@
   EXPECT_EQ(ask(signer_), 403U);
   TearDown();
   EXPECT_TRUE(logged("o.cue:1:"));
-  EXPECT_TRUE(logged("no path group is called lok"));
+  EXPECT_TRUE(logged("path group lok is not defined"));
   EXPECT_EQ(std::count_if(log_lines_.begin(), log_lines_.end(),
                           [](const auto& l) { return l.find("read again") != std::string::npos; }),
             2);
--- a/tests/records_test.cpp
+++ b/tests/records_test.cpp
@@ -167,8 +167,9 @@
       "o.cue:1:10: calling.prove: wanted tokens or tls.clients, or nobody can prove anything, found neither");
   EXPECT_EQ(
       operator_file_problems("calling: {tenants: [{name: \"a\", path_groups: [\"lok\"]}]}"),
-      "o.cue:1:20: calling.tenants: wanted names that fit, found tenant a: no path group is called lok");
-  EXPECT_NE(operator_file_problems("calling: {tenants: [{name: \"a\"}, {name: \"a\"}]}").find("stands twice"),
+      "o.cue:1:20: calling.tenants: wanted names that fit, found tenant a: path group lok is not defined");
+  EXPECT_NE(operator_file_problems("calling: {tenants: [{name: \"a\"}, {name: \"a\"}]}")
+                .find("tenant a is listed twice"),
             std::string::npos);
   EXPECT_NE(operator_file_problems(
                 "tls: {listen: \"host:1\", certificate: \"c\", key: \"k\", clients: \"required\"}")
