--- a/tests/authorized_requests_test.cpp
+++ b/tests/authorized_requests_test.cpp
@@ -1,5 +1,5 @@
-// The authorizer as seen by clients and endpoints of a router: tokens on plain connections, what clients are
-// answered, and what endpoints receive.
+// Tests of authorization through a whole router: requests with tokens on connections without TLS, the answers
+// that clients receive, and the header fields that endpoints receive.
 #include "calling_helpers.hpp"
 #include "router_fixture.hpp"
 
@@ -13,7 +13,7 @@
   CallingSettings settings_ = shop_settings();
   TokenSigner signer_{"k1", tokens::Algorithm::kEdDsa};
 
-  void begin_with(std::vector<tokens::KeyEntry> keys) {
+  void start_router_with_keys(std::vector<tokens::KeyEntry> keys) {
     before_start_ = [this, keys] {
       auto authorizer = std::make_unique<Authorizer>(settings_, 7, loop_.now());
       authorizer->update_keys(keys, loop_.now());
@@ -26,7 +26,8 @@
     return "Authorization: Bearer " +
            signer_.make_token("shop", subject, now(), Duration::s(60), more_members) + "\r\n";
   }
-  // Sends it, serves it if it reaches an endpoint, and returns the answer; `seen` is what the endpoint got.
+  // Sends the request, answers it if it reaches an endpoint, and returns the answer that the client receives.
+  // `seen` is set to the request that the endpoint received; empty if it received none.
   std::string serve(const std::string& request, std::string* seen = nullptr) {
     Stream client_stream = connect_client();
     client_stream.send(request);
@@ -38,27 +39,31 @@
   }
 };
 
-TEST_F(AuthorizedRequestsTest, AProvenPrincipalIsServedAndNamedToEndpoints) {
-  begin_with({signer_.entry()});
+TEST_F(AuthorizedRequestsTest, SendsPrincipalToEndpointAndDropsCallerFieldsOfClient) {
+  start_router_with_keys({signer_.entry()});
   std::string seen;
-  const std::string spelt = "X-Caller: root\r\nx-CALLER: root\r\nX_Caller: root\r\nx_caller: root\r\n";
-  EXPECT_EQ(status_of(serve(get(1500, bearer("rider 1\\r\\nX: y") + spelt + "X-Account: shop\r\n"), &seen)),
-            200U);
+  const std::string forged_caller_fields =
+      "X-Caller: root\r\nx-CALLER: root\r\nX_Caller: root\r\nx_caller: root\r\n";
+  EXPECT_EQ(
+      status_of(serve(get(1500, bearer("rider 1\\r\\nX: y") + forged_caller_fields + "X-Account: shop\r\n"),
+                      &seen)),
+      200U);
   EXPECT_NE(seen.find("X-Caller: shop/rider%201%0D%0AX:%20y\r\n"), std::string::npos) << seen;
   EXPECT_EQ(seen.find("root"), std::string::npos) << seen;
   EXPECT_EQ(seen.find("Authorization"), std::string::npos) << seen;
 }
 
-TEST_F(AuthorizedRequestsTest, WithoutProofTheAnswerSaysWhyAndNoEndpointIsAsked) {
-  begin_with({signer_.entry()});
+TEST_F(AuthorizedRequestsTest, AnswersUnauthenticatedRequestWithReasonAndWithoutAttempt) {
+  start_router_with_keys({signer_.entry()});
   const TokenSigner other("k1", tokens::Algorithm::kEdDsa);
   const std::string forged =
       "Authorization: Bearer " + other.make_token("shop", "r", now(), Duration::s(60)) + "\r\n";
-  const std::string old = "Authorization: Bearer " +
-                          signer_.make_token("shop", "r", now() - Duration::s(600), Duration::s(60)) + "\r\n";
+  const std::string expired = "Authorization: Bearer " +
+                              signer_.make_token("shop", "r", now() - Duration::s(600), Duration::s(60)) +
+                              "\r\n";
   struct Row {
     std::string fields;
-    std::string word;
+    std::string expected_text;
     unsigned status;
   } const rows[] = {
       {"", "WWW-Authenticate: Bearer\r\n", 401},
@@ -66,21 +71,21 @@
       {"Authorization: Bearer a.b.c\r\n", "unreadable", 401},
       {bearer("r") + bearer("r"), "unreadable", 401},
       {forged, "signature", 401},
-      {old, "expired", 401},
+      {expired, "expired", 401},
       {bearer("r") + "X-Account: elsewhere\r\n", "contradiction", 403},
   };
   for (const Row& row : rows) {
     std::string seen;
     const std::string answer = serve(get(1500, row.fields), &seen);
-    EXPECT_EQ(status_of(answer), row.status) << row.word;
-    EXPECT_NE(answer.find(row.word), std::string::npos) << answer;
-    EXPECT_TRUE(seen.empty()) << row.word;
+    EXPECT_EQ(status_of(answer), row.status) << row.expected_text;
+    EXPECT_NE(answer.find(row.expected_text), std::string::npos) << answer;
+    EXPECT_TRUE(seen.empty()) << row.expected_text;
   }
 }
 
-TEST_F(AuthorizedRequestsTest, ARequestOverItsLimitIsRejectedAndTakenAfterRetryAfter) {
+TEST_F(AuthorizedRequestsTest, RejectsRequestOverRateLimitAndAdmitsItAfterRetryAfter) {
   settings_.tenants[0].subject_limit = {10, 1, 0};
-  begin_with({signer_.entry()});
+  start_router_with_keys({signer_.entry()});
   EXPECT_EQ(status_of(serve(get(1500, bearer("r")))), 200U);
   const std::string rejected = serve(get(1500, bearer("r")));
   EXPECT_EQ(status_of(rejected), 429U);
@@ -90,17 +95,17 @@
   EXPECT_EQ(status_of(serve(get(1500, bearer("r")))), 200U);
 }
 
-TEST_F(AuthorizedRequestsTest, RequestsInFlightAreReleasedHoweverTheyEnd) {
+TEST_F(AuthorizedRequestsTest, ReleasesInFlightLimitOnAnswerAndOnClientDisconnect) {
   settings_.tenants[0].subject_limit = {0, 1, 1};
-  begin_with({signer_.entry()});
+  start_router_with_keys({signer_.entry()});
   for (int i = 0; i < 3; ++i) {
     Stream first = connect_client();
     first.send(get(1500, bearer("r")));
     Stream attempt = take_attempt();
     ASSERT_FALSE(attempt.read_message().empty()) << i;
     EXPECT_EQ(status_of(answer_to(get(1500, bearer("r")))), 429U) << i;
-    const bool client_leaves = i == 1;
-    if (client_leaves) {
+    const bool client_disconnects = i == 1;
+    if (client_disconnects) {
       first.close();
     } else {
       attempt.send(kOkAnswer);
@@ -111,21 +116,25 @@
   }
 }
 
-TEST_F(AuthorizedRequestsTest, AKeyRotatedOrRevokedWhileABodyStillComes) {
+// The key set changes while the body of a request is still being received. If the key has been rotated, the
+// request is served within the overlap; if it has been revoked, the request is rejected.
+TEST_F(AuthorizedRequestsTest, RejectsRequestWhoseKeyIsRevokedWhileItsBodyArrives) {
   settings_.tenants[0].allowed_classes = {"look", "pay"};
   settings_.retiring_key_overlap = Duration::s(5);
-  begin_with({signer_.entry()});
+  start_router_with_keys({signer_.entry()});
   const TokenSigner next("k2", tokens::Algorithm::kEs256);
   for (const bool revoked : {false, true}) {
     Stream client_stream = connect_client();
-    const std::string whole = post("pay");
-    const std::size_t at = whole.find("\r\n") + 2;
-    const std::string request = whole.substr(0, at) + bearer("r") + whole.substr(at);
-    client_stream.send(request.substr(0, request.size() - 2));  // the body's end is still to come
+    const std::string message = post("pay");
+    const std::size_t at = message.find("\r\n") + 2;
+    const std::string request = message.substr(0, at) + bearer("r") + message.substr(at);
+    client_stream.send(request.substr(0, request.size() - 2));  // without the end of the body
     usleep(20000);
-    auto old = signer_.entry();
-    old.revoked = revoked;
-    run_on_loop([&] { service_->authorizer()->update_keys(std::vector{next.entry(), old}, loop_.now()); });
+    auto old_key = signer_.entry();
+    old_key.revoked = revoked;
+    run_on_loop([&] {
+      service_->authorizer()->update_keys(std::vector{next.entry(), old_key}, loop_.now());
+    });
     if (!revoked)
       run_on_loop([&] { service_->authorizer()->update_keys(std::vector{next.entry()}, loop_.now()); });
     client_stream.send(request.substr(request.size() - 2));
@@ -138,14 +147,14 @@
   }
 }
 
-TEST_F(AuthorizedRequestsTest, ATokenThatExpiresWhileItsRequestIsInFlightDoesNotEndIt) {
+TEST_F(AuthorizedRequestsTest, AnswersRequestWhoseTokenExpiresWhileItIsInFlight) {
   settings_.leeway = Duration();
-  begin_with({signer_.entry()});
-  const std::string whole = post("pay", 1900);
-  const std::size_t at = whole.find("\r\n") + 2;
+  start_router_with_keys({signer_.entry()});
+  const std::string message = post("pay", 1900);
+  const std::size_t at = message.find("\r\n") + 2;
   const std::string token = signer_.make_token("shop", "r", now(), Duration::s(1));
   Stream client_stream = connect_client();
-  client_stream.send(whole.substr(0, at) + "Authorization: Bearer " + token + "\r\n" + whole.substr(at));
+  client_stream.send(message.substr(0, at) + "Authorization: Bearer " + token + "\r\n" + message.substr(at));
   Stream attempt = take_attempt();
   ASSERT_FALSE(attempt.read_message().empty());
   usleep(1100000);
@@ -154,9 +163,9 @@
   EXPECT_EQ(status_of(answer_to(get(900, "Authorization: Bearer " + token + "\r\n"))), 401U);
 }
 
-TEST_F(AuthorizedRequestsTest, WhereProofIsOptionalAnUnprovenAccountIsServed) {
+TEST_F(AuthorizedRequestsTest, ServesUnauthenticatedRequestWhereAuthenticationIsOptional) {
   settings_.requires_authentication = false;
-  begin_with({signer_.entry()});
+  start_router_with_keys({signer_.entry()});
   std::string seen;
   EXPECT_EQ(
       status_of(serve(get(1500, "X-Account: shop\r\nX-Caller: root\r\nAuthorization: Basic x\r\n"), &seen)),
--- a/tests/authorizer_test.cpp
+++ b/tests/authorizer_test.cpp
@@ -1,4 +1,5 @@
-// The authorizer: what a token or certificate proves, rights, quotas, and the bounds of what is kept.
+// Tests of the authorizer: authentication by token and certificate, rights, quotas, and the bounded size of
+// its tables.
 #include "calling/authorizer.hpp"
 
 #include <gtest/gtest.h>
@@ -13,7 +14,7 @@
 
 const Instant kBegin = Instant::at_us(1'700'000'000'000'000);
 
-// An authorizer with one tenant and one key, and a client of it.
+// An authorizer with one tenant and one key, and the state of one client connection.
 struct AuthorizerFixture {
   CallingSettings settings = shop_settings();
   TokenSigner signer{"k1", tokens::Algorithm::kEs256};
@@ -36,13 +37,14 @@
   }
 };
 
+// Returns a token with this header and payload, signed by the signer unless a signature is given.
 std::string with_header(const TokenSigner& signer, const std::string& header, const std::string& payload,
                         const std::string& signature = "") {
   const std::string input = tokens::encode_base64url(header) + "." + tokens::encode_base64url(payload);
   return input + "." + tokens::encode_base64url(signature.empty() ? signer.key.sign(input) : signature);
 }
 
-TEST(Authorizer, EachFaultOfATokenHasItsName) {
+TEST(Authorizer, ReportsReasonForEachInvalidTokenAlsoWhenRepeated) {
   AuthorizerFixture fixture;
   const std::string claims =
       R"({"aud":"ashbeam","tenant":"shop","sub":"r","iat":1700000000,"exp":1700000060})";
@@ -102,7 +104,7 @@
   }
 }
 
-TEST(Authorizer, WhateverIsWrongCostsOneVerificationAndNoneForTheSameAgain) {
+TEST(Authorizer, VerifiesEachTokenOnceWhetherValidOrNot) {
   AuthorizerFixture fixture;
   for (const std::string& token :
        {fixture.make_token(), std::string("x.y.z"), with_header(fixture.signer, R"({"alg":"none"})", "{}"),
@@ -114,25 +116,26 @@
   }
 }
 
-TEST(Authorizer, ClocksTwoMinutesApart) {
-  for (const bool ahead : {false, true}) {
-    for (const bool wide : {false, true}) {
+TEST(Authorizer, AcceptsTokenOfClockTwoMinutesApartOnlyWithinLeeway) {
+  for (const bool issuer_ahead : {false, true}) {
+    for (const bool wide_leeway : {false, true}) {
       AuthorizerFixture fixture;
-      fixture.settings.leeway = wide ? Duration::s(130) : Duration::s(30);
+      fixture.settings.leeway = wide_leeway ? Duration::s(130) : Duration::s(30);
       fixture.authorizer.update_settings(fixture.settings, fixture.now);
       const std::string token = fixture.signer.make_token(
-          "shop", "r", fixture.now + Duration::s(ahead ? 120 : -120), Duration::s(60));
+          "shop", "r", fixture.now + Duration::s(issuer_ahead ? 120 : -120), Duration::s(60));
       const Refusal refusal = fixture.authenticate(token);
-      EXPECT_EQ(name_of(refusal), wide ? "none" : ahead ? "early" : "expired");
+      EXPECT_EQ(name_of(refusal), wide_leeway ? "none" : issuer_ahead ? "early" : "expired");
     }
   }
 }
 
-TEST(Authorizer, AClockThatIsSetWhileItRuns) {
+TEST(Authorizer, ChecksTokensAgainstAdjustedWallClock) {
   AuthorizerFixture fixture;
   const std::string token = fixture.make_token();
   EXPECT_EQ(fixture.authenticate(token), Refusal::kNone);
-  fixture.authorizer.set_wall_clock_offset(Duration::s(300));  // the machine stood still for so long
+  // As after the machine was suspended for 300 s.
+  fixture.authorizer.set_wall_clock_offset(Duration::s(300));
   EXPECT_EQ(fixture.authenticate(token), Refusal::kExpired);
   const std::string fresh =
       fixture.signer.make_token("shop", "r", fixture.now + Duration::s(300), Duration::s(60));
@@ -141,7 +144,7 @@
   EXPECT_EQ(fixture.authenticate(fresh), Refusal::kNotYetValid);
 }
 
-TEST(Authorizer, TwoKeysWithOneNameBothVerify) {
+TEST(Authorizer, VerifiesWithEachOfTwoKeysOfTheSameKid) {
   AuthorizerFixture fixture;
   const TokenSigner twin("k1", tokens::Algorithm::kEs256);
   fixture.authorizer.update_keys(std::vector{fixture.signer.entry(), twin.entry()}, fixture.now);
@@ -153,28 +156,28 @@
       Refusal::kSignature);
 }
 
-TEST(Authorizer, ATokenIsBoundToItsCertificateAndTenantsDoNotMix) {
+TEST(Authorizer, RejectsTokenBoundToOtherCertificateAndCertificateOfOtherTenant) {
   AuthorizerFixture fixture;
   calling::TenantSettings other;
   other.name = "other";
   fixture.settings.tenants.push_back(other);
   fixture.authorizer.update_settings(fixture.settings, fixture.now);
-  ClientCertificate mine{"shop", "r", {}, kBegin - Duration::s(9), kBegin + Duration::s(99)};
-  ClientCertificate theirs = mine;
-  ClientCertificate elsewhere = mine;
-  mine.sha256.fill('p');
-  theirs.sha256.fill('q');
-  elsewhere.organisation = "other";
+  ClientCertificate own_certificate{"shop", "r", {}, kBegin - Duration::s(9), kBegin + Duration::s(99)};
+  ClientCertificate other_certificate = own_certificate;
+  ClientCertificate other_tenant_certificate = own_certificate;
+  own_certificate.sha256.fill('p');
+  other_certificate.sha256.fill('q');
+  other_tenant_certificate.organisation = "other";
   const std::string bound =
       fixture.make_token(R"(,"cnf":{"x5t#S256":")" + tokens::encode_base64url(std::string(32, 'p')) + "\"}");
-  EXPECT_EQ(fixture.authenticate(bound, &mine), Refusal::kNone);
-  EXPECT_EQ(fixture.authenticate(bound, &theirs), Refusal::kCertificateBinding);
+  EXPECT_EQ(fixture.authenticate(bound, &own_certificate), Refusal::kNone);
+  EXPECT_EQ(fixture.authenticate(bound, &other_certificate), Refusal::kCertificateBinding);
   EXPECT_EQ(fixture.authenticate(bound), Refusal::kCertificateBinding);
-  EXPECT_EQ(fixture.authenticate(fixture.make_token(), &elsewhere), Refusal::kTenantMismatch);
-  EXPECT_EQ(fixture.authenticate(fixture.make_token(), &mine), Refusal::kNone);
+  EXPECT_EQ(fixture.authenticate(fixture.make_token(), &other_tenant_certificate), Refusal::kTenantMismatch);
+  EXPECT_EQ(fixture.authenticate(fixture.make_token(), &own_certificate), Refusal::kNone);
 }
 
-TEST(Authorizer, ACertificateAloneProvesAPrincipal) {
+TEST(Authorizer, AuthenticatesByValidCertificateWithoutToken) {
   AuthorizerFixture fixture;
   ClientCertificate certificate{"shop", "van 3", {}, kBegin - Duration::s(9), kBegin + Duration::s(9)};
   Credentials credentials;
@@ -192,7 +195,7 @@
             Refusal::kUnknownTenant);
 }
 
-TEST(Authorizer, NewSettingsCountForTokensVerifiedBefore) {
+TEST(Authorizer, AppliesNewSettingsToTokensVerifiedBefore) {
   AuthorizerFixture fixture;
   fixture.settings.tenants[0].subject_limit = {10, 2, 0};
   fixture.authorizer.update_settings(fixture.settings, fixture.now);
@@ -206,7 +209,7 @@
   EXPECT_EQ(admit(0), Refusal::kNone);
   EXPECT_EQ(admit(0), Refusal::kNone);
   EXPECT_EQ(admit(0), Refusal::kRateLimit);
-  fixture.settings.tenants[0].subject_limit = {10, 3, 0};  // while it is at its limit: what it used up stands
+  fixture.settings.tenants[0].subject_limit = {10, 3, 0};  // the consumed quota is retained
   fixture.authorizer.update_settings(fixture.settings, fixture.now);
   EXPECT_EQ(admit(0), Refusal::kNone);
   EXPECT_EQ(admit(0), Refusal::kRateLimit);
@@ -222,18 +225,20 @@
   EXPECT_EQ(fixture.authenticate(token), Refusal::kUnknownTenant);
 }
 
-TEST(Authorizer, AFloodOfBadTokensDoesNotStopProvenPrincipals) {
+// A flood of invalid tokens uses up the verification budget of unauthenticated connections. New tokens must
+// still be verified on authenticated connections, and on new connections if they name a known subject.
+TEST(Authorizer, VerifiesTokensOfKnownPrincipalsDuringFloodOfInvalidTokens) {
   AuthorizerFixture fixture;
   ConnectionHistory unproven;
   unsigned busy = 0;
-  unsigned bad = 0;
+  unsigned verified_invalid = 0;
   EXPECT_EQ(fixture.authenticate(fixture.make_token()), Refusal::kNone);
   QuotaHold hold;
   Duration retry_after;
   EXPECT_EQ(fixture.authorizer.admit(fixture.identity, 0, fixture.now, hold, retry_after), Refusal::kNone);
   const TokenSigner forger("k1", tokens::Algorithm::kEs256);
   for (int i = 0; i < 4000; ++i) {
-    fixture.now = fixture.now + Duration::us(50);  // ten times what may be verified
+    fixture.now = fixture.now + Duration::us(50);  // ten times the permitted verification rate
     Credentials credentials;
     Identity identity;
     unproven = {};
@@ -243,24 +248,26 @@
     credentials.authorization = field;
     const Refusal refusal =
         fixture.authorizer.authenticate(credentials, unproven, fixture.now, identity, retry_after);
-    ++(refusal == Refusal::kVerificationsBusy ? busy : bad);
+    ++(refusal == Refusal::kVerificationsBusy ? busy : verified_invalid);
     EXPECT_TRUE(refusal != Refusal::kVerificationsBusy || retry_after > Duration());
     if (i % 400 == 399) {
       fixture.history.is_authenticated = true;
       EXPECT_EQ(fixture.authenticate(fixture.make_token(",\"m\":" + std::to_string(i))), Refusal::kNone)
-          << "a new token on a proven connection";
+          << "new token on an authenticated connection";
     }
     if (i % 1000 == 999) {
       fixture.history = {};
       EXPECT_EQ(fixture.authenticate(fixture.make_token(",\"o\":" + std::to_string(i))), Refusal::kNone)
-          << "and on a new one, by a known name";
+          << "new token of a known subject on a new connection";
     }
   }
   EXPECT_GT(busy, 3000U);
-  EXPECT_LE(bad, 620U);  // 0.2 s at 2000 a second, and the burst
+  EXPECT_LE(verified_invalid, 620U);  // 0.2 s at 2000 verifications per second, and the burst
 }
 
-TEST(Authorizer, TenThousandSubjectsWithinASecondAndTheTablesStayBounded) {
+// With more subjects than the tables hold, entries are evicted all the time. A subject must not get a second
+// request by being evicted.
+TEST(Authorizer, KeepsTablesBoundedAndLimitsInForceWithTenThousandSubjects) {
   AuthorizerFixture fixture;
   fixture.settings.max_cached_tokens = 256;
   fixture.settings.max_subjects = 1024;
@@ -291,7 +298,7 @@
     if (admit_and_release()) ++admitted_again;
   }
   EXPECT_LE(authorizer.cached_token_count(), 256U);
-  EXPECT_EQ(admitted_again, 0U);  // each has its one request at most: being evicted gains none
+  EXPECT_EQ(admitted_again, 0U);  // the limit is one request for each subject
   EXPECT_GT(admitted, 900U);
 }
 
--- a/tests/calling_helpers.hpp
+++ b/tests/calling_helpers.hpp
@@ -1,4 +1,5 @@
-// Shared by the tests of the authorizer and its parts: a signer of tokens, and the settings of one tenant.
+// Helpers for the tests of the authorizer and its parts: a signing key with its kid, and settings with one
+// tenant.
 #pragma once
 #include <cmath>
 #include <string>
@@ -10,19 +11,22 @@
 
 namespace ashbeam {
 
+// A generated signing key that issues tokens.
 struct TokenSigner {
   std::string kid;
   tokens::Key key;
   TokenSigner(std::string name, tokens::Algorithm algorithm)
       : kid(std::move(name)), key(tokens::Key::generate(algorithm)) {}
 
+  // Returns the entry of the key in a key set, without activation and retirement times.
   tokens::KeyEntry entry() const {
     tokens::KeyEntry entry;
     entry.key = key;
     entry.kid = kid;
     return entry;
   }
-  // `more_members` of the claims, each with its comma before it.
+  // Returns a signed token issued at `now`. `more_members` is appended to the claims as JSON text; each
+  // member in it starts with a comma.
   std::string make_token(const std::string& tenant, const std::string& subject, Instant now,
                          Duration lifetime, const std::string& more_members = "") const {
     const auto unix_s = [](Instant at) {
@@ -35,6 +39,7 @@
   }
 };
 
+// Settings that require authentication and have the tenant "shop", without limits, and three request classes.
 inline calling::CallingSettings shop_settings() {
   calling::CallingSettings settings;
   settings.requires_authentication = true;
--- a/tests/handshake_limiter_test.cpp
+++ b/tests/handshake_limiter_test.cpp
@@ -1,4 +1,5 @@
-// The limiter of TLS handshakes.
+// Tests of the limiter of TLS handshakes: eviction of silent clients, and the order of those that wait for
+// CPU time.
 #include "calling/handshake_limiter.hpp"
 
 #include <gtest/gtest.h>
@@ -12,11 +13,11 @@
 
 Instant at_ms(double ms) { return kBegin + Duration::ms(ms); }
 
-TEST(HandshakeLimiter, EvictsTheSilentAndServesTheNewestFirst) {
+TEST(HandshakeLimiter, EvictsSilentHandshakeAndResumesNewestWaitingFirst) {
   HandshakeLimiter limiter(2, 0.1, Duration::ms(100));
   const auto first = limiter.start(kBegin);
   const auto second = limiter.start(kBegin);
-  EXPECT_EQ(limiter.start(at_ms(50)).id, HandshakeLimiter::kNone);  // neither has been silent for long
+  EXPECT_EQ(limiter.start(at_ms(50)).id, HandshakeLimiter::kNone);  // no client has been silent for 100 ms
   EXPECT_TRUE(limiter.may_continue(second.id, at_ms(60)));
   const auto third = limiter.start(at_ms(120));
   EXPECT_EQ(third.evicted, first.id);
@@ -25,7 +26,8 @@
   EXPECT_FALSE(limiter.may_continue(third.id, at_ms(122)));
   EXPECT_EQ(limiter.take_next_waiting(at_ms(123)), HandshakeLimiter::kNone);
   const Instant later = at_ms(124) + limiter.wait_time(at_ms(124));
-  EXPECT_EQ(limiter.start(later).id, HandshakeLimiter::kNone);  // those that wait for CPU are not evicted
+  // Handshakes that wait for CPU time are not evicted.
+  EXPECT_EQ(limiter.start(later).id, HandshakeLimiter::kNone);
   EXPECT_EQ(limiter.take_next_waiting(later), third.id);
   EXPECT_EQ(limiter.take_next_waiting(later), second.id);
   limiter.finish(second.id);
--- a/tests/key_ring_test.cpp
+++ b/tests/key_ring_test.cpp
@@ -1,4 +1,4 @@
-// The key ring, against a plain model of its rule and by example.
+// Tests of the key ring: a comparison with a reference model on generated histories, and single scenarios.
 #include "calling/key_ring.hpp"
 
 #include <gtest/gtest.h>
@@ -21,8 +21,8 @@
   return entry;
 }
 
-// The rule in plain words, over the whole history, for one key.
-struct PlainKey {
+// Reference model for one key: computes the expected result from the complete history of updates.
+struct ReferenceKey {
   struct Update {
     Instant at;
     bool listed;
@@ -52,16 +52,16 @@
   }
 };
 
-TEST(KeyRing, AgreesWithThePlainRuleOnGeneratedHistories) {
+TEST(KeyRing, AgreesWithReferenceModelOnGeneratedHistories) {
   std::vector<TokenSigner> signers;
   for (int i = 0; i < 5; ++i)
-    signers.emplace_back("k" + std::to_string(i % 3), tokens::Algorithm::kEdDsa);  // names shared
+    signers.emplace_back("k" + std::to_string(i % 3), tokens::Algorithm::kEdDsa);  // some keys share a kid
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     Pcg random(seed);
     const Duration overlap = Duration::s(1 + random.next_below(10));
     const Duration leeway = Duration::ms(random.next_below(1500));
     KeyRing ring({overlap, leeway});
-    std::vector<PlainKey> plain(signers.size());
+    std::vector<ReferenceKey> reference_keys(signers.size());
     Instant now = kBegin;
     for (int step = 0; step < 60; ++step) {
       now = now + Duration::ms(random.next_below(3000));
@@ -70,7 +70,7 @@
         const bool listed = random.next_below(3) > 0;
         const bool revoked = listed && random.next_below(60) == 0;
         if (listed) set.push_back(revoked ? revoked_entry(signers[i]) : signers[i].entry());
-        plain[i].history.push_back({now, listed, revoked});
+        reference_keys[i].history.push_back({now, listed, revoked});
       }
       ring.update(set, now);
       for (int query = 0; query < 10; ++query) {
@@ -83,13 +83,14 @@
           refusal = ring.check(key, issued, at);
           return true;
         });
-        ASSERT_EQ(refusal, plain[i].check(issued, at, overlap, leeway)) << seed << " " << step << " " << i;
+        ASSERT_EQ(refusal, reference_keys[i].check(issued, at, overlap, leeway))
+            << seed << " " << step << " " << i;
       }
     }
   }
 }
 
-TEST(KeyRing, ThreeSetsWithinOneOverlapAndBack) {
+TEST(KeyRing, KeepsKeysValidThroughTwoRotationsWithinOneOverlapAndBack) {
   KeyRing ring({Duration::s(60), Duration::s(1)});
   const TokenSigner a("a", tokens::Algorithm::kEdDsa), b("b", tokens::Algorithm::kEdDsa),
       c("c", tokens::Algorithm::kEdDsa);
@@ -109,15 +110,15 @@
   };
   for (const TokenSigner* signer : {&a, &b, &c})
     EXPECT_EQ(check(*signer, 5, 25), Refusal::kNone) << signer->kid;
-  EXPECT_EQ(check(a, 15, 25), Refusal::kKeyRetired);  // signed once it no longer should
-  EXPECT_EQ(check(a, 5, 71), Refusal::kKeyRetired);   // too late
+  EXPECT_EQ(check(a, 15, 25), Refusal::kKeyRetired);  // issued after the key retired
+  EXPECT_EQ(check(a, 5, 71), Refusal::kKeyRetired);   // the overlap has ended
   update(a, 30);                                      // rotated back
   EXPECT_EQ(check(a, 29, 300), Refusal::kNone);
   EXPECT_EQ(check(c, 25, 40), Refusal::kNone);
   EXPECT_EQ(check(c, 35, 40), Refusal::kKeyRetired);
 }
 
-TEST(KeyRing, ARevokedKeyStaysRevokedWhateverItIsCalledLater) {
+TEST(KeyRing, KeepsPublicKeyRevokedUnderEachLaterKid) {
   KeyRing ring({Duration::s(60), Duration::s(1)});
   const TokenSigner a("a", tokens::Algorithm::kEdDsa);
   TokenSigner renamed = a;
@@ -133,7 +134,7 @@
   }
 }
 
-TEST(KeyRing, IsBoundedAndDropsTheLongestRetired) {
+TEST(KeyRing, ReplacesEarliestRetiredKeyWhenFull) {
   KeyRing ring({Duration::s(1e6), Duration::s(1)});
   for (unsigned i = 0; i < 400; ++i) {
     const TokenSigner signer("k" + std::to_string(i), tokens::Algorithm::kEdDsa);
--- a/tests/stored_keys_test.cpp
+++ b/tests/stored_keys_test.cpp
@@ -1,4 +1,5 @@
-// Key folders and tokens that an earlier version has written are read as before. See tests/data/.
+// Tests that key folders and tokens written by an earlier version can still be used. The stored files are in
+// tests/data/.
 #include <gtest/gtest.h>
 #include <stdlib.h>
 
@@ -19,7 +20,7 @@
 
 const std::string kFolder = ASHBEAM_TEST_DATA "/earlier_version_keys";
 constexpr std::size_t kMaxFileBytes = 4096;
-constexpr double kCreatedUnixS = 1'796'293'362;  // of the keys and of the tokens
+constexpr double kCreatedUnixS = 1'796'293'362;  // creation time of the keys and the tokens
 constexpr double kRetiredUnixS = 1'796'293'365;
 constexpr Duration kTokenLifetime = Duration::s(3600);
 
@@ -27,11 +28,11 @@
 
 std::string stored_token(const std::string& kid) {
   std::string token = read_file(kFolder + "/" + kid + ".token", kMaxFileBytes);
-  token.pop_back();  // the end of the line
+  token.pop_back();  // the line feed
   return token;
 }
 
-// An authorizer that has loaded the folder, asked with one token at a given time.
+// Returns the result of authenticating the token at `now`, by an authorizer that has loaded the folder.
 Refusal authenticate(const std::string& token, Instant now, std::string* principal = nullptr) {
   CallingSettings settings = shop_settings();
   settings.issuer = "issuer";
@@ -48,7 +49,7 @@
   return refusal;
 }
 
-TEST(StoredKeys, AFolderOfAnEarlierVersionLoads) {
+TEST(StoredKeys, LoadsKeyFolderOfEarlierVersion) {
   const KeyFolder folder = read_key_folder(kFolder);
   struct Expected {
     std::string kid;
@@ -78,7 +79,7 @@
   EXPECT_EQ(tokens::serialize_key_set(folder.keys), read_file(kFolder + "/ring.json", kMaxFileBytes));
 }
 
-TEST(StoredKeys, TokensOfAnEarlierVersionVerify) {
+TEST(StoredKeys, VerifiesTokensOfEarlierVersion) {
   for (const std::string kid : {"eddsa", "es256", "retiring"}) {
     std::string principal;
     EXPECT_EQ(name_of(authenticate(stored_token(kid), kCreated + Duration::s(10), &principal)), "none")
@@ -88,11 +89,11 @@
   }
   EXPECT_EQ(name_of(authenticate(stored_token("revoked"), kCreated + Duration::s(10))), "revoked");
   EXPECT_EQ(name_of(authenticate(stored_token("retiring"), kCreated + Duration::s(600))), "retired");
-  const Instant past_expiry = kCreated + kTokenLifetime + Duration::s(31);  // and past the leeway
+  const Instant past_expiry = kCreated + kTokenLifetime + Duration::s(31);  // with the leeway of 30 s
   EXPECT_EQ(name_of(authenticate(stored_token("eddsa"), past_expiry)), "expired");
 }
 
-TEST(StoredKeys, PrivateKeysOfAnEarlierVersionSign) {
+TEST(StoredKeys, SignsWithPrivateKeysOfEarlierVersion) {
   std::string folder = testing::TempDir() + "ashbeam-stored-keys-XXXXXX";
   ASSERT_NE(::mkdtemp(folder.data()), nullptr);
   std::filesystem::copy(kFolder, folder, std::filesystem::copy_options::recursive);
--- a/tests/subject_table_test.cpp
+++ b/tests/subject_table_test.cpp
@@ -1,4 +1,4 @@
-// The table of subjects, against one that never evicts.
+// Tests of the subject table: a comparison with a table that never evicts, and a set that is full.
 #include "calling/subject_table.hpp"
 
 #include <gtest/gtest.h>
@@ -15,22 +15,23 @@
 
 const Instant kBegin = Instant::at_us(1'700'000'000'000'000);
 
-// Spreads small numbers over all sets.
+// Distributes small numbers over all sets.
 std::uint64_t hash_of(std::uint64_t subject) { return subject * 0x9e3779b97f4a7c15ULL; }
 
-TEST(SubjectTable, BeingEvictedNeverGainsARequest) {
+// Compares each decision with that of a bucket of the subject's own. Eviction may only make a limit stricter.
+TEST(SubjectTable, EvictionNeverAdmitsAdditionalRequest) {
   Pcg random(11);
   const RouterLimit rate = RouterLimit::share_of({0.2, 2, 0}, 1, 1, Duration());
   SubjectTable table(64);
-  std::map<std::uint64_t, Bucket> plain;  // each subject's own, never evicted
+  std::map<std::uint64_t, Bucket> reference;  // never evicted
   Instant now = kBegin;
-  unsigned more = 0;
-  unsigned fewer = 0;
+  unsigned additionally_admitted = 0;
+  unsigned additionally_rejected = 0;
   for (int i = 0; i < 40000; ++i) {
     now = now + Duration::ms(random.next_below(8));
     const std::uint64_t hash = hash_of(random.next_below(400) + 1);
     const std::int64_t now_ns = nanoseconds_of(now);
-    const auto [entry, is_new] = plain.try_emplace(hash);
+    const auto [entry, is_new] = reference.try_emplace(hash);
     Bucket& own = entry->second;
     if (is_new) own.reset(now_ns, Bucket::kUnset, Bucket::kUnset);
     const std::uint32_t slot = table.find_or_insert(hash, now);
@@ -38,18 +39,18 @@
     Bucket& shared = table.bucket(slot);
     const bool admitted = shared.wait_ns(rate, now_ns) == 0;
     const bool expected = own.wait_ns(rate, now_ns) == 0;
-    if (admitted && !expected) ++more;
-    if (!admitted && expected) ++fewer;
+    if (admitted && !expected) ++additionally_admitted;
+    if (!admitted && expected) ++additionally_rejected;
     if (!admitted) continue;
     shared.consume(rate, now_ns);
     own.consume(rate, now_ns);
   }
-  EXPECT_EQ(more, 0U);
-  EXPECT_GT(fewer, 0U);  // it errs toward the limit, and that happens
+  EXPECT_EQ(additionally_admitted, 0U);
+  EXPECT_GT(additionally_rejected, 0U);  // the floors of evicted subjects do reject requests
   EXPECT_GT(table.eviction_count(), 1000U);
 }
 
-TEST(SubjectTable, SubjectsWithRequestsInFlightAreNotEvicted) {
+TEST(SubjectTable, DoesNotEvictSubjectsWithRequestsInFlight) {
   SubjectTable table(1);  // one set of eight
   std::vector<std::uint32_t> slots;
   for (std::uint64_t i = 1; i <= 8; ++i) {
--- a/tests/token_cache_test.cpp
+++ b/tests/token_cache_test.cpp
@@ -1,4 +1,4 @@
-// The cache of verified tokens.
+// Tests of the cache of verified tokens.
 #include "calling/token_cache.hpp"
 
 #include <gtest/gtest.h>
@@ -17,7 +17,7 @@
   return token;
 }
 
-TEST(TokenCache, KeepsWhatIsUsedAndEvictsTheExpiredFirst) {
+TEST(TokenCache, EvictsExpiredTokenFirstThenLeastRecentlyUsed) {
   TokenCache cache(3);
   const auto has = [&](unsigned char number) {
     tokens::Digest digest;
--- a/tests/tokens_test.cpp
+++ b/tests/tokens_test.cpp
@@ -1,4 +1,4 @@
-// base64url, signature keys and key sets.
+// Tests of base64url, signature keys and key sets.
 #include <gtest/gtest.h>
 
 #include "base/pcg.hpp"
@@ -8,7 +8,7 @@
 namespace ashbeam {
 namespace {
 
-TEST(Base64url, EachByteStringHasOneEncoding) {
+TEST(Base64url, AcceptsOneEncodingOfEachByteString) {
   Pcg random(3);
   for (int i = 0; i < 300; ++i) {
     std::string bytes;
@@ -19,7 +19,7 @@
     EXPECT_FALSE(tokens::decode_base64url(bad)) << bad;
 }
 
-TEST(Keys, VerifyTheirOwnSignaturesAndNoOthers) {
+TEST(Keys, VerifyOnlyTheirOwnUnalteredSignatures) {
   for (const auto algorithm : {tokens::Algorithm::kEdDsa, tokens::Algorithm::kEs256}) {
     const tokens::Key key = tokens::Key::generate(algorithm);
     const tokens::Key other = tokens::Key::generate(algorithm);
@@ -46,7 +46,7 @@
   }
 }
 
-TEST(KeySets, ABadKeyMakesTheWholeSetCountForNothing) {
+TEST(KeySets, IgnoreUnsupportedKeysAndRejectSetWithInvalidKey) {
   const std::string good =
       "{" + TokenSigner("k", tokens::Algorithm::kEs256).key.jwk_members(false) + ",\"kid\":\"a\"}";
   EXPECT_EQ(tokens::parse_key_set("{\"keys\":[" + good +
