--- a/src/calling/refusal.hpp
+++ b/src/calling/refusal.hpp
@@ -1,5 +1,5 @@
-// Why a request is not admitted, with the HTTP status (RFC 9110, section 15.5) and the word that the client
-// is given (in X-Refused, or in WWW-Authenticate after RFC 6750, section 3).
+// The reasons for which a request is refused. Each has an HTTP status (RFC 9110, section 15.5) and a word
+// that is sent to the client: in X-Refused, or in WWW-Authenticate (RFC 6750, section 3).
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -10,10 +10,10 @@
 
 enum class Refusal : std::uint8_t {
   kNone,
-  // Nobody is proven.
+  // 401: the request could not be authenticated.
   kNoCredentials,
-  kMalformed,
-  kAlgorithm,
+  kMalformed,  // credentials that cannot be parsed, or that are ambiguous
+  kAlgorithm,  // not supported, or not the algorithm of the key
   kUnknownKey,
   kSignature,
   kKeyRevoked,
@@ -22,27 +22,28 @@
   kAudience,
   kNotYetValid,
   kExpired,
-  kLifetimeTooLong,
-  kCertificateBinding,
-  kCertificate,
-  // Somebody is proven, without the right.
+  kLifetimeTooLong,     // longer than CallingSettings::max_token_lifetime
+  kCertificateBinding,  // the token is bound to another certificate (RFC 8705)
+  kCertificate,         // the client certificate is not valid
+  // 403: the principal is authenticated, but has no right to send this request.
   kUnknownTenant,
-  kTenantMismatch,
+  kTenantMismatch,  // X-Account or the certificate names another tenant than the token
   kUnknownSubject,
-  kRequestClass,
-  // The right is there, the capacity is not.
-  kVerificationsBusy,
+  kRequestClass,  // the principal has no right to the request class
+  // 429: a limit of the router or of the principal has been reached.
+  kVerificationsBusy,  // too many signature verifications per second
   kRateLimit,
-  kInFlightLimit,
+  kInFlightLimit,  // too many requests in flight
 };
 
-struct RefusalAnswer {
+struct RefusalResponse {
   Refusal refusal;
   unsigned http_status;
-  std::string_view name;  // as on the wire
+  std::string_view wire_name;  // the word that is sent to the client
 };
 
-constexpr RefusalAnswer kRefusalAnswers[] = {
+// Indexed by Refusal.
+constexpr RefusalResponse kRefusalResponses[] = {
     {Refusal::kNone, 200, "none"},
     {Refusal::kNoCredentials, 401, "missing"},
     {Refusal::kMalformed, 401, "unreadable"},
@@ -66,22 +67,23 @@
     {Refusal::kRateLimit, 429, "rate"},
     {Refusal::kInFlightLimit, 429, "in-hand"},
 };
-constexpr std::size_t kRefusalCount = std::size(kRefusalAnswers);
+constexpr std::size_t kRefusalCount = std::size(kRefusalResponses);
 
-constexpr bool refusal_answers_in_order() {
+constexpr bool refusal_responses_are_in_order() {
   for (std::size_t i = 0; i < kRefusalCount; ++i) {
-    if (static_cast<std::size_t>(kRefusalAnswers[i].refusal) != i) return false;
+    if (static_cast<std::size_t>(kRefusalResponses[i].refusal) != i) return false;
   }
   return true;
 }
-static_assert(refusal_answers_in_order());
+static_assert(refusal_responses_are_in_order());
 static_assert(kRefusalCount == static_cast<std::size_t>(Refusal::kInFlightLimit) + 1);
 
+// Returns the word that is sent to the client.
 constexpr std::string_view name_of(Refusal refusal) {
-  return kRefusalAnswers[static_cast<std::size_t>(refusal)].name;
+  return kRefusalResponses[static_cast<std::size_t>(refusal)].wire_name;
 }
 constexpr unsigned http_status_of(Refusal refusal) {
-  return kRefusalAnswers[static_cast<std::size_t>(refusal)].http_status;
+  return kRefusalResponses[static_cast<std::size_t>(refusal)].http_status;
 }
 
 }  // namespace ashbeam::calling
--- a/src/store/files.cpp
+++ b/src/store/files.cpp
@@ -135,10 +135,10 @@
   folder.fingerprint = key_folder_fingerprint(path);
   for (const std::string& file : list_key_set_paths(path)) {
     tokens::KeySet set = tokens::parse_key_set(read_file(file, tokens::kMaxKeySetBytes));
-    if (!set.problem.empty()) throw FileError(file, set.problem);
+    if (!set.error.empty()) throw FileError(file, set.error);
     if (set.has_private_keys) require_private_permissions(file);
-    folder.ignored_keys += set.ignored;
-    for (tokens::KeyEntry& entry : set.keys) folder.keys.push_back(std::move(entry));
+    folder.ignored_keys += set.ignored_keys;
+    for (tokens::KeyEntry& listed : set.keys) folder.keys.push_back(std::move(listed));
   }
   return folder;
 }
--- a/src/tokens/jws.cpp
+++ b/src/tokens/jws.cpp
@@ -10,9 +10,9 @@
 
 namespace {
 
-constexpr double kMaxUnixS = 1e11;
+constexpr double kMaxUnixS = 1e11;  // the year 5138
 
-// False where the claim is there and no NumericDate (RFC 7519, section 2).
+// Returns false if the claim is present but is not a NumericDate (RFC 7519, section 2).
 bool read_time(const Json& claims, const char* name, std::optional<Instant>& time) {
   const auto given = claims.member(name);
   if (!given) return true;
@@ -22,7 +22,7 @@
   return true;
 }
 
-// False where the claim is there and no text, or too long.
+// Returns false if the claim is present but is not a string, or is too long.
 bool read_name(const Json& claims, std::string_view claim, std::string& name) {
   const auto given = claims.member(claim);
   if (!given) return true;
@@ -32,25 +32,27 @@
   return true;
 }
 
-// One audience or a list (RFC 7519, section 4.1.3). False where one is no text, too long, or one too many.
+// Reads one audience or a list (RFC 7519, section 4.1.3). Returns false if an audience is not a string or is
+// too long, or if there are more than kMaxAudiences.
 bool read_audiences(const Json& claims, std::vector<std::string>& audiences) {
   const auto given = claims.member("aud");
   if (!given) return true;
-  bool good = true;
+  bool is_valid = true;
   const auto add = [&](const Json& audience) {
     const auto text = audience.text();
-    good = good && text && text->size() <= kMaxNameBytes && audiences.size() < kMaxAudiences;
-    if (good) audiences.push_back(*text);
+    is_valid = is_valid && text && text->size() <= kMaxNameBytes && audiences.size() < kMaxAudiences;
+    if (is_valid) audiences.push_back(*text);
   };
   if (given->is_array()) {
     given->for_each_element(add);
   } else {
     add(*given);
   }
-  return good;
+  return is_valid;
 }
 
-// A binding of a kind that is not known here is not passed over.
+// Returns false if `cnf` is present but has no valid x5t#S256. A confirmation method that is not supported is
+// thus rejected rather than ignored, because ignoring it would remove the binding.
 bool read_certificate_binding(const Json& claims, std::optional<Digest>& certificate_sha256) {
   const auto confirmation = claims.member("cnf");
   if (!confirmation) return true;
@@ -66,7 +68,7 @@
 
 bool is_jwt_type(const std::string& type) { return type == "JWT" || type == "jwt" || type == "at+jwt"; }
 
-// False where the header is not one of a token that is understood here.
+// Returns false if the header is invalid; see parse_jws().
 bool read_header(std::string_view text, Jws& jws) {
   const auto header = parse_object(text);
   if (!header || header->member("crit") || header->member("b64")) return false;
@@ -106,12 +108,13 @@
   if (!object) return std::nullopt;
   Claims claims;
   std::optional<Instant> not_before;
-  const bool good = read_name(*object, "iss", claims.issuer) && read_name(*object, "sub", claims.subject) &&
-                    read_name(*object, tenant_claim, claims.tenant) &&
-                    read_time(*object, "exp", claims.expires) && read_time(*object, "nbf", not_before) &&
-                    read_time(*object, "iat", claims.issued) && read_audiences(*object, claims.audiences) &&
-                    read_certificate_binding(*object, claims.certificate_sha256);
-  if (!good) return std::nullopt;
+  const bool is_valid =
+      read_name(*object, "iss", claims.issuer) && read_name(*object, "sub", claims.subject) &&
+      read_name(*object, tenant_claim, claims.tenant) && read_time(*object, "exp", claims.expires_at) &&
+      read_time(*object, "nbf", not_before) && read_time(*object, "iat", claims.issued_at) &&
+      read_audiences(*object, claims.audiences) &&
+      read_certificate_binding(*object, claims.certificate_sha256);
+  if (!is_valid) return std::nullopt;
   claims.not_before = not_before.value_or(Instant());
   return claims;
 }
--- a/src/transport/handshake_scheduler.cpp
+++ b/src/transport/handshake_scheduler.cpp
@@ -25,7 +25,7 @@
 }
 
 std::optional<HandshakeScheduler::Id> HandshakeScheduler::admit() {
-  const calling::HandshakeLimiter::Started started = limiter_.start(loop_.now());
+  const calling::HandshakeLimiter::StartResult started = limiter_.start(loop_.now());
   if (started.evicted != calling::HandshakeLimiter::kNone) {
     const auto evicted = streams_.find(started.evicted);
     if (evicted != streams_.end()) evicted->second->evict();
@@ -40,7 +40,7 @@
   return may;
 }
 
-void HandshakeScheduler::add_cpu_time(Duration cpu_time) { limiter_.record_cpu(cpu_time, loop_.now()); }
+void HandshakeScheduler::add_cpu_time(Duration cpu_time) { limiter_.record_cpu_time(cpu_time, loop_.now()); }
 
 void HandshakeScheduler::finish(Id id) {
   streams_.erase(id);
@@ -49,7 +49,7 @@
 
 void HandshakeScheduler::resume_deferred() {
   for (;;) {
-    const Id id = limiter_.next_waiting(loop_.now());
+    const Id id = limiter_.take_next_waiting(loop_.now());
     if (id == calling::HandshakeLimiter::kNone) break;
     const auto deferred = streams_.find(id);
     if (deferred != streams_.end()) deferred->second->resume_handshake();
@@ -58,8 +58,8 @@
 }
 
 void HandshakeScheduler::schedule_resume() {
-  if (!limiter_.any_waiting() || resume_timer_.is_scheduled()) return;
-  resume_timer_.schedule_after(std::max(kMinDeferral, limiter_.wait(loop_.now())));
+  if (!limiter_.has_waiting() || resume_timer_.is_scheduled()) return;
+  resume_timer_.schedule_after(std::max(kMinDeferral, limiter_.wait_time(loop_.now())));
 }
 
 }  // namespace ashbeam
--- a/src/transport/handshake_scheduler.hpp
+++ b/src/transport/handshake_scheduler.hpp
@@ -41,7 +41,7 @@
   void add_cpu_time(Duration cpu_time);
   // Must be called when a handshake has ended, whether it succeeded or failed.
   void finish(Id id);
-  std::size_t in_progress() const { return limiter_.in_progress(); }
+  std::size_t in_progress() const { return limiter_.in_progress_count(); }
 
  private:
   // Resumes deferred handshakes as far as the CPU time allows.
--- a/tests/access_config_loader_test.cpp
+++ b/tests/access_config_loader_test.cpp
@@ -43,7 +43,7 @@
                0644);
   }
   void write_key_set(const std::vector<tokens::KeyEntry>& set) const {
-    write_file(folder_.at("keys/ring.json"), tokens::key_set_text(set), 0644);
+    write_file(folder_.at("keys/ring.json"), tokens::serialize_key_set(set), 0644);
   }
   void start_router() {
     before_start_ = [this] {
@@ -59,8 +59,8 @@
   }
   unsigned ask(const TokenSigner& signer) {
     Stream c = connect_client();
-    c.send(get(1500,
-               "Authorization: Bearer " + signer.token("shop", "r", loop_.now(), Duration::s(60)) + "\r\n"));
+    c.send(get(1500, "Authorization: Bearer " + signer.make_token("shop", "r", loop_.now(), Duration::s(60)) +
+                         "\r\n"));
     Stream h = take_attempt(100);
     if (h.fd >= 0 && !h.read_message().empty()) h.send(kOkAnswer);
     return status_of(c.read_message());
@@ -95,15 +95,15 @@
   write_operator_file("");
   write_key_set({signer_.entry()});
   start_router();
-  const std::string good = tokens::key_set_text({signer_.entry()});
+  const std::string good = tokens::serialize_key_set({signer_.entry()});
   struct Row {
     std::string what, text;
     unsigned mode;
   } const rows[] = {
-      {"wanted a JSON object", good.substr(0, good.size() / 2), 0644},
+      {"expected a JSON object with an array 'keys'", good.substr(0, good.size() / 2), 0644},
       {"private key file is accessible by its group or by others",
        "{\"keys\":[{\"kid\":\"p\"," + signer_.key.jwk_members(true) + "}]}", 0644},
-      {"'x' is no base64url", R"({"keys":[{"kty":"OKP","crv":"Ed25519","kid":"a","x":"*"}]})", 0644},
+      {"'x' is not valid base64url", R"({"keys":[{"kty":"OKP","crv":"Ed25519","kid":"a","x":"*"}]})", 0644},
   };
   for (const Row& row : rows) {
     write_file(folder_.at("keys/other.json"), row.text, row.mode);
@@ -145,7 +145,7 @@
   EXPECT_EQ(ask(signer_), 403U);
   TearDown();
   EXPECT_TRUE(logged("o.cue:1:"));
-  EXPECT_TRUE(logged("no path group is called lok"));
+  EXPECT_TRUE(logged("path group lok is not defined"));
   EXPECT_EQ(std::count_if(log_lines_.begin(), log_lines_.end(),
                           [](const auto& l) { return l.find("read again") != std::string::npos; }),
             2);
--- a/tests/handshake_limiter_test.cpp
+++ b/tests/handshake_limiter_test.cpp
@@ -1,4 +1,5 @@
-// The limiter of TLS handshakes.
+// Tests of the limiter of TLS handshakes: eviction of silent clients, and the order of those that wait for
+// CPU time.
 #include "calling/handshake_limiter.hpp"
 
 #include <gtest/gtest.h>
@@ -12,25 +13,26 @@
 
 Instant at_ms(double ms) { return kBegin + Duration::ms(ms); }
 
-TEST(HandshakeLimiter, EvictsTheSilentAndServesTheNewestFirst) {
+TEST(HandshakeLimiter, EvictsSilentHandshakeAndResumesNewestWaitingFirst) {
   HandshakeLimiter limiter(2, 0.1, Duration::ms(100));
   const auto first = limiter.start(kBegin);
   const auto second = limiter.start(kBegin);
-  EXPECT_EQ(limiter.start(at_ms(50)).id, HandshakeLimiter::kNone);  // neither has been silent for long
+  EXPECT_EQ(limiter.start(at_ms(50)).id, HandshakeLimiter::kNone);  // no client has been silent for 100 ms
   EXPECT_TRUE(limiter.may_continue(second.id, at_ms(60)));
   const auto third = limiter.start(at_ms(120));
   EXPECT_EQ(third.evicted, first.id);
-  limiter.record_cpu(Duration::ms(60), at_ms(120));
+  limiter.record_cpu_time(Duration::ms(60), at_ms(120));
   EXPECT_FALSE(limiter.may_continue(second.id, at_ms(121)));
   EXPECT_FALSE(limiter.may_continue(third.id, at_ms(122)));
-  EXPECT_EQ(limiter.next_waiting(at_ms(123)), HandshakeLimiter::kNone);
-  const Instant later = at_ms(124) + limiter.wait(at_ms(124));
-  EXPECT_EQ(limiter.start(later).id, HandshakeLimiter::kNone);  // those that wait for CPU are not evicted
-  EXPECT_EQ(limiter.next_waiting(later), third.id);
-  EXPECT_EQ(limiter.next_waiting(later), second.id);
+  EXPECT_EQ(limiter.take_next_waiting(at_ms(123)), HandshakeLimiter::kNone);
+  const Instant later = at_ms(124) + limiter.wait_time(at_ms(124));
+  // Handshakes that wait for CPU time are not evicted.
+  EXPECT_EQ(limiter.start(later).id, HandshakeLimiter::kNone);
+  EXPECT_EQ(limiter.take_next_waiting(later), third.id);
+  EXPECT_EQ(limiter.take_next_waiting(later), second.id);
   limiter.finish(second.id);
   limiter.finish(third.id);
-  EXPECT_EQ(limiter.in_progress(), 0U);
+  EXPECT_EQ(limiter.in_progress_count(), 0U);
 }
 
 }  // namespace
--- a/tests/token_cache_test.cpp
+++ b/tests/token_cache_test.cpp
@@ -1,4 +1,4 @@
-// The cache of verified tokens.
+// Tests of the cache of verified tokens.
 #include "calling/token_cache.hpp"
 
 #include <gtest/gtest.h>
@@ -13,11 +13,11 @@
 VerifiedToken token_numbered(unsigned char number, Duration lifetime) {
   VerifiedToken token;
   token.digest.fill(number);
-  token.expires = kBegin + lifetime;
+  token.expires_at = kBegin + lifetime;
   return token;
 }
 
-TEST(TokenCache, KeepsWhatIsUsedAndEvictsTheExpiredFirst) {
+TEST(TokenCache, EvictsExpiredTokenFirstThenLeastRecentlyUsed) {
   TokenCache cache(3);
   const auto has = [&](unsigned char number) {
     tokens::Digest digest;
