--- a/src/program/serve.cpp
+++ b/src/program/serve.cpp
@@ -128,7 +128,7 @@
   }
 
   void reload() {
-    if (service_.shutting_down()) {
+    if (service_.is_shutting_down()) {
       spdlog::info("configuration not read again: shutting down");
       return;
     }
--- a/src/routing/client_connection.cpp
+++ b/src/routing/client_connection.cpp
@@ -6,11 +6,11 @@
 
 namespace ashbeam {
 
-ClientConnection::ClientConnection(ClientConnections& owner, int accepted, std::unique_ptr<TlsStream> tls,
+ClientConnection::ClientConnection(ClientConnections& owner, int accepted_fd, std::unique_ptr<TlsStream> tls,
                                    std::size_t slot)
     : owner_(owner), slot_(slot), serial_number_(++owner.last_serial_number_),
       state_since_(owner.loop_.now()),
-      connection_(owner.loop_, owner.limits_, *this, accepted, std::move(tls)),
+      connection_(owner.loop_, owner.limits_, *this, accepted_fd, std::move(tls)),
       requests_(http::Side::kRequests, owner.limits_.max_head_bytes, owner.limits_.max_body_bytes),
       timer_(owner.loop_, [this] { on_timer(); }) {
   timer_.schedule_after(connection_.handshaking() ? owner_.handshake_timeout_()
@@ -23,13 +23,13 @@
 }
 
 void ClientConnection::on_data() {
-  if (state_ != State::kReading) return on_data_out_of_turn();
+  if (state_ != State::kReading) return on_pipelined_data();
   if (!connection_.unread().empty()) read_request();
 }
 
 // The next request waits for its turn. A client that sends more than is held unread is cut off after its
 // answer: with bytes unread its close would not be seen, and its request would be forwarded for nobody.
-void ClientConnection::on_data_out_of_turn() {
+void ClientConnection::on_pipelined_data() {
   if (state_ != State::kAwaitingAnswer) return;
   if (connection_.unread().size() < owner_.limits_.max_unread_bytes) return;
   close_after_answer_ = true;
@@ -72,7 +72,7 @@
   if (state_ != State::kAwaitingAnswer) return;
   state_ = State::kWritingAnswer;
   answered_client_error_ = status >= 400 && status < 500;
-  close_after_answer_ = close_after_answer_ || owner_.shutting_down_ || owner_.at_idle_limit();
+  close_after_answer_ = close_after_answer_ || owner_.shutting_down_ || owner_.is_at_idle_limit();
   std::string bytes = "HTTP/1.1 " + std::to_string(status) + " ";
   bytes.append(http::reason_phrase(status)).append("\r\n").append(fields);
   if (close_after_answer_) bytes += "Connection: close\r\n";
@@ -89,7 +89,7 @@
 void ClientConnection::on_answer_written() {
   timer_.cancel();
   state_since_ = owner_.loop_.now();
-  if (close_after_answer_) return linger();
+  if (close_after_answer_) return start_lingering_close();
   answered_once_ = true;
   requests_.start_next();
   if (answered_client_error_) {  // slows down a client that repeats a bad request at once
@@ -103,13 +103,13 @@
 
 void ClientConnection::close_idle() {
   closed_idle_ = true;
-  ++owner_.closed_idle_;
+  ++owner_.idle_closes_;
   state_since_ = owner_.loop_.now();
-  linger();
+  start_lingering_close();
 }
 
 // Closing with bytes unread would reset the connection, and the answer with it.
-void ClientConnection::linger() {
+void ClientConnection::start_lingering_close() {
   state_ = State::kLingering;
   connection_.shutdown_write();
   timer_.schedule_after(owner_.limits_.lingering_close_timeout);
@@ -118,7 +118,8 @@
 
 void ClientConnection::wait_for_next_request() {
   const Limits& limits = owner_.limits_;
-  const Duration timeout = owner_.crowded() ? limits.crowded_client_idle_timeout : limits.client_idle_timeout;
+  const Duration timeout =
+      owner_.is_crowded() ? limits.crowded_client_idle_timeout : limits.client_idle_timeout;
   timer_.schedule_at(state_since_ + timeout);
 }
 
@@ -134,12 +135,12 @@
     if (connection_.unread().empty()) return wait_for_next_request();
   }
   if (state_ == State::kReading && !connection_.unread().empty() && !requests_.started()) return on_data();
-  if (request_begun()) {
+  if (has_partial_request()) {
     state_ = State::kAwaitingAnswer;
     close_after_answer_ = true;
     return answer_plain(408);
   }
-  if (state_ == State::kAwaitingAnswer) return owner_.callbacks_.on_answer_overdue(*this);
+  if (state_ == State::kAwaitingAnswer) return owner_.callbacks_.on_answer_deadline(*this);
   if (state_ != State::kReading) return owner_.remove(this);
   if (!connection_.is_idle())
     return timer_.schedule_after(owner_.limits_.min_idle_before_close);  // a request is coming
--- a/src/routing/client_connection.hpp
+++ b/src/routing/client_connection.hpp
@@ -23,7 +23,8 @@
 class ClientConnection : private Connection::Owner {
  public:
   // `accepted` is the socket, `tls` null on a plain connection, `slot` the index in the owner's table.
-  ClientConnection(ClientConnections& owner, int accepted, std::unique_ptr<TlsStream> tls, std::size_t slot);
+  ClientConnection(ClientConnections& owner, int accepted_fd, std::unique_ptr<TlsStream> tls,
+                   std::size_t slot);
 
   // Answers the request at hand. `fields` are complete header lines and say how `body` is framed.
   void answer(unsigned status, std::string_view fields, std::string_view body);
@@ -34,14 +35,14 @@
   // The connection ends after the answer to the request at hand.
   void close_after_answer() { close_after_answer_ = true; }
   // What the connection's handshake has proven, as things stand now; nothing on a plain one.
-  TlsStream::PeerProof proof(Instant now) const {
+  TlsStream::PeerProof peer_proof(Instant now) const {
     return connection_.tls_stream() ? connection_.tls_stream()->peer_proof(now) : TlsStream::PeerProof();
   }
   // Of this connection, never given twice.
   std::uint64_t serial_number() const { return serial_number_; }
 
-  std::optional<RequestId> request;    // the one at hand, set by its owner
-  calling::ConnectionHistory history;  // of the connection, kept for the authorizer
+  std::optional<RequestId> request_id;  // the one at hand, set by its owner
+  calling::ConnectionHistory history;   // of the connection, kept for the authorizer
 
  private:
   friend class ClientConnections;
@@ -59,17 +60,17 @@
   void on_write_complete() override;
   void on_closed() override;
 
-  void on_data_out_of_turn();
+  void on_pipelined_data();
   void read_request();
   void on_answer_written();
   void on_timer();
   void wait_for_next_request();
-  void linger();
+  void start_lingering_close();
   // Ends the connection between two requests.
   void close_idle();
-  bool request_begun() const { return state_ == State::kReading && requests_.started(); }
-  bool kept_alive() const { return state_ == State::kReading && answered_once_; }
-  bool between_requests() const { return kept_alive() && !requests_.started(); }
+  bool has_partial_request() const { return state_ == State::kReading && requests_.started(); }
+  bool is_kept_alive() const { return state_ == State::kReading && answered_once_; }
+  bool is_between_requests() const { return is_kept_alive() && !requests_.started(); }
 
   ClientConnections& owner_;
   std::size_t slot_;
--- a/src/routing/client_connections.cpp
+++ b/src/routing/client_connections.cpp
@@ -9,12 +9,12 @@
 ClientConnections::ClientConnections(EventLoop& loop, const Limits& limits, const std::string& address,
                                      Callbacks callbacks)
     : loop_(loop), limits_(limits), callbacks_(std::move(callbacks)),
-      room_timer_(loop, [this] { make_room(); }),
+      make_room_timer_(loop, [this] { make_room(); }),
       listener_(loop, address, limits.accept_backlog, [this](int fd) { on_accept(fd, false); }) {}
 
-void ClientConnections::listen_with_tls(const std::string& address, MakeTlsStream make_tls,
+void ClientConnections::listen_with_tls(const std::string& address, TlsStreamFactory make_tls_stream,
                                         std::function<Duration()> handshake_timeout) {
-  make_tls_ = std::move(make_tls);
+  make_tls_stream_ = std::move(make_tls_stream);
   handshake_timeout_ = std::move(handshake_timeout);
   tls_listener_ = std::make_unique<Listener>(loop_, address, limits_.accept_backlog,
                                              [this](int fd) { on_accept(fd, true); });
@@ -30,7 +30,7 @@
   last_accepted_ = loop_.now();
   std::unique_ptr<TlsStream> tls;
   if (with_tls) {
-    tls = make_tls_(fd);
+    tls = make_tls_stream_(fd);
     if (!tls) {
       ::close(fd);
       return;
@@ -42,20 +42,20 @@
 
 // As the last resort accepting pauses, until a connection ends or has been idle long enough.
 void ClientConnections::make_room() {
-  if (!full()) return pause_listeners(false);
+  if (!is_full()) return pause_listeners(false);
   if (!evict_one()) pause_accepting();
 }
 
-bool ClientConnections::at_idle_limit() const {
+bool ClientConnections::is_at_idle_limit() const {
   if (connections_.size() <= limits_.max_idle_client_connections) return false;
   const auto idle = std::count_if(connections_.begin(), connections_.end(),
-                                  [](const auto& connection) { return connection->between_requests(); });
+                                  [](const auto& connection) { return connection->is_between_requests(); });
   return static_cast<std::size_t>(idle) >= limits_.max_idle_client_connections;
 }
 
 void ClientConnections::pause_accepting() {
   pause_listeners(true);
-  room_timer_.schedule_after(limits_.new_connection_grace_period);
+  make_room_timer_.schedule_after(limits_.new_connection_grace_period);
 }
 
 bool ClientConnections::may_be_evicted(const ClientConnection& connection, Instant now) const {
@@ -63,15 +63,16 @@
   const bool reading = connection.state_ == State::kReading;
   const bool lingering = connection.state_ == State::kLingering;
   if (!lingering && !reading && connection.state_ != State::kDelayed) return false;
-  Duration spared = limits_.new_connection_grace_period;
-  if (connection.kept_alive()) {
-    spared = connection.request_begun() ? limits_.partial_request_timeout : limits_.min_idle_before_close;
+  Duration min_age = limits_.new_connection_grace_period;
+  if (connection.is_kept_alive()) {
+    min_age =
+        connection.has_partial_request() ? limits_.partial_request_timeout : limits_.min_idle_before_close;
   }
-  return now - connection.state_since_ >= spared;
+  return now - connection.state_since_ >= min_age;
 }
 
 ClientConnections::EvictionRank ClientConnections::eviction_rank(const ClientConnection& connection) {
-  return {connection.kept_alive(), connection.state_since_};
+  return {connection.is_kept_alive(), connection.state_since_};
 }
 
 ClientConnection* ClientConnections::eviction_candidate(Instant now) const {
@@ -80,7 +81,7 @@
   for (const auto& connection : connections_) {
     if (!may_be_evicted(*connection, now)) continue;
     const EvictionRank rank = eviction_rank(*connection);
-    if (candidate && !rank.before(candidate_rank)) continue;
+    if (candidate && !rank.is_before(candidate_rank)) continue;
     const bool lingering = connection->state_ == ClientConnection::State::kLingering;
     if (!lingering && !connection->connection_.is_idle()) continue;
     candidate = connection.get();
@@ -93,15 +94,15 @@
   const Instant now = loop_.now();
   ClientConnection* const candidate = eviction_candidate(now);
   if (!candidate) return false;
-  if (candidate->between_requests()) {  // then no other kind is left that may go
+  if (candidate->is_between_requests()) {  // then no other kind is left that may go
     for (const auto& connection : connections_) {
       const bool idle_long_enough = now - connection->state_since_ >= limits_.min_idle_before_close;
-      if (connection->between_requests() && idle_long_enough && connection->connection_.is_idle())
+      if (connection->is_between_requests() && idle_long_enough && connection->connection_.is_idle())
         connection->close_idle();
     }
     return false;
   }
-  if (candidate->request_begun()) {
+  if (candidate->has_partial_request()) {
     candidate->state_ = ClientConnection::State::kAwaitingAnswer;
     candidate->close_after_answer_ = true;
     candidate->answer_plain(503);
@@ -112,7 +113,7 @@
 
 void ClientConnections::remove(ClientConnection* connection) {
   connection->timer_.cancel();
-  if (connection->closed_idle_ && connection->connection_.has_discarded_input()) ++closed_idle_with_request_;
+  if (connection->closed_idle_ && connection->connection_.has_discarded_input()) ++idle_closes_with_request_;
   connection->connection_.close();
   const std::size_t slot = connection->slot_;
   std::swap(connections_[slot], connections_.back());
--- a/src/routing/client_connections.hpp
+++ b/src/routing/client_connections.hpp
@@ -27,15 +27,15 @@
     // The client closed before its answer; the connection must not be used after this.
     std::function<void(ClientConnection&)> on_client_closed;
     // The deadline of the answer has passed.
-    std::function<void(ClientConnection&)> on_answer_overdue;
+    std::function<void(ClientConnection&)> on_answer_deadline;
   };
   // Makes the TLS side of an accepted socket; null refuses the connection.
-  using MakeTlsStream = std::function<std::unique_ptr<TlsStream>(int fd)>;
+  using TlsStreamFactory = std::function<std::unique_ptr<TlsStream>(int fd)>;
 
   ClientConnections(EventLoop& loop, const Limits& limits, const std::string& address, Callbacks callbacks);
 
   // A second listener, behind TLS. A handshake has to end within `handshake_timeout`.
-  void listen_with_tls(const std::string& address, MakeTlsStream make_tls,
+  void listen_with_tls(const std::string& address, TlsStreamFactory make_tls_stream,
                        std::function<Duration()> handshake_timeout);
   std::uint16_t port() const { return listener_.port(); }
   std::uint16_t tls_port() const { return tls_listener_ ? tls_listener_->port() : 0; }
@@ -51,9 +51,9 @@
   // No connection is left, and each last answer has been read as far as can be seen.
   bool empty() const { return connections_.empty(); }
   // Connections ended between requests so far.
-  std::size_t closed_idle() const { return closed_idle_; }
+  std::size_t idle_close_count() const { return idle_closes_; }
   // Those of them on which a request came all the same: its client has to send it again elsewhere.
-  std::size_t closed_idle_with_request() const { return closed_idle_with_request_; }
+  std::size_t idle_close_with_request_count() const { return idle_closes_with_request_; }
 
  private:
   friend class ClientConnection;
@@ -61,7 +61,7 @@
   struct EvictionRank {
     bool kept_alive = false;  // has had an answer, and waits for the next request
     Instant since;
-    bool before(const EvictionRank& other) const {
+    bool is_before(const EvictionRank& other) const {
       return kept_alive == other.kept_alive ? since < other.since : !kept_alive;
     }
   };
@@ -73,9 +73,9 @@
   void make_room();
   // Are as many connections between requests as may be? The answer at hand is then the last of its
   // connection, since no request can cross that.
-  bool at_idle_limit() const;
-  bool full() const { return connections_.size() >= limits_.max_client_connections; }
-  bool crowded() const { return connections_.size() * 2 >= limits_.max_client_connections; }
+  bool is_at_idle_limit() const;
+  bool is_full() const { return connections_.size() >= limits_.max_client_connections; }
+  bool is_crowded() const { return connections_.size() * 2 >= limits_.max_client_connections; }
   // Closes one connection to make room: of those idle long enough one that never had an answer before one
   // that has, then the one that has been idle longest. A client that has sent half a request is answered 503.
   // False where none may go now; those between requests are ended then, and closed at a later call.
@@ -88,14 +88,14 @@
   const Limits& limits_;
   Callbacks callbacks_;
   bool shutting_down_ = false;
-  std::size_t closed_idle_ = 0;
-  std::size_t closed_idle_with_request_ = 0;
+  std::size_t idle_closes_ = 0;
+  std::size_t idle_closes_with_request_ = 0;
   Instant last_accepted_;
   std::uint64_t last_serial_number_ = 0;
   std::vector<std::unique_ptr<ClientConnection>> connections_;
-  Timer room_timer_;
+  Timer make_room_timer_;
   Listener listener_;
-  MakeTlsStream make_tls_;
+  TlsStreamFactory make_tls_stream_;
   std::function<Duration()> handshake_timeout_;
   std::unique_ptr<Listener> tls_listener_;
 };
--- a/src/routing/discovery_client.hpp
+++ b/src/routing/discovery_client.hpp
@@ -2,10 +2,10 @@
 // of the endpoint list. A watch that falls silent or stalls is replaced by another at once, twice at the
 // most.
 //
-// Order of calls: apply_line() with the configured list, if there is one; watch() to begin, and again each
+// Order of calls: apply_list() with the configured list, if there is one; watch() to begin, and again each
 // time on_watch_ended() says that no other watch was begun. No callback comes while the owner is in a call to
-// this object, but for apply_line() and move_to(). Units: as in Limits. Errors: a WatchEndReason. Source: the
-// protocol's discovery pages; chunked bodies as in RFC 9112, section 7.1.
+// this object, but for apply_list() and change_address(). Units: as in Limits. Errors: a WatchEndReason.
+// Source: the protocol's discovery pages; chunked bodies as in RFC 9112, section 7.1.
 #pragma once
 #include <cstdint>
 #include <memory>
@@ -24,22 +24,22 @@
 namespace ashbeam {
 
 enum class WatchEndReason : std::uint8_t {
-  kEnded,
-  kLocalFailure,  // this machine could not connect
-  kSilent,        // no complete line in time
-  kStalled,       // no further byte of a line that had begun
-  kMoved,         // discovery is at another address
-  kNoHttp,
-  kBadStatus,
-  kBadChunks,
-  kBadLine,
+  kClosed,
+  kLocalFailure,    // this machine could not connect
+  kSilent,          // no complete line in time
+  kStalled,         // no further byte of a line that had begun
+  kAddressChanged,  // discovery is at another address
+  kInvalidHttp,
+  kUnexpectedStatus,
+  kInvalidChunks,
+  kInvalidLine,
 };
 const char* name_of(WatchEndReason reason);
 
 struct WatchEnd {
-  WatchEndReason reason = WatchEndReason::kEnded;
-  bool replaced = false;  // another watch has been begun already
-  bool refused = false;   // the machine is there, and nothing listens
+  WatchEndReason reason = WatchEndReason::kClosed;
+  bool replaced = false;            // another watch has been begun already
+  bool connection_refused = false;  // the machine is there, and nothing listens
 };
 
 class DiscoveryClient : private Connection::Owner {
@@ -52,7 +52,7 @@
     // confirms nothing: the watch may have fallen silent before it.
     virtual void on_list_confirmed() = 0;
     // The first bytes of an answer or of a line have come, and not all of it.
-    virtual void on_line_begun() = 0;
+    virtual void on_line_started() = 0;
     virtual void on_watch_ended(const WatchEnd& end) = 0;
   };
 
@@ -61,11 +61,11 @@
 
   // A list in discovery's form, from the watch or from elsewhere. False where it is none, or is to be asked
   // for once more.
-  bool apply_line(std::string_view line);
+  bool apply_list(std::string_view line);
   // Begins a watch unless one stands.
   void watch();
   // Discovery is elsewhere from now on: a watch that stands is begun anew there, from the list known last.
-  void move_to(const std::string& address);
+  void change_address(const std::string& address);
   const std::string& address() const { return address_; }
 
  private:
@@ -74,21 +74,21 @@
   void on_data() override;
   void on_closed() override;
 
-  void begin_call(Duration first_line_timeout);
+  void start_call(Duration first_line_timeout);
   bool read_head(std::string_view& bytes);
   bool on_line(std::string_view line);
   bool is_stale(const EndpointList& list) const { return has_list_ && list.revision < revision_; }
-  bool confirm_stale_list(const EndpointList& list);
-  void on_silence();
-  void replace(WatchEndReason reason);
+  bool accept_stale_list(const EndpointList& list);
+  void on_silence_timeout();
+  void replace_watch(WatchEndReason reason);
   // Have bytes of an answer or a line come, and not all of it?
-  bool line_begun() const;
-  void watch_for_stall();
-  void fail(WatchEndReason reason, bool refused = false);
+  bool has_incomplete_line() const;
+  void check_for_stall();
+  void end_watch(WatchEndReason reason, bool connection_refused = false);
   void close_call(WatchEndReason reason);
-  const char* progress() const;
+  const char* progress_text() const;
   unsigned long long call_number() const { return call_number_; }
-  double call_ms() const { return (loop_.now() - call_began_at_).ms(); }
+  double call_ms() const { return (loop_.now() - call_started_at_).ms(); }
 
   EventLoop& loop_;
   const Limits& limits_;
@@ -121,7 +121,7 @@
   // For the log.
   std::uint64_t call_number_ = 0;
   std::uint64_t call_bytes_ = 0;
-  Instant call_began_at_;
+  Instant call_started_at_;
 };
 
 }  // namespace ashbeam
--- a/src/routing/endpoint_list_lease.cpp
+++ b/src/routing/endpoint_list_lease.cpp
@@ -20,17 +20,17 @@
   on_changed("started");
 }
 
-void EndpointListLease::confirmed() {
+void EndpointListLease::on_list_confirmed() {
   lease_.confirmed(context_.loop.now());
   on_changed("confirmed");
 }
 
-void EndpointListLease::line_begun() {
+void EndpointListLease::on_line_started() {
   lease_.line_begun(context_.loop.now());
   publish();
 }
 
-void EndpointListLease::watch_lost(const char* reason, bool discovery_refused) {
+void EndpointListLease::on_watch_lost(const char* reason, bool discovery_refused) {
   lease_.watch_lost();
   if (discovery_refused) lease_.unreachable(context_.loop.now());
   on_changed(reason);
--- a/src/routing/endpoint_list_lease.hpp
+++ b/src/routing/endpoint_list_lease.hpp
@@ -16,9 +16,9 @@
   void start();
 
   // See policy::EndpointLease for these.
-  void confirmed();
-  void line_begun();
-  void watch_lost(const char* reason, bool discovery_refused);
+  void on_list_confirmed();
+  void on_line_started();
+  void on_watch_lost(const char* reason, bool discovery_refused);
 
   policy::LeaseState state() const { return lease_.state(context_.loop.now()); }
   Instant confirmed_at() const { return lease_.confirmed_at(); }
--- a/src/routing/endpoint_list_message.cpp
+++ b/src/routing/endpoint_list_message.cpp
@@ -20,7 +20,7 @@
 
 ListedEndpoint decode_entry(const Json& entry) {
   ListedEndpoint endpoint;
-  endpoint.text = entry.raw();
+  endpoint.raw_json = entry.raw();
   endpoint.uid = entry.text("uid");
   endpoint.state = endpoint_state_of(entry.text("state"));
   endpoint.address = entry.text("endpoint");
--- a/src/routing/endpoint_list_message.hpp
+++ b/src/routing/endpoint_list_message.hpp
@@ -24,12 +24,12 @@
   std::string zone;
   std::string machine_type;
   unsigned cell = 0;
-  std::string_view text;  // as it came; valid as long as the line
+  std::string_view raw_json;  // as it came; valid as long as the line
 
   // Does it name an endpoint, and a known state?
-  bool identified() const { return !uid.empty() && state.has_value(); }
+  bool has_uid_and_state() const { return !uid.empty() && state.has_value(); }
   // Is all there that a correct entry has?
-  bool well_formed() const { return identified() && version.value_or(-1) >= 0; }
+  bool is_well_formed() const { return has_uid_and_state() && version.value_or(-1) >= 0; }
 };
 
 struct EndpointList {
--- a/src/routing/endpoint_pools.cpp
+++ b/src/routing/endpoint_pools.cpp
@@ -33,9 +33,9 @@
         timer_(pools.loop_, [this] { on_timer(); }) {}
 
   EndpointIndex endpoint() const { return endpoint_; }
-  bool in_flight() const { return on_end_ != nullptr; }
-  bool written() const { return !make_bytes_ && !connection_.may_have_unwritten_output(); }
-  bool usable() const { return connection_.is_idle(); }
+  bool is_in_flight() const { return on_end_ != nullptr; }
+  bool is_written() const { return !build_request_ && !connection_.may_have_unwritten_output(); }
+  bool is_usable() const { return connection_.is_idle(); }
   bool has_unsolicited_bytes() const { return connection_.has_input(); }
   Instant idle_since() const { return idle_since_; }
   Instant opened_at() const { return opened_at_; }
@@ -49,67 +49,67 @@
     connection_.close();
   }
 
-  void send(MakeBytes make_bytes, Instant until, OnEnd on_end) {
+  void send(RequestBuilder build_request, Instant deadline, EndCallback on_end) {
     on_end_ = std::move(on_end);
-    until_ = until;
+    deadline_ = deadline;
     answers_.start_next();
     if (!connection_.connecting()) {
-      timer_.schedule_at(until);
-      connection_.write(make_bytes(until));
+      timer_.schedule_at(deadline);
+      connection_.write(build_request(deadline));
       return;
     }
-    make_bytes_ = std::move(make_bytes);
-    timer_.schedule_at(std::min(until, pools_.loop_.now() + pools_.connect_timeout_));
+    build_request_ = std::move(build_request);
+    timer_.schedule_at(std::min(deadline, pools_.loop_.now() + pools_.connect_timeout_));
   }
 
   // Ends the attempt, from a callback of the connection.
-  void finish(AttemptResult result) {
-    const OnEnd on_end = take_on_end();
+  void end_attempt(AttemptResult result) {
+    const EndCallback on_end = take_end_callback();
     on_end(result, nullptr);
   }
 
   // The same from a call of the owner, who is notified after it.
-  void finish_later(AttemptResult result) {
-    pools_.loop_.post([on_end = take_on_end(), result] { on_end(result, nullptr); });
+  void end_attempt_later(AttemptResult result) {
+    pools_.loop_.post([on_end = take_end_callback(), result] { on_end(result, nullptr); });
   }
 
   // What is not written completely has not run.
-  AttemptResult unless_unwritten(AttemptResult result) const {
-    if (written()) return result;
+  AttemptResult effective_result(AttemptResult result) const {
+    if (is_written()) return result;
     return connection_.failure() == Failure::kLocal ? AttemptResult::kLocalFailure
                                                     : AttemptResult::kConnectFailed;
   }
 
   void on_connected() override {
     opened_at_ = pools_.loop_.now();
-    if (!in_flight()) return;
-    timer_.schedule_at(until_);
-    connection_.write(std::exchange(make_bytes_, nullptr)(until_));
+    if (!is_in_flight()) return;
+    timer_.schedule_at(deadline_);
+    connection_.write(std::exchange(build_request_, nullptr)(deadline_));
   }
 
   void on_data() override {
-    if (!in_flight()) return on_unsolicited_data();
+    if (!is_in_flight()) return on_unsolicited_data();
     std::string_view bytes = connection_.unread();
     const std::size_t unread = bytes.size();
     const auto got = answers_.feed(bytes);
     connection_.consume(unread - bytes.size());
     if (got == http::ParseResult::kIncomplete) return;
-    if (got == http::ParseResult::kInvalid) return finish(unless_unwritten(AttemptResult::kReset));
+    if (got == http::ParseResult::kInvalid) return end_attempt(effective_result(AttemptResult::kReset));
     if (!bytes.empty()) pools_.pools_[endpoint_].unsolicited_at = pools_.loop_.now();
     on_answer(bytes.empty() && !answers_.closes_connection());
   }
 
   void on_closed() override {
-    if (!in_flight()) return pools_.remove(this);
+    if (!is_in_flight()) return pools_.remove(this);
     // Only an end in order ends a body without a length: a reset may come in the middle of it.
     if (!connection_.broken() && answers_.end_of_stream() == http::ParseResult::kComplete)
       return on_answer(false);
-    finish(unless_unwritten(AttemptResult::kReset));
+    end_attempt(effective_result(AttemptResult::kReset));
   }
 
  private:
-  OnEnd take_on_end() {
-    OnEnd on_end = std::exchange(on_end_, nullptr);
+  EndCallback take_end_callback() {
+    EndCallback on_end = std::exchange(on_end_, nullptr);
     pools_.remove(this);
     return on_end;
   }
@@ -119,18 +119,18 @@
     pools_.remove(this);
   }
 
-  void on_answer(bool keep) {
+  void on_answer(bool keep_open) {
     const AttemptResult result = result_of(answers_);
-    const OnEnd on_end = std::exchange(on_end_, nullptr);
-    keep = keep && written();
+    const EndCallback on_end = std::exchange(on_end_, nullptr);
+    keep_open = keep_open && is_written();
     idle_since_ = pools_.loop_.now();
-    if (keep) {
+    if (keep_open) {
       timer_.schedule_at(idle_since_ + pools_.limits_.endpoint_idle_timeout);
     } else {
       timer_.cancel();
     }
     on_end(result, &answers_);
-    if (keep && reusable_) {
+    if (keep_open && reusable_) {
       pools_.pools_[endpoint_].idle.push_back(this);
     } else {
       pools_.remove(this);
@@ -138,8 +138,8 @@
   }
 
   void on_timer() {
-    if (!in_flight()) return pools_.remove(this);
-    finish(unless_unwritten(AttemptResult::kTimeout));
+    if (!is_in_flight()) return pools_.remove(this);
+    end_attempt(effective_result(AttemptResult::kTimeout));
   }
 
   EndpointPools& pools_;
@@ -148,9 +148,9 @@
   Connection connection_;
   http::MessageParser answers_;
   Timer timer_;
-  OnEnd on_end_;          // none where no attempt is in flight
-  MakeBytes make_bytes_;  // until the connection is open
-  Instant until_;
+  EndCallback on_end_;            // none where no attempt is in flight
+  RequestBuilder build_request_;  // until the connection is open
+  Instant deadline_;
   Instant idle_since_;
   Instant opened_at_ = Instant::never();
   bool reusable_ = true;
@@ -178,8 +178,8 @@
   for (PooledConnection* connection : in_use) {
     connection->close_after_answer();
     // The attempt provably never ran: it ends as if no connection had come up.
-    if (connection->in_flight() && !connection->written())
-      connection->finish_later(AttemptResult::kConnectFailed);
+    if (connection->is_in_flight() && !connection->is_written())
+      connection->end_attempt_later(AttemptResult::kConnectFailed);
   }
 }
 
@@ -187,9 +187,9 @@
 // settles before it is used again. Where many connections to one endpoint settle at a time, each would cost a
 // new one: there the time is short, unless the endpoint has sent unsolicited bytes lately.
 Duration EndpointPools::settle_time(const Pool& pool) const {
-  const bool suspect = loop_.now() - pool.unsolicited_at < limits_.unsolicited_bytes_retention;
+  const bool sent_unsolicited_bytes = loop_.now() - pool.unsolicited_at < limits_.unsolicited_bytes_retention;
   const bool busy = pool.idle.size() >= limits_.max_settling_connections;
-  return busy && !suspect ? limits_.busy_endpoint_settle_time : limits_.endpoint_settle_time;
+  return busy && !sent_unsolicited_bytes ? limits_.busy_endpoint_settle_time : limits_.endpoint_settle_time;
 }
 
 EndpointPools::PooledConnection* EndpointPools::take_idle(EndpointIndex endpoint) {
@@ -198,7 +198,7 @@
   for (std::size_t i = idle.size(); i-- > 0;) {
     PooledConnection* const connection = idle[i];
     if (connection->idle_since() > settled) continue;
-    if (connection->usable()) {
+    if (connection->is_usable()) {
       idle.erase(idle.begin() + static_cast<std::ptrdiff_t>(i));
       return connection;
     }
@@ -228,8 +228,8 @@
   return connections_.back().get();
 }
 
-EndpointPools::PooledConnection* EndpointPools::send(EndpointIndex endpoint, MakeBytes make_bytes,
-                                                     Instant until, OnEnd on_end) {
+EndpointPools::PooledConnection* EndpointPools::send(EndpointIndex endpoint, RequestBuilder build_request,
+                                                     Instant deadline, EndCallback on_end) {
   PooledConnection* connection = nullptr;
   if (endpoint < pools_.size()) {
     connection = take_idle(endpoint);
@@ -240,17 +240,17 @@
     loop_.post([on_end = std::move(on_end)] { on_end(AttemptResult::kLocalFailure, nullptr); });
     return nullptr;
   }
-  connection->send(std::move(make_bytes), until, std::move(on_end));
+  connection->send(std::move(build_request), deadline, std::move(on_end));
   return connection;
 }
 
 void EndpointPools::cancel(PooledConnection* connection) {
-  connection->finish_later(connection->unless_unwritten(AttemptResult::kCancelled));
+  connection->end_attempt_later(connection->effective_result(AttemptResult::kCancelled));
 }
 
 bool EndpointPools::cancel_if_unsent(PooledConnection* connection) {
-  if (connection->written()) return false;
-  connection->finish_later(AttemptResult::kCancelledBeforeSent);
+  if (connection->is_written()) return false;
+  connection->end_attempt_later(AttemptResult::kCancelledBeforeSent);
   return true;
 }
 
--- a/src/routing/endpoint_pools.hpp
+++ b/src/routing/endpoint_pools.hpp
@@ -28,9 +28,9 @@
  public:
   class PooledConnection;
   // The attempt's end. The answer is valid during the call only, and null where none came.
-  using OnEnd = std::function<void(AttemptResult, const http::MessageParser* answer)>;
+  using EndCallback = std::function<void(AttemptResult, const http::MessageParser* answer)>;
   // Makes the request's bytes, once its connection is open; `until` is when the attempt is given up.
-  using MakeBytes = std::function<std::string(Instant until)>;
+  using RequestBuilder = std::function<std::string(Instant deadline)>;
 
   // `connect_timeout` bounds how long an attempt waits to be written.
   EndpointPools(EventLoop& loop, const Limits& limits, Duration connect_timeout);
@@ -40,7 +40,8 @@
 
   void update(EndpointIndex endpoint, const EndpointPoolUpdate& update);
   // The connection, for cancel(), is valid until the attempt has ended; null where there is none.
-  PooledConnection* send(EndpointIndex endpoint, MakeBytes make_bytes, Instant until, OnEnd on_end);
+  PooledConnection* send(EndpointIndex endpoint, RequestBuilder build_request, Instant deadline,
+                         EndCallback on_end);
   // Gives the attempt up; its end is notified after this returns.
   void cancel(PooledConnection* connection);
   // The same if the attempt is not written completely, so that it has never run; the connection must not be
--- a/src/routing/endpoint_registry.cpp
+++ b/src/routing/endpoint_registry.cpp
@@ -33,15 +33,15 @@
   for (const ListedEndpoint& entry : list.endpoints) apply_entry(entry);
   if (list.complete) remove_unlisted();
   context_.policy.at_now().end_endpoint_update();
-  forget_removed();
+  free_removed_indices();
 }
 
 void EndpointRegistry::apply_entry(const ListedEndpoint& entry) {
-  if (!entry.identified()) {
+  if (!entry.has_uid_and_state()) {
     return context_.log("endpoint list: an entry with no id or an unknown state is ignored: " +
-                        std::string(entry.text.substr(0, kMaxLoggedEntryBytes)));
+                        std::string(entry.raw_json.substr(0, kMaxLoggedEntryBytes)));
   }
-  const auto index = index_for(entry);
+  const auto index = find_or_assign_index(entry);
   if (!index) return;
   Endpoint& endpoint = endpoints_[*index];
   const bool process_replaced = update(endpoint, entry);
@@ -51,14 +51,14 @@
   update.endpoint = *index;
   update.state = *entry.state;
   update.version = static_cast<ReleaseVersion>(std::lround(std::clamp(endpoint.version, 0.0, kMaxVersion)));
-  update.zone = index_or_report(zones_, entry.zone, "zones");
+  update.zone = name_index_of(zones_, entry.zone, "zones");
   update.cell = entry.cell;
-  update.machine_type = index_or_report(machine_types_, entry.machine_type, "machine types");
+  update.machine_type = name_index_of(machine_types_, entry.machine_type, "machine types");
   update.started_at = endpoint.started_at;
   context_.policy.at_now().update_endpoint(update);
 }
 
-std::optional<EndpointIndex> EndpointRegistry::index_for(const ListedEndpoint& entry) {
+std::optional<EndpointIndex> EndpointRegistry::find_or_assign_index(const ListedEndpoint& entry) {
   if (const auto known = find(entry.uid)) return known;
   if (entry.state == EndpointState::kRemoved) return std::nullopt;
   auto index = static_cast<EndpointIndex>(endpoints_.size());
@@ -95,7 +95,7 @@
   return process_replaced;
 }
 
-unsigned EndpointRegistry::index_or_report(NameTable& names, const std::string& name, const char* setting) {
+unsigned EndpointRegistry::name_index_of(NameTable& names, const std::string& name, const char* setting) {
   const unsigned index = names.index_of(name);
   if (const auto unknown = names.take_unreported())
     context_.log("endpoint list: '" + *unknown + "' is not in the settings' " + setting);
@@ -113,7 +113,7 @@
 }
 
 // Bounds the table where uids are always new ones.
-void EndpointRegistry::forget_removed() {
+void EndpointRegistry::free_removed_indices() {
   const Instant long_ago = context_.loop.now() - context_.limits.removed_endpoint_retention;
   std::erase_if(indices_, [&](const auto& entry) {
     const Endpoint& endpoint = endpoints_[entry.second];
--- a/src/routing/endpoint_registry.hpp
+++ b/src/routing/endpoint_registry.hpp
@@ -1,9 +1,9 @@
 // The endpoints by index, as the endpoint list has them: gives out the indices, and notifies the decisions
 // and the connection pools of each change.
 //
-// Order of calls: apply() with each list; attempt_began() and attempt_ended() for each attempt, in pairs.
-// Units: indices are small and used again a while after an endpoint is removed and its last attempt has
-// ended. Errors: none; entries that can't be used are logged and ignored.
+// Order of calls: apply() with each list; on_attempt_started() and on_attempt_ended() for each attempt, in
+// pairs. Units: indices are small and used again a while after an endpoint is removed and its last attempt
+// has ended. Errors: none; entries that can't be used are logged and ignored.
 #pragma once
 #include <map>
 #include <optional>
@@ -32,10 +32,10 @@
   // As listed: a higher one is newer.
   double version(EndpointIndex endpoint) const { return endpoints_[endpoint].version; }
   // Indices given out so far, whether in use or not.
-  std::size_t slots() const { return endpoints_.size(); }
+  std::size_t slot_count() const { return endpoints_.size(); }
 
-  void attempt_began(EndpointIndex endpoint) { ++endpoints_[endpoint].attempts_in_flight; }
-  void attempt_ended(EndpointIndex endpoint) { --endpoints_[endpoint].attempts_in_flight; }
+  void on_attempt_started(EndpointIndex endpoint) { ++endpoints_[endpoint].attempts_in_flight; }
+  void on_attempt_ended(EndpointIndex endpoint) { --endpoints_[endpoint].attempts_in_flight; }
 
  private:
   struct Endpoint {
@@ -50,12 +50,12 @@
 
   void apply_entry(const ListedEndpoint& entry);
   // The index of the endpoint; a new one where it is not known, unless it is removed.
-  std::optional<EndpointIndex> index_for(const ListedEndpoint& entry);
+  std::optional<EndpointIndex> find_or_assign_index(const ListedEndpoint& entry);
   // Takes the entry over; true where another process than before is listed.
   bool update(Endpoint& endpoint, const ListedEndpoint& entry);
   void remove_unlisted();
-  void forget_removed();
-  unsigned index_or_report(NameTable& names, const std::string& name, const char* setting);
+  void free_removed_indices();
+  unsigned name_index_of(NameTable& names, const std::string& name, const char* setting);
 
   RouterContext& context_;
   EndpointPools& pools_;
--- a/src/routing/endpoint_watch.cpp
+++ b/src/routing/endpoint_watch.cpp
@@ -11,7 +11,7 @@
       first_call_timer_(context.loop, [this] { watch(); }) {}
 
 void EndpointWatch::apply_configured_list(const std::string& list) {
-  if (list.empty() || discovery_.apply_line(list)) return;
+  if (list.empty() || discovery_.apply_list(list)) return;
   context_.log("configured endpoint list can't be read");
 }
 
@@ -26,28 +26,28 @@
   if (started_) context_.loop.post([this] { discovery_.watch(); });
 }
 
-void EndpointWatch::move_to(const std::string& discovery_address) {
-  if (discovery_address != discovery_.address()) discovery_.move_to(discovery_address);
+void EndpointWatch::change_address(const std::string& discovery_address) {
+  if (discovery_address != discovery_.address()) discovery_.change_address(discovery_address);
 }
 
 void EndpointWatch::on_endpoint_list(const EndpointList& list) {
   registry_.apply(list);
-  if (watches_ended_ > 0)
-    context_.log("discovery: watch stands again, tries " + std::to_string(watches_ended_));
-  watches_ended_ = 0;
+  if (lost_watches_ > 0)
+    context_.log("discovery: watch stands again, tries " + std::to_string(lost_watches_));
+  lost_watches_ = 0;
 }
 
 void EndpointWatch::on_list_confirmed() {
-  lease_.confirmed();
+  lease_.on_list_confirmed();
   readiness_.on_list_confirmed();
 }
 
-void EndpointWatch::on_line_begun() { lease_.line_begun(); }
+void EndpointWatch::on_line_started() { lease_.on_line_started(); }
 
 void EndpointWatch::on_watch_ended(const WatchEnd& end) {
   const char* const reason = name_of(end.reason);
-  lease_.watch_lost(reason, end.refused);
-  if (watches_ended_++ == 0) context_.log(std::string("discovery: watch ") + reason);
+  lease_.on_watch_lost(reason, end.connection_refused);
+  if (lost_watches_++ == 0) context_.log(std::string("discovery: watch ") + reason);
   if (!end.replaced) context_.policy.at_now().on_endpoint_watch_failed();
 }
 
--- a/src/routing/endpoint_watch.hpp
+++ b/src/routing/endpoint_watch.hpp
@@ -25,13 +25,13 @@
   void start(std::uint64_t seed);
   void watch();
   // Nothing happens where discovery is there already.
-  void move_to(const std::string& discovery_address);
+  void change_address(const std::string& discovery_address);
 
  private:
   // DiscoveryClient::Observer.
   void on_endpoint_list(const EndpointList& list) override;
   void on_list_confirmed() override;
-  void on_line_begun() override;
+  void on_line_started() override;
   void on_watch_ended(const WatchEnd& end) override;
 
   RouterContext& context_;
@@ -41,7 +41,7 @@
   DiscoveryClient discovery_;
   Timer first_call_timer_;
   bool started_ = false;
-  unsigned watches_ended_ = 0;  // since the last list
+  unsigned lost_watches_ = 0;  // since the last list
 };
 
 }  // namespace ashbeam
--- a/src/routing/graceful_shutdown.cpp
+++ b/src/routing/graceful_shutdown.cpp
@@ -15,7 +15,7 @@
 GracefulShutdown::GracefulShutdown(RouterContext& context, ClientConnections& clients,
                                    RequestLifecycle& requests)
     : context_(context), clients_(clients), requests_(requests),
-      check_timer_(context.loop, [this] { check(); }) {}
+      check_timer_(context.loop, [this] { check_progress(); }) {}
 
 void GracefulShutdown::begin(std::function<void()> done) {
   if (begun_) return;
@@ -31,7 +31,7 @@
   return std::min(deadline, begun_at_ + context_.limits.min_kill_delay - context_.limits.kill_margin);
 }
 
-void GracefulShutdown::check() {
+void GracefulShutdown::check_progress() {
   const bool closed = clients_.close_listeners();
   clients_.close_idle();
   const Duration since_begin = context_.loop.now() - begun_at_;
@@ -45,8 +45,8 @@
 }
 
 void GracefulShutdown::finish() {
-  context_.log("idle client connections closed " + std::to_string(clients_.closed_idle()) +
-               ", crossed by a request " + std::to_string(clients_.closed_idle_with_request()));
+  context_.log("idle client connections closed " + std::to_string(clients_.idle_close_count()) +
+               ", crossed by a request " + std::to_string(clients_.idle_close_with_request_count()));
   done_();
 }
 
--- a/src/routing/graceful_shutdown.hpp
+++ b/src/routing/graceful_shutdown.hpp
@@ -18,13 +18,13 @@
 
   // Nothing happens where it has begun already.
   void begin(std::function<void()> done);
-  bool begun() const { return begun_; }
+  bool has_begun() const { return begun_; }
   // The deadline of a request that comes now: what comes after the signal is answered before the machine may
   // kill this process.
   Instant bound_deadline(Instant deadline) const;
 
  private:
-  void check();
+  void check_progress();
   void finish();
 
   RouterContext& context_;
--- a/src/routing/header_forwarding.cpp
+++ b/src/routing/header_forwarding.cpp
@@ -18,16 +18,16 @@
 constexpr std::string_view kAlwaysForwarded[] = {"Host", "Content-Length", "Transfer-Encoding",
                                                  header::kRequestId, header::kIdempotencyKey};
 
-char lower_case(char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c - 'A' + 'a') : c; }
+char to_lower(char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c - 'A' + 'a') : c; }
 
 // Some endpoints take - and _ in field names for the same.
-bool same_letter(char name, char expected) {
-  return lower_case(name == '_' ? '-' : name) == lower_case(expected);
+bool matches_letter(char name, char expected) {
+  return to_lower(name == '_' ? '-' : name) == to_lower(expected);
 }
 
-bool names_principal(std::string_view name) {
+bool is_principal_field(std::string_view name) {
   const std::string_view expected = header::kPrincipal;
-  return std::equal(name.begin(), name.end(), expected.begin(), expected.end(), same_letter);
+  return std::equal(name.begin(), name.end(), expected.begin(), expected.end(), matches_letter);
 }
 
 bool contains(const auto& names, std::string_view name) {
@@ -51,11 +51,12 @@
   return lines;
 }
 
-std::string authorized_lines(const http::Head& head, std::string_view principal, bool forward_token) {
+std::string forwarded_lines_with_principal(const http::Head& head, std::string_view principal,
+                                           bool forward_token) {
   const bool hide_token = !principal.empty() && !forward_token;
   std::string lines;
   for (const http::Field& field : head.fields()) {
-    if (!is_forwarded(head, field.name) || names_principal(field.name)) continue;
+    if (!is_forwarded(head, field.name) || is_principal_field(field.name)) continue;
     if (hide_token && http::field_names_equal(field.name, "Authorization")) continue;
     lines += field.line;
   }
--- a/src/routing/header_forwarding.hpp
+++ b/src/routing/header_forwarding.hpp
@@ -20,6 +20,7 @@
 // The forwarded lines of a request that was authorised: `principal` is named to the endpoint, empty where
 // nobody is proven, and no line of the client's own says so. The token of a proven principal is left out
 // unless `forward_token`.
-std::string authorized_lines(const http::Head& head, std::string_view principal, bool forward_token);
+std::string forwarded_lines_with_principal(const http::Head& head, std::string_view principal,
+                                           bool forward_token);
 
 }  // namespace ashbeam
--- a/src/routing/metadata_check.cpp
+++ b/src/routing/metadata_check.cpp
@@ -19,16 +19,17 @@
 
 }  // namespace
 
-bool MetadataRequest::is_end_of_roots(AttemptResult result, const http::MessageParser& answer) const {
+bool MetadataRequest::is_end_of_root_chain(AttemptResult result, const http::MessageParser& answer) const {
   return result == AttemptResult::kError && answer.status() == kNotFoundStatus && file.ends_with("root.json");
 }
 
-std::unique_ptr<MetadataRequest> MetadataCheck::match(std::string_view path, std::uint64_t client) const {
+std::unique_ptr<MetadataRequest> MetadataCheck::match_request(std::string_view path,
+                                                              std::uint64_t client_id) const {
   if (!verifier_) return nullptr;
   std::string_view file;
   const std::uint32_t repository = verifier_->repository_of(path, file);
   if (repository == metadata::MetadataVerifier::kNoRepository) return nullptr;
-  return std::make_unique<MetadataRequest>(MetadataRequest{repository, std::string(file), client, {}});
+  return std::make_unique<MetadataRequest>(MetadataRequest{repository, std::string(file), client_id, {}});
 }
 
 metadata::Refusal MetadataCheck::check(const MetadataRequest& request, const http::MessageParser& answer) {
@@ -37,11 +38,11 @@
   const bool chunked = answer.head().find("Transfer-Encoding").has_value();
   const std::string plain =
       chunked ? decode_chunks(answer.raw_body(), context_.limits.max_body_bytes) : answer.raw_body();
-  return verifier_->check(request.repository, request.file, plain, request.client, context_.loop.now());
+  return verifier_->check(request.repository, request.file, plain, request.client_id, context_.loop.now());
 }
 
-bool MetadataCheck::passes(MetadataRequest& request, const http::MessageParser& answer,
-                           const std::string& address) {
+bool MetadataCheck::accepts(MetadataRequest& request, const http::MessageParser& answer,
+                            const std::string& address) {
   const metadata::Refusal refusal = check(request, answer);
   if (!refusal) return true;
   request.refusal = refusal.line();
--- a/src/routing/metadata_check.hpp
+++ b/src/routing/metadata_check.hpp
@@ -1,9 +1,10 @@
 // Checks of answers that carry metadata files: an answer that the metadata verifier refuses is not forwarded,
 // and counts as an error of its endpoint.
 //
-// Order of calls: enable() before the first request, or never; then match() for each request, and passes()
-// for each answer to one that matched. Units: instants of the event loop. Errors: the refusal's text is kept
-// in the MetadataRequest; refusals are logged, one line for each kind and second. Source: TUF, section 5.
+// Order of calls: enable() before the first request, or never; then match_request() for each request, and
+// accepts() for each answer to one that matched. Units: instants of the event loop. Errors: the refusal's
+// text is kept in the MetadataRequest; refusals are logged, one line for each kind and second. Source: TUF,
+// section 5.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -22,11 +23,11 @@
 struct MetadataRequest {
   std::uint32_t repository = 0;
   std::string file;
-  std::uint64_t client = 0;  // a number that stays the client's own
-  std::string refusal;       // why the last answer was not forwarded; empty: none was refused
+  std::uint64_t client_id = 0;  // a number that stays the client's own
+  std::string refusal;          // why the last answer was not forwarded; empty: none was refused
 
   // A client asks for the root after the last one until there is none (TUF, section 5.3.3): that is no error.
-  bool is_end_of_roots(AttemptResult result, const http::MessageParser& answer) const;
+  bool is_end_of_root_chain(AttemptResult result, const http::MessageParser& answer) const;
 };
 
 class MetadataCheck {
@@ -37,9 +38,9 @@
   const metadata::MetadataVerifier* verifier() const { return verifier_.get(); }
 
   // Null where the path (without its query) is of no repository.
-  std::unique_ptr<MetadataRequest> match(std::string_view path, std::uint64_t client) const;
+  std::unique_ptr<MetadataRequest> match_request(std::string_view path, std::uint64_t client_id) const;
   // `address`: of the endpoint, for the log.
-  bool passes(MetadataRequest& request, const http::MessageParser& answer, const std::string& address);
+  bool accepts(MetadataRequest& request, const http::MessageParser& answer, const std::string& address);
 
  private:
   metadata::Refusal check(const MetadataRequest& request, const http::MessageParser& answer);
--- a/src/routing/readiness.hpp
+++ b/src/routing/readiness.hpp
@@ -9,27 +9,27 @@
 class Readiness {
  public:
   explicit Readiness(RouterContext& context)
-      : context_(context), wait_timer_(context.loop, [this] { on_wait_over(); }) {}
+      : context_(context), timeout_timer_(context.loop, [this] { on_timeout(); }) {}
 
-  void start() { wait_timer_.schedule_after(context_.limits.ready_without_list_timeout); }
+  void start() { timeout_timer_.schedule_after(context_.limits.ready_without_list_timeout); }
   void on_list_confirmed() {
     if (!ready_) set_ready();
   }
-  bool ready() const { return ready_; }
+  bool is_ready() const { return ready_; }
 
  private:
-  void on_wait_over() {
+  void on_timeout() {
     context_.log("ready without a list from discovery");
     set_ready();
   }
   void set_ready() {
-    wait_timer_.cancel();
+    timeout_timer_.cancel();
     ready_ = true;
   }
 
   RouterContext& context_;
   bool ready_ = false;
-  Timer wait_timer_;
+  Timer timeout_timer_;
 };
 
 }  // namespace ashbeam
--- a/src/routing/recent_request_ids.hpp
+++ b/src/routing/recent_request_ids.hpp
@@ -17,7 +17,7 @@
 
   // Remembers the id until `expiry`; false, and nothing done, if it is remembered already.
   bool insert(std::string_view id, Instant now, Instant expiry) {
-    forget(now);
+    remove_expired(now);
     const auto [slot, inserted] = ids_.emplace(id);
     if (inserted) by_expiry_.emplace(expiry, slot);
     return inserted;
@@ -26,7 +26,7 @@
  private:
   using Ids = std::set<std::string, std::less<>>;
 
-  void forget(Instant now) {
+  void remove_expired(Instant now) {
     while (!by_expiry_.empty() && (by_expiry_.begin()->first <= now || ids_.size() >= max_ids_)) {
       ids_.erase(by_expiry_.begin()->second);
       by_expiry_.erase(by_expiry_.begin());
--- a/src/routing/release_client.cpp
+++ b/src/routing/release_client.cpp
@@ -14,15 +14,15 @@
       callbacks_(std::move(callbacks)), lines_(limits.max_platform_line_bytes),
       backoff_(limits.min_platform_retry_delay),
       silence_timer_(loop, [this] { on_lost(LossReason::kSilent); }),
-      reconnect_timer_(loop, [this] { open(); }), answer_timer_(loop, [this] { give_up_overdue_calls(); }) {}
+      reconnect_timer_(loop, [this] { open(); }), answer_timer_(loop, [this] { expire_overdue_calls(); }) {}
 
 const char* ReleaseClient::name_of(LossReason reason) {
   switch (reason) {
-    case LossReason::kEnded:
+    case LossReason::kClosed:
       return "ended";
     case LossReason::kSilent:
       return "silent";
-    case LossReason::kUnreadable:
+    case LossReason::kInvalidMessage:
       return "sends what can't be read";
   }
   return "unknown";
@@ -55,7 +55,7 @@
 }
 
 // A vote without an answer may have been accepted, or may yet be: its answer is not waited for any more.
-void ReleaseClient::give_up_overdue_calls() {
+void ReleaseClient::expire_overdue_calls() {
   Instant next_deadline = Instant::never();
   // By index: the owner may vote again meanwhile, which adds a call.
   // NOLINTNEXTLINE(modernize-loop-convert): iterators would be invalidated by that.
@@ -91,7 +91,7 @@
   connection_->consume(bytes.size());
   const bool good =
       lines_.feed(bytes, [this](std::string_view line) { return line.empty() || on_line(line); });
-  if (!good) return on_lost(LossReason::kUnreadable);
+  if (!good) return on_lost(LossReason::kInvalidMessage);
   finish_if_retired();
 }
 
@@ -114,9 +114,9 @@
 }
 
 void ReleaseClient::on_established() {
-  if (failed_tries_ == 0) return;
-  callbacks_.log("connection stands again, tries " + std::to_string(failed_tries_));
-  failed_tries_ = 0;
+  if (failed_connections_ == 0) return;
+  callbacks_.log("connection stands again, tries " + std::to_string(failed_connections_));
+  failed_connections_ = 0;
 }
 
 // Answers come in the order of the calls: one that names a later call leaves those before it without any.
@@ -153,7 +153,7 @@
 }
 
 void ReleaseClient::on_lost(LossReason reason) {
-  if (failed_tries_++ == 0) callbacks_.log(std::string("connection ") + name_of(reason));
+  if (failed_connections_++ == 0) callbacks_.log(std::string("connection ") + name_of(reason));
   // What was never written was not carried out; of the rest that is not known.
   const VoteOutcome outcome = connected_ ? VoteOutcome::kUnknown : VoteOutcome::kFailed;
   close();
--- a/src/routing/release_client.hpp
+++ b/src/routing/release_client.hpp
@@ -49,13 +49,13 @@
     Instant deadline;
   };
   enum class CallKind : std::uint8_t { kSubscribe, kVote };
-  enum class LossReason : std::uint8_t { kEnded, kSilent, kUnreadable };
+  enum class LossReason : std::uint8_t { kClosed, kSilent, kInvalidMessage };
   static const char* name_of(LossReason reason);
 
   // Connection::Owner.
   void on_connected() override;
   void on_data() override;
-  void on_closed() override { on_lost(LossReason::kEnded); }
+  void on_closed() override { on_lost(LossReason::kClosed); }
 
   void open();
   void close();
@@ -64,7 +64,7 @@
   bool on_line(std::string_view line);
   bool on_answer(const Json& answer);
   void on_established();
-  void give_up_overdue_calls();
+  void expire_overdue_calls();
   void finish_if_retired();
 
   EventLoop& loop_;
@@ -77,7 +77,7 @@
   std::deque<Call> calls_;  // written, not answered; the oldest first
   std::uint64_t next_call_id_ = 1;
   bool connected_ = false;
-  unsigned failed_tries_ = 0;  // since it was lost
+  unsigned failed_connections_ = 0;  // since it was lost
   Duration backoff_;
   std::function<void()> on_retired_;  // set once it is retired
   Timer silence_timer_;
--- a/src/routing/release_messages.cpp
+++ b/src/routing/release_messages.cpp
@@ -39,7 +39,7 @@
 }
 
 // How long ago it happened.
-Duration lag_of(const Json& message) { return Duration::ms(std::max(0.0, message.number("lag_ms", 0))); }
+Duration age_of(const Json& message) { return Duration::ms(std::max(0.0, message.number("lag_ms", 0))); }
 
 }  // namespace
 
@@ -64,7 +64,7 @@
   state.stage = static_cast<unsigned>(stage);
   state.phase = *phase;
   state.exposure_cap = exposure_cap;
-  state.age = lag_of(message);
+  state.age = age_of(message);
   return state;
 }
 
@@ -88,7 +88,7 @@
 std::optional<DisputeMessage> decode_dispute(const Json& message,
                                              const std::vector<std::string>& request_classes) {
   if (!request_class_of(message, request_classes)) return std::nullopt;
-  return DisputeMessage{message.text("host"), lag_of(message)};
+  return DisputeMessage{message.text("host"), age_of(message)};
 }
 
 std::string encode_vote(ReleaseVersion version, unsigned stage, Vote vote) {
--- a/src/routing/release_subscription.cpp
+++ b/src/routing/release_subscription.cpp
@@ -10,7 +10,7 @@
 
 constexpr std::size_t kMaxLoggedMessageBytes = 200;
 
-std::string logged(const Json& message) {
+std::string truncated_text(const Json& message) {
   return std::string(message.raw().substr(0, kMaxLoggedMessageBytes));
 }
 
@@ -40,17 +40,17 @@
   client_->start();
 }
 
-void ReleaseSubscription::move_to(const std::string& address) {
+void ReleaseSubscription::change_address(const std::string& address) {
   if (address == address_) return;
   address_ = address;
-  retired_.push_back(std::move(client_));
+  retired_clients_.push_back(std::move(client_));
   open();
-  const ReleaseClient* const former = retired_.back().get();
-  retired_.back()->retire([this, former] { on_retired(former); });
+  const ReleaseClient* const former = retired_clients_.back().get();
+  retired_clients_.back()->retire([this, former] { on_retired(former); });
 }
 
 void ReleaseSubscription::on_retired(const ReleaseClient* client) {
-  std::erase_if(retired_, [&](const auto& one) { return one.get() == client; });
+  std::erase_if(retired_clients_, [&](const auto& one) { return one.get() == client; });
 }
 
 bool ReleaseSubscription::on_vote_outcome(VoteOutcome outcome, const Json* state) {
@@ -66,7 +66,7 @@
 bool ReleaseSubscription::on_release_state(const Json& message) {
   const auto state = decode_release_state(message);
   if (!state) {
-    context_.log("release platform: a state that can't be read is ignored: " + logged(message));
+    context_.log("release platform: a state that can't be read is ignored: " + truncated_text(message));
     return false;
   }
   context_.policy.at_now().on_release_state(*state);
@@ -79,7 +79,7 @@
   if (kind == ReleaseNotification::kOutcomeSample && apply_outcome_sample(message)) return true;
   if (kind == ReleaseNotification::kDisputedAnswer && apply_disputed_answer(message)) return true;
   context_.log("release platform: a notification that can't be used is ignored: " + method + " " +
-               logged(message));
+               truncated_text(message));
   return kind != ReleaseNotification::kUnknown || on_unknown_notification(method);
 }
 
--- a/src/routing/release_subscription.hpp
+++ b/src/routing/release_subscription.hpp
@@ -2,8 +2,8 @@
 // the platform. Owns the connection to the platform, and those to its former addresses until their votes have
 // an outcome.
 //
-// Order of calls: start() once, then cast_vote() and move_to() at any time. Units: none. Errors: messages
-// that can't be used are logged and ignored; one that can't be read has the connection opened anew.
+// Order of calls: start() once, then cast_vote() and change_address() at any time. Units: none. Errors:
+// messages that can't be used are logged and ignored; one that can't be read has the connection opened anew.
 #pragma once
 #include <cstdint>
 #include <memory>
@@ -27,7 +27,7 @@
   void apply_configured_state(const std::string& state);
   void start() { open(); }
   void cast_vote(ReleaseVersion version, unsigned stage, Vote vote) { client_->vote(version, stage, vote); }
-  void move_to(const std::string& address);
+  void change_address(const std::string& address);
 
  private:
   void open();
@@ -47,7 +47,7 @@
   std::string address_;
   std::uint64_t seed_;
   std::unique_ptr<ReleaseClient> client_;
-  std::vector<std::unique_ptr<ReleaseClient>> retired_;
+  std::vector<std::unique_ptr<ReleaseClient>> retired_clients_;
   std::string unknown_method_;  // met once
 };
 
--- a/src/routing/request_authorization.cpp
+++ b/src/routing/request_authorization.cpp
@@ -30,21 +30,21 @@
 
 const calling::Identity* RequestAuthorization::identify(ClientConnection& client, const http::Head& head,
                                                         Instant now) {
-  const TlsStream::PeerProof proof = client.proof(now);
+  const TlsStream::PeerProof proof = client.peer_proof(now);
   if (proof.refused) {
     client.close_after_answer();
     refuse(client, calling::Refusal::kCertificate, Duration());
     return nullptr;
   }
   if (!authorizer_) return &identity_;
-  calling::Credentials asked;
-  asked.authorization = head.find("Authorization").value_or("");
-  asked.ambiguous = head.count("Authorization") > 1 || head.count(header::kTenant) > 1;
-  asked.account = head.find(header::kTenant).value_or("");
-  asked.certificate = proof.certificate;
+  calling::Credentials credentials;
+  credentials.authorization = head.find("Authorization").value_or("");
+  credentials.ambiguous = head.count("Authorization") > 1 || head.count(header::kTenant) > 1;
+  credentials.account = head.find(header::kTenant).value_or("");
+  credentials.certificate = proof.certificate;
   Duration retry_after;
   const calling::Refusal reason =
-      authorizer_->authenticate(asked, client.history, context_.loop.now(), identity_, retry_after);
+      authorizer_->authenticate(credentials, client.history, context_.loop.now(), identity_, retry_after);
   if (reason == calling::Refusal::kNone) return &identity_;
   refuse(client, reason, retry_after);
   return nullptr;
@@ -78,7 +78,7 @@
 
 void RequestAuthorization::log_refusals() {
   std::string counts;
-  for (std::size_t i = 1; i < kReasons; ++i) {
+  for (std::size_t i = 1; i < kReasonCount; ++i) {
     const auto reason = static_cast<calling::Refusal>(i);
     const std::uint64_t refused = authorizer_->refused(reason) - logged_refusals_[i];
     if (refused == 0) continue;
--- a/src/routing/request_authorization.hpp
+++ b/src/routing/request_authorization.hpp
@@ -22,8 +22,8 @@
 
   // `forward_token`: the client's token goes on to the endpoint.
   void enable(std::unique_ptr<calling::Authorizer> authorizer, bool forward_token);
-  bool enabled() const { return authorizer_ != nullptr; }
-  bool forward_token() const { return forward_token_; }
+  bool is_enabled() const { return authorizer_ != nullptr; }
+  bool forwards_token() const { return forward_token_; }
   calling::Authorizer* authorizer() { return authorizer_.get(); }
 
   // Who sends the request; nobody in particular where authorization is not enabled. Valid until the next
@@ -35,7 +35,7 @@
   void release(const calling::QuotaHold& hold);
 
  private:
-  static constexpr auto kReasons = calling::kRefusalCount;
+  static constexpr auto kReasonCount = calling::kRefusalCount;
 
   void refuse(ClientConnection& client, calling::Refusal reason, Duration retry_after);
   void log_refusals();
@@ -44,7 +44,7 @@
   std::unique_ptr<calling::Authorizer> authorizer_;
   bool forward_token_ = false;
   calling::Identity identity_;  // of the request at hand; a member, so that its memory is used again
-  std::array<std::uint64_t, kReasons> logged_refusals_{};
+  std::array<std::uint64_t, kReasonCount> logged_refusals_{};
   Timer log_timer_;
 };
 
--- a/src/routing/request_lifecycle.cpp
+++ b/src/routing/request_lifecycle.cpp
@@ -20,7 +20,7 @@
 constexpr unsigned kUnavailableStatus = 503;
 constexpr unsigned kGatewayTimeoutStatus = 504;
 
-std::string refused_line(const MetadataRequest& metadata) {
+std::string refusal_reason_line(const MetadataRequest& metadata) {
   return header::line(header::kRefusalReason, metadata.refusal);
 }
 
@@ -37,11 +37,11 @@
 RequestId RequestLifecycle::accept(ClientConnection& client, AcceptedRequest accepted) {
   const RequestId id = requests_.allocate();
   Request& request = requests_[id];
-  ++count_;
+  ++request_count_;
   request.accepted = std::move(accepted);
   request.in_use = true;
   request.client = &client;
-  client.request = id;
+  client.request_id = id;
   client.set_answer_deadline(request.accepted.deadline + context_.limits.overdue_answer_delay);
   return id;
 }
@@ -51,23 +51,25 @@
 void RequestLifecycle::send_attempt(RequestId id, EndpointIndex endpoint) {
   Request& request = requests_[id];
   const Instant now = context_.loop.now();
-  const Instant until = request.accepted.deadline;
+  const Instant deadline = request.accepted.deadline;
   const auto attempt = static_cast<unsigned>(request.attempts.size());
-  log_attempt_begin(id, attempt, endpoint, until - now);
+  log_attempt_begin(id, attempt, endpoint, deadline - now);
   request.attempts.push_back({endpoint, now, nullptr});
   ++request.attempts_in_flight;
-  registry_.attempt_began(endpoint);
-  const auto make_bytes = [this, id](Instant end) { return attempt_bytes(id, end); };
+  registry_.on_attempt_started(endpoint);
+  const auto build_request = [this, id](Instant attempt_deadline) {
+    return build_attempt_request(id, attempt_deadline);
+  };
   const auto on_end = [this, id, attempt](AttemptResult result, const http::MessageParser* answer) {
     on_attempt_end(id, attempt, result, answer);
   };
-  request.attempts.back().connection = pools_.send(endpoint, make_bytes, until, on_end);
+  request.attempts.back().connection = pools_.send(endpoint, build_request, deadline, on_end);
 }
 
 // The time left is that when the connection is open, which may be long after the decision.
-std::string RequestLifecycle::attempt_bytes(RequestId id, Instant until) {
+std::string RequestLifecycle::build_attempt_request(RequestId id, Instant deadline) {
   const AcceptedRequest& request = requests_[id].accepted;
-  const std::int64_t left_ms = std::max<std::int64_t>(0, (until - context_.loop.now()).us() / 1000);
+  const std::int64_t left_ms = std::max<std::int64_t>(0, (deadline - context_.loop.now()).us() / 1000);
   const std::string time_left = header::line(header::kTimeLeftMs, std::to_string(left_ms));
   std::string bytes;
   bytes.reserve(request.head.size() + time_left.size() + kLineEnd.size() + request.body.size());
@@ -92,7 +94,7 @@
 
 void RequestLifecycle::on_attempt_end(RequestId id, unsigned attempt, AttemptResult result,
                                       const http::MessageParser* answer) {
-  const Attempt ended = take_ended(id, attempt);
+  const Attempt ended = take_ended_attempt(id, attempt);
   const EndpointIndex endpoint = ended.endpoint;
   const Duration duration = context_.loop.now() - ended.sent_at;
   if (result == AttemptResult::kLocalFailure) local_failures_.on_failure();
@@ -105,17 +107,18 @@
   const bool ok = checked.result == AttemptResult::kOk;
   const bool answered_client = ok && answer_client(id, checked.status, *answer);
   const std::uint64_t sticky_key = requests_[id].accepted.sticky_key;
-  if (ok && sticky_key != 0) cancel_unsent_to_older(sticky_key, registry_.version(endpoint));
+  if (ok && sticky_key != 0)
+    cancel_unsent_attempts_to_older_versions(sticky_key, registry_.version(endpoint));
   context_.policy.at_now().on_attempt_end({id, attempt, endpoint, checked.result, duration, answered_client});
-  release_if_over(id);
+  release_if_complete(id);
 }
 
-RequestLifecycle::Attempt RequestLifecycle::take_ended(RequestId id, unsigned attempt) {
+RequestLifecycle::Attempt RequestLifecycle::take_ended_attempt(RequestId id, unsigned attempt) {
   Request& request = requests_[id];
   const Attempt ended = request.attempts[attempt];
   request.attempts[attempt].connection = nullptr;
   --request.attempts_in_flight;
-  registry_.attempt_ended(ended.endpoint);
+  registry_.on_attempt_ended(ended.endpoint);
   return ended;
 }
 
@@ -124,8 +127,8 @@
                                                                  const http::MessageParser* answer) {
   MetadataRequest* const metadata = request.accepted.metadata.get();
   if (!metadata || !answer) return {result, kOkStatus};
-  if (metadata->is_end_of_roots(result, *answer)) return {AttemptResult::kOk, kNotFoundStatus};
-  if (result == AttemptResult::kOk && !metadata_.passes(*metadata, *answer, registry_.address(endpoint)))
+  if (metadata->is_end_of_root_chain(result, *answer)) return {AttemptResult::kOk, kNotFoundStatus};
+  if (result == AttemptResult::kOk && !metadata_.accepts(*metadata, *answer, registry_.address(endpoint)))
     return {AttemptResult::kError, kOkStatus};
   return {result, kOkStatus};
 }
@@ -142,7 +145,7 @@
 
 // A sticky key must not go back to an older version: an attempt there that still waits for its connection
 // when a newer version answers would arrive after that answer. It has never run, and is decided anew.
-void RequestLifecycle::cancel_unsent_to_older(std::uint64_t sticky_key, double version) {
+void RequestLifecycle::cancel_unsent_attempts_to_older_versions(std::uint64_t sticky_key, double version) {
   for (RequestId id = 0; id < requests_.slot_count(); ++id) {
     Request& request = requests_[id];
     if (!request.in_use || request.accepted.sticky_key != sticky_key) continue;
@@ -161,14 +164,14 @@
   const MetadataRequest* const metadata = requests_[id].accepted.metadata.get();
   // A file that no endpoint had in a good form is no lack of capacity.
   if (metadata && !metadata->refusal.empty())
-    return answer_without_attempt(id, kBadGatewayStatus, fields + refused_line(*metadata));
+    return answer_without_attempt(id, kBadGatewayStatus, fields + refusal_reason_line(*metadata));
   answer_without_attempt(id, kUnavailableStatus, fields);
 }
 
 void RequestLifecycle::fail(RequestId id) {
   const MetadataRequest* const metadata = requests_[id].accepted.metadata.get();
   const bool refused = metadata && !metadata->refusal.empty();
-  answer_without_attempt(id, kBadGatewayStatus, refused ? refused_line(*metadata) : std::string());
+  answer_without_attempt(id, kBadGatewayStatus, refused ? refusal_reason_line(*metadata) : std::string());
 }
 
 // The request is released after the callback at hand: the decisions may still name it in that.
@@ -177,28 +180,28 @@
                                  "request %u answered %u without an endpoint's answer, endpoint list %s", id,
                                  status, policy::name_of(lease_.state()));
   if (ClientConnection* const client = take_client(id)) client->answer_plain(status, fields);
-  context_.loop.post([this, id] { release_if_over(id); });
+  context_.loop.post([this, id] { release_if_complete(id); });
 }
 
 ClientConnection* RequestLifecycle::take_client(RequestId id) {
   ClientConnection* const client = std::exchange(requests_[id].client, nullptr);
-  if (client) client->request.reset();
+  if (client) client->request_id.reset();
   return client;
 }
 
 // ---- Ends without an answer of the decisions ----
 
 void RequestLifecycle::on_client_closed(ClientConnection& client) {
-  if (!client.request) return;
-  const RequestId id = *client.request;
+  if (!client.request_id) return;
+  const RequestId id = *client.request_id;
   context_.detail_log.write_line(LogTopic::kRequests, context_.loop.now(), "request %u: its client closed",
                                  id);
   take_client(id);
-  disconnect(id);
+  notify_client_gone(id);
 }
 
-void RequestLifecycle::on_answer_overdue(ClientConnection& client) {
-  if (client.request) fail_overdue(*client.request);
+void RequestLifecycle::on_answer_deadline(ClientConnection& client) {
+  if (client.request_id) fail_overdue(*client.request_id);
 }
 
 void RequestLifecycle::fail_all_unanswered() {
@@ -211,18 +214,18 @@
 void RequestLifecycle::fail_overdue(RequestId id) {
   context_.log("request overdue: answered with an error");
   if (ClientConnection* const client = take_client(id)) client->answer_plain(kGatewayTimeoutStatus);
-  disconnect(id);
+  notify_client_gone(id);
 }
 
-void RequestLifecycle::disconnect(RequestId id) {
+void RequestLifecycle::notify_client_gone(RequestId id) {
   context_.policy.at_now().on_client_disconnect(id);
-  release_if_over(id);
+  release_if_complete(id);
 }
 
-void RequestLifecycle::release_if_over(RequestId id) {
+void RequestLifecycle::release_if_complete(RequestId id) {
   Request& request = requests_[id];
   if (!request.in_use || request.client || request.attempts_in_flight > 0) return;
-  --count_;
+  --request_count_;
   authorization_.release(request.accepted.admission);
   request = Request{};
   requests_.deallocate(id);
--- a/src/routing/request_lifecycle.hpp
+++ b/src/routing/request_lifecycle.hpp
@@ -51,10 +51,10 @@
   // The client of a request has gone; nothing happens where it has no request at hand.
   void on_client_closed(ClientConnection& client);
   // Answers with an error what the decisions have left open.
-  void on_answer_overdue(ClientConnection& client);
+  void on_answer_deadline(ClientConnection& client);
   void fail_all_unanswered();
 
-  bool empty() const { return count_ == 0; }
+  bool empty() const { return request_count_ == 0; }
 
  private:
   struct Attempt {
@@ -76,22 +76,22 @@
     unsigned status = 0;
   };
 
-  std::string attempt_bytes(RequestId id, Instant until);
+  std::string build_attempt_request(RequestId id, Instant deadline);
   void on_attempt_end(RequestId id, unsigned attempt, AttemptResult result,
                       const http::MessageParser* answer);
   void log_attempt_begin(RequestId id, unsigned attempt, EndpointIndex endpoint, Duration time_left);
   // The attempt as it was, with its connection; it is not in flight any more.
-  Attempt take_ended(RequestId id, unsigned attempt);
+  Attempt take_ended_attempt(RequestId id, unsigned attempt);
   CheckedAnswer check_metadata(Request& request, EndpointIndex endpoint, AttemptResult result,
                                const http::MessageParser* answer);
   // False where the client is answered already, or has gone.
   bool answer_client(RequestId id, unsigned status, const http::MessageParser& answer);
-  void cancel_unsent_to_older(std::uint64_t sticky_key, double version);
+  void cancel_unsent_attempts_to_older_versions(std::uint64_t sticky_key, double version);
   void answer_without_attempt(RequestId id, unsigned status, std::string_view fields);
   ClientConnection* take_client(RequestId id);
   void fail_overdue(RequestId id);
-  void disconnect(RequestId id);
-  void release_if_over(RequestId id);
+  void notify_client_gone(RequestId id);
+  void release_if_complete(RequestId id);
 
   RouterContext& context_;
   EndpointPools& pools_;
@@ -101,7 +101,7 @@
   MetadataCheck& metadata_;
   LocalFailureLog local_failures_;
   Slab<Request> requests_;
-  std::uint32_t count_ = 0;  // in use
+  std::uint32_t request_count_ = 0;  // in use
 };
 
 }  // namespace ashbeam
--- a/src/routing/request_parser.cpp
+++ b/src/routing/request_parser.cpp
@@ -15,11 +15,11 @@
 constexpr double kMaxNumericKey = 1.8e19;  // below 2^64
 
 // Fields that decisions hang on. Where one stands twice, an endpoint might read the other one.
-constexpr std::string_view kSingleFields[] = {header::kRequestId, header::kTenant, header::kTimeLeftMs,
-                                              header::kIdempotencyKey, header::kSessionKey};
+constexpr std::string_view kSingletonFields[] = {header::kRequestId, header::kTenant, header::kTimeLeftMs,
+                                                 header::kIdempotencyKey, header::kSessionKey};
 
 bool has_required_fields(const http::Head& head, Idempotency idempotency, std::size_t max_id_bytes) {
-  for (const std::string_view name : kSingleFields) {
+  for (const std::string_view name : kSingletonFields) {
     if (head.count(name) > 1) return false;
   }
   const std::string_view id = head.find(header::kRequestId).value_or("");
@@ -28,7 +28,7 @@
   return idempotency != Idempotency::kKeyed || !head.find(header::kIdempotencyKey).value_or("").empty();
 }
 
-std::optional<double> number_of(std::string_view text) {
+std::optional<double> parse_number(std::string_view text) {
   double value = 0;
   const char* const end = text.data() + text.size();
   const auto [parsed_to, error] = std::from_chars(text.data(), end, value);
@@ -38,11 +38,11 @@
 
 // Calls back with each name=value of a comma-separated list whose value is a number.
 template <class Callback>
-void for_each_number(std::string_view list, Callback&& callback) {
+void for_each_numeric_item(std::string_view list, Callback&& callback) {
   http::for_each_list_element(list, [&](std::string_view item) {
     const std::size_t equals = item.find('=');
     if (equals == std::string_view::npos) return;
-    if (const auto value = number_of(item.substr(equals + 1))) callback(item.substr(0, equals), *value);
+    if (const auto value = parse_number(item.substr(equals + 1))) callback(item.substr(0, equals), *value);
   });
 }
 
@@ -76,13 +76,13 @@
   return parameters;
 }
 
-std::uint64_t request_key_of(const http::Head& head, bool sticky_sessions) {
+std::uint64_t sticky_key_of(const http::Head& head, bool sticky_sessions) {
   std::uint64_t key = 0;
   const auto session = sticky_sessions ? head.find(header::kSessionKey) : std::nullopt;
   // Decisions need only know a key again; 0 means none.
   if (session && !session->empty()) key = XXH3_64bits(session->data(), session->size()) | 1U;
   if (const auto facts = head.find(header::kFacts)) {
-    for_each_number(*facts, [&](std::string_view name, double value) {
+    for_each_numeric_item(*facts, [&](std::string_view name, double value) {
       if (name == "targetKey" && value >= 1 && value < kMaxNumericKey)
         key = static_cast<std::uint64_t>(value);
     });
--- a/src/routing/request_parser.hpp
+++ b/src/routing/request_parser.hpp
@@ -41,6 +41,6 @@
 
 // The sticky key, 0 where the request has none. Session keys are any text, and count only with
 // `sticky_sessions`; they are hashed.
-std::uint64_t request_key_of(const http::Head& head, bool sticky_sessions);
+std::uint64_t sticky_key_of(const http::Head& head, bool sticky_sessions);
 
 }  // namespace ashbeam
--- a/src/routing/service.cpp
+++ b/src/routing/service.cpp
@@ -19,7 +19,7 @@
 
 // An attempt may wait for its connection, and reaches its endpoint that much later: a repeat must still come
 // while the endpoint remembers the key.
-RouterSettings with_connect_time(RouterSettings settings, Duration connect_timeout) {
+RouterSettings with_reduced_key_retention(RouterSettings settings, Duration connect_timeout) {
   for (RequestClass& request_class : settings.request_classes)
     request_class.key_retention = std::max(Duration(), request_class.key_retention - connect_timeout);
   return settings;
@@ -53,7 +53,7 @@
       clients_(loop, limits, instance.listen_address,
                {.on_request = [this](auto& client, auto& request) { on_request(client, request); },
                 .on_client_closed = [this](auto& client) { requests_.on_client_closed(client); },
-                .on_answer_overdue = [this](auto& client) { requests_.on_answer_overdue(client); }}),
+                .on_answer_deadline = [this](auto& client) { requests_.on_answer_deadline(client); }}),
       pools_(loop, limits, connect_timeout(limits, settings)),
       lease_(context_, endpoint_lease_settings(limits, settings, pools_.connect_timeout())),
       registry_(context_, pools_, lease_, wire_settings), readiness_(context_),
@@ -64,8 +64,8 @@
       requests_(context_, pools_, registry_, lease_, authorization_, metadata_),
       shutdown_(context_, clients_, requests_), wakeups_(context_),
       recent_ids_(limits.max_remembered_request_ids) {
-  context_.policy.attach(
-      make_router_policy(with_connect_time(settings, pools_.connect_timeout()), instance.seed, *this));
+  context_.policy.attach(make_router_policy(with_reduced_key_retention(settings, pools_.connect_timeout()),
+                                            instance.seed, *this));
 }
 
 Service::~Service() = default;
@@ -81,8 +81,8 @@
 }
 
 void Service::change_addresses(const std::string& discovery, const std::string& release_platform) {
-  endpoint_watch_.move_to(discovery);
-  releases_.move_to(release_platform);
+  endpoint_watch_.change_address(discovery);
+  releases_.change_address(release_platform);
 }
 
 void Service::set_authorizer(std::unique_ptr<calling::Authorizer> authorizer, bool forward_token) {
@@ -123,18 +123,18 @@
   calling::QuotaHold admission;
   if (!authorization_.admit(client, *identity, parameters.request_class, admission)) return;
 
-  if (!remember_id(head, now, deadline)) {
+  if (!remember_request_id(head, now, deadline)) {
     authorization_.release(admission);
     return client.answer_plain(kConflictStatus);
   }
 
   RequestArrival arrival;
   arrival.request_class = parameters.request_class;
-  arrival.tenant = tenant_of(head, *identity);
-  arrival.sticky_key = request_key_of(head, sticky_keys_);
+  arrival.tenant = tenant_index_of(head, *identity);
+  arrival.sticky_key = sticky_key_of(head, sticky_keys_);
   arrival.deadline = deadline;
 
-  AcceptedRequest accepted = make_accepted(client, request, *identity);
+  AcceptedRequest accepted = make_accepted_request(client, request, *identity);
   accepted.deadline = deadline;
   accepted.sticky_key = sticky_keys_ ? arrival.sticky_key : 0;
   accepted.admission = admission;
@@ -146,37 +146,38 @@
 
 void Service::answer_health_check(ClientConnection& client, const http::Head& head) const {
   if (head.method() != "GET") return client.answer_plain(kMethodNotAllowedStatus, "Allow: GET\r\n");
-  const bool ready = readiness_.ready() && !shutdown_.begun();
+  const bool ready = readiness_.is_ready() && !shutdown_.has_begun();
   client.answer_plain(ready ? kOkStatus : kUnavailableStatus);
 }
 
 // No second request is run with the id of one that is in flight or was answered lately. By tenant: what one
 // sends says nothing of another's.
-bool Service::remember_id(const http::Head& head, Instant now, Instant deadline) {
+bool Service::remember_request_id(const http::Head& head, Instant now, Instant deadline) {
   request_id_.assign(head.find(header::kTenant).value_or(""))
       .append(1, '\n')
       .append(*head.find(header::kRequestId));
   return recent_ids_.insert(request_id_, now, deadline + context_.limits.request_id_retention);
 }
 
-AcceptedRequest Service::make_accepted(const ClientConnection& client, http::MessageParser& request,
-                                       const calling::Identity& identity) const {
+AcceptedRequest Service::make_accepted_request(const ClientConnection& client, http::MessageParser& request,
+                                               const calling::Identity& identity) const {
   const http::Head& head = request.head();
   // Who has proven nothing is known by the connection.
   const bool proven = !identity.principal.empty();
-  const std::uint64_t metadata_client = proven ? identity.subject_hash : client.serial_number();
+  const std::uint64_t metadata_client_id = proven ? identity.subject_hash : client.serial_number();
   AcceptedRequest accepted;
-  accepted.metadata = metadata_.match(path_of(head), metadata_client);
+  accepted.metadata = metadata_.match_request(path_of(head), metadata_client_id);
   accepted.head.assign(head.start_line());
-  accepted.head += authorization_.enabled()
-                       ? authorized_lines(head, identity.principal, authorization_.forward_token())
-                       : forwarded_lines(head);
+  accepted.head +=
+      authorization_.is_enabled()
+          ? forwarded_lines_with_principal(head, identity.principal, authorization_.forwards_token())
+          : forwarded_lines(head);
   accepted.body = request.take_raw_body();
   return accepted;
 }
 
 // Past the end of the settings' tenants where the request names none of them.
-unsigned Service::tenant_of(const http::Head& head, const calling::Identity& identity) const {
+unsigned Service::tenant_index_of(const http::Head& head, const calling::Identity& identity) const {
   if (!identity.principal.empty()) return identity.policy_tenant;
   const auto found = std::find(tenants_.begin(), tenants_.end(), head.find(header::kTenant).value_or(""));
   return static_cast<unsigned>(found - tenants_.begin());
--- a/src/routing/service.hpp
+++ b/src/routing/service.hpp
@@ -48,7 +48,7 @@
   void start();
   // Ends the program gracefully; `done` is called once nothing is left.
   void shut_down(std::function<void()> done) { shutdown_.begin(std::move(done)); }
-  bool shutting_down() const { return shutdown_.begun(); }
+  bool is_shutting_down() const { return shutdown_.has_begun(); }
   // Discovery and the release platform are elsewhere from now on; what was learnt stands.
   void change_addresses(const std::string& discovery, const std::string& release_platform);
 
@@ -65,7 +65,7 @@
   std::uint16_t port() const { return clients_.port(); }
   std::uint16_t tls_port() const { return clients_.tls_port(); }
   // Endpoint indices given out so far.
-  std::size_t endpoint_slots() const { return registry_.slots(); }
+  std::size_t endpoint_slot_count() const { return registry_.slot_count(); }
   DetailLog& detail_log() { return context_.detail_log; }
 
  private:
@@ -83,10 +83,10 @@
   void on_request(ClientConnection& client, http::MessageParser& request);
   void answer_health_check(ClientConnection& client, const http::Head& head) const;
   // False where the id is remembered already.
-  bool remember_id(const http::Head& head, Instant now, Instant deadline);
-  AcceptedRequest make_accepted(const ClientConnection& client, http::MessageParser& request,
-                                const calling::Identity& identity) const;
-  unsigned tenant_of(const http::Head& head, const calling::Identity& identity) const;
+  bool remember_request_id(const http::Head& head, Instant now, Instant deadline);
+  AcceptedRequest make_accepted_request(const ClientConnection& client, http::MessageParser& request,
+                                        const calling::Identity& identity) const;
+  unsigned tenant_index_of(const http::Head& head, const calling::Identity& identity) const;
   void log_accepted(const RequestArrival& arrival, const http::Head& head, Instant now);
 
   InstanceSettings instance_;
--- a/tests/endpoint_registry_test.cpp
+++ b/tests/endpoint_registry_test.cpp
@@ -29,7 +29,7 @@
   watch.send(endpoint_list(endpoint_entry(0, "removed"), 42) + "\n");
   for (int rev = 43; rev < 60; ++rev) come_and_go(rev);
   usleep(100000);
-  EXPECT_EQ(service_->endpoint_slots(), 2U);  // the first still has an attempt in flight
+  EXPECT_EQ(service_->endpoint_slot_count(), 2U);  // the first still has an attempt in flight
   attempt.send(kOkAnswer);
   EXPECT_EQ(status_of(client.read_message()), 200U);
   watch.send(endpoint_list(endpoint_entry(1), 60) + "\n");
