--- a/src/routing/client_connection.cpp
+++ b/src/routing/client_connection.cpp
@@ -27,8 +27,10 @@
   if (!connection_.unread().empty()) read_request();
 }
 
-// The next request waits for its turn. A client that sends more than is held unread is cut off after its
-// answer: with bytes unread its close would not be seen, and its request would be forwarded for nobody.
+// A pipelined request is read after the current one has been answered. If a client sends more than
+// Limits::max_unread_bytes before that, its further input is discarded and the connection is closed after the
+// answer: while bytes are left unread, the client's close would not be noticed, and its request would be
+// forwarded although nobody waits for the answer.
 void ClientConnection::on_pipelined_data() {
   if (state_ != State::kAwaitingAnswer) return;
   if (connection_.unread().size() < owner_.limits_.max_unread_bytes) return;
@@ -39,20 +41,20 @@
 void ClientConnection::read_request() {
   std::string_view bytes = connection_.unread();
   const std::size_t unread = bytes.size();
-  const bool had_begun = requests_.started();
-  const auto got = requests_.feed(bytes);
+  const bool had_started = requests_.started();
+  const auto result = requests_.feed(bytes);
   connection_.consume(unread - bytes.size());
-  if (got == http::ParseResult::kIncomplete) {
-    if (!had_begun && requests_.started()) {
+  if (result == http::ParseResult::kIncomplete) {
+    if (!had_started && requests_.started()) {
       state_since_ = owner_.loop_.now();
       if (answered_once_) timer_.schedule_after(owner_.limits_.request_read_timeout);
     }
-    if (!timer_.is_scheduled()) wait_for_next_request();  // nothing but blank lines came early
+    if (!timer_.is_scheduled()) wait_for_next_request();  // only empty lines have been received
     return;
   }
   timer_.cancel();
   state_ = State::kAwaitingAnswer;
-  if (got == http::ParseResult::kComplete) {
+  if (result == http::ParseResult::kComplete) {
     close_after_answer_ = close_after_answer_ || requests_.closes_connection();
     return owner_.callbacks_.on_request(*this, requests_);
   }
@@ -98,7 +100,7 @@
   }
   state_ = State::kReading;
   if (connection_.unread().empty()) return wait_for_next_request();
-  timer_.schedule_at(state_since_);  // what came early is read after the callback at hand
+  timer_.schedule_at(state_since_);  // pipelined bytes are read after the current callback has returned
 }
 
 void ClientConnection::close_idle() {
@@ -108,7 +110,8 @@
   start_lingering_close();
 }
 
-// Closing with bytes unread would reset the connection, and the answer with it.
+// Closing a socket with unread input would reset the connection, and the client could lose the answer. So the
+// write side is shut down first, and input is discarded until the client closes or a timeout has passed.
 void ClientConnection::start_lingering_close() {
   state_ = State::kLingering;
   connection_.shutdown_write();
@@ -143,7 +146,7 @@
   if (state_ == State::kAwaitingAnswer) return owner_.callbacks_.on_answer_deadline(*this);
   if (state_ != State::kReading) return owner_.remove(this);
   if (!connection_.is_idle())
-    return timer_.schedule_after(owner_.limits_.min_idle_before_close);  // a request is coming
+    return timer_.schedule_after(owner_.limits_.min_idle_before_close);  // a request is arriving
   close_idle();
 }
 
--- a/src/routing/client_connection.hpp
+++ b/src/routing/client_connection.hpp
@@ -1,9 +1,11 @@
-// One client's connection: reads one request after another and writes one answer to each.
+// One HTTP/1.1 connection of a client. It reads one request after another and writes exactly one answer to
+// each.
 //
-// Order of calls: ClientConnections hands each complete request to its owner, who answers it once, at once or
-// later, by answer() or answer_plain(); not after it was notified that the client has closed. Requests that
-// can't be read are answered here (RFC 9112). Units: instants of the event loop. Errors: none; whatever ends
-// the connection removes it from ClientConnections.
+// Each complete request is passed to Callbacks::on_request of ClientConnections. The receiver answers it once
+// with answer() or answer_plain(), either within that call or later. It must not answer any more after
+// Callbacks::on_client_closed. Requests that cannot be parsed are answered by this class with the status that
+// RFC 9112 gives. Whatever ends the connection also removes it from ClientConnections; no error is returned
+// to the caller. Times are instants of the event loop.
 #pragma once
 #include <cstdint>
 #include <memory>
@@ -22,27 +24,32 @@
 
 class ClientConnection : private Connection::Owner {
  public:
-  // `accepted` is the socket, `tls` null on a plain connection, `slot` the index in the owner's table.
+  // Takes over the socket `accepted_fd`. `tls` is null on a plain connection. `slot` is the index of this
+  // connection in the table of `owner`.
   ClientConnection(ClientConnections& owner, int accepted_fd, std::unique_ptr<TlsStream> tls,
                    std::size_t slot);
 
-  // Answers the request at hand. `fields` are complete header lines and say how `body` is framed.
+  // Answers the current request. `fields` holds complete header lines, including those that frame `body`.
+  // Does nothing if no request awaits an answer.
   void answer(unsigned status, std::string_view fields, std::string_view body);
-  // The same with the status' reason phrase as its body.
+  // Answers the current request with the status's reason phrase as the body. `fields` holds further header
+  // lines.
   void answer_plain(unsigned status, std::string_view fields = {});
-  // The owner is notified if the request at hand has no answer by then.
+  // Callbacks::on_answer_deadline is called at `when` if the current request has not been answered by then.
   void set_answer_deadline(Instant when) { timer_.schedule_at(when); }
-  // The connection ends after the answer to the request at hand.
+  // Closes the connection after the answer to the current request.
   void close_after_answer() { close_after_answer_ = true; }
-  // What the connection's handshake has proven, as things stand now; nothing on a plain one.
+  // Returns what the TLS handshake proved about the client, evaluated at `now`. Empty on a plain connection.
   TlsStream::PeerProof peer_proof(Instant now) const {
     return connection_.tls_stream() ? connection_.tls_stream()->peer_proof(now) : TlsStream::PeerProof();
   }
-  // Of this connection, never given twice.
+  // Returns a number that no other connection of this process has or will have.
   std::uint64_t serial_number() const { return serial_number_; }
 
-  std::optional<RequestId> request_id;  // the one at hand, set by its owner
-  calling::ConnectionHistory history;   // of the connection, kept for the authorizer
+  // The id of the current request. Set and reset by RequestLifecycle.
+  std::optional<RequestId> request_id;
+  // What the authorizer remembers about this connection from one request to the next.
+  calling::ConnectionHistory history;
 
  private:
   friend class ClientConnections;
@@ -50,8 +57,8 @@
     kReading,
     kAwaitingAnswer,
     kWritingAnswer,
-    kDelayed,    // the next request is read only after a delay
-    kLingering,  // nothing more is written; what still comes is read and dropped, up to the client's end
+    kDelayed,    // the next request is not read until a delay has passed
+    kLingering,  // the write side is shut down; input is read and discarded until the client closes
   };
 
   // Connection::Owner.
@@ -66,9 +73,12 @@
   void on_timer();
   void wait_for_next_request();
   void start_lingering_close();
-  // Ends the connection between two requests.
+  // Closes the connection while it is between two requests.
   void close_idle();
+  // Returns whether part of a request has been received.
   bool has_partial_request() const { return state_ == State::kReading && requests_.started(); }
+  // Returns whether the connection has been reused: it had an answer and reads, or waits for, a later
+  // request.
   bool is_kept_alive() const { return state_ == State::kReading && answered_once_; }
   bool is_between_requests() const { return is_kept_alive() && !requests_.started(); }
 
@@ -78,8 +88,9 @@
   State state_ = State::kReading;
   bool close_after_answer_ = false;
   bool answered_once_ = false;
-  bool answered_client_error_ = false;  // a 4xx answer to the request at hand
-  bool closed_idle_ = false;            // ended between requests
+  bool answered_client_error_ = false;  // the answer to the current request has a 4xx status
+  bool closed_idle_ = false;            // close_idle() was called
+  // When the connection was opened, or last began to read a request, finished an answer or was closed.
   Instant state_since_;
   Connection connection_;
   http::MessageParser requests_;
--- a/src/routing/client_connections.cpp
+++ b/src/routing/client_connections.cpp
@@ -40,7 +40,7 @@
   make_room();
 }
 
-// As the last resort accepting pauses, until a connection ends or has been idle long enough.
+// If no connection can be closed to make room, accepting pauses until one ends or has been idle long enough.
 void ClientConnections::make_room() {
   if (!is_full()) return pause_listeners(false);
   if (!evict_one()) pause_accepting();
@@ -94,7 +94,7 @@
   const Instant now = loop_.now();
   ClientConnection* const candidate = eviction_candidate(now);
   if (!candidate) return false;
-  if (candidate->is_between_requests()) {  // then no other kind is left that may go
+  if (candidate->is_between_requests()) {  // no other kind is left, because those rank before it
     for (const auto& connection : connections_) {
       const bool idle_long_enough = now - connection->state_since_ >= limits_.min_idle_before_close;
       if (connection->is_between_requests() && idle_long_enough && connection->connection_.is_idle())
@@ -123,8 +123,8 @@
   pause_listeners(false);
 }
 
-// Closing a listener resets whoever waits to be accepted: not while a full table keeps some outside, nor
-// while some still come.
+// Closing a listener resets the connections in its accept queue. So it stays open while a full connection
+// table keeps some of them waiting, and while new ones still arrive.
 bool ClientConnections::close_listeners() {
   bool none_waiting = true;
   for (Listener* const listener : {&listener_, tls_listener_.get()}) {
--- a/src/routing/client_connections.hpp
+++ b/src/routing/client_connections.hpp
@@ -1,9 +1,10 @@
-// The clients' side: the listeners, and the table of client connections with its bounds.
+// The client side of the router: the listeners, and the table of client connections with its limits.
 //
-// Order of calls: construct it (it accepts from then on), then listen_with_tls() if there is a TLS listener;
-// begin_shutdown() once, then close_listeners() and close_idle() again and again until empty(). No callback
-// comes while the owner is in a call to this object or to one of its connections. Units: as in Limits.
-// Errors: constructor and listen_with_tls() throw Poco::Exception where an address can't be listened at.
+// The constructor opens the plain listener, and connections are accepted from then on. Call listen_with_tls()
+// if there is a TLS listener. To shut down, call begin_shutdown() once, and then close_listeners() and
+// close_idle() repeatedly until empty() returns true. No callback is called while the owner is in a call to
+// this object or to one of its connections. The constructor and listen_with_tls() throw Poco::Exception if
+// they cannot listen at the address. Limits and timeouts are those of Limits.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -22,63 +23,70 @@
 class ClientConnections {
  public:
   struct Callbacks {
-    // A complete request: to be answered on its connection, now or later.
+    // Called with each complete request, which has to be answered on its connection, at once or later.
     std::function<void(ClientConnection&, http::MessageParser&)> on_request;
-    // The client closed before its answer; the connection must not be used after this.
+    // Called when the client has closed the connection before its request was answered. The connection must
+    // not be used after this call.
     std::function<void(ClientConnection&)> on_client_closed;
-    // The deadline of the answer has passed.
+    // Called if the request has not been answered by the instant given to set_answer_deadline().
     std::function<void(ClientConnection&)> on_answer_deadline;
   };
-  // Makes the TLS side of an accepted socket; null refuses the connection.
+  // Makes the server side of TLS for an accepted socket. A null result refuses the connection.
   using TlsStreamFactory = std::function<std::unique_ptr<TlsStream>(int fd)>;
 
   ClientConnections(EventLoop& loop, const Limits& limits, const std::string& address, Callbacks callbacks);
 
-  // A second listener, behind TLS. A handshake has to end within `handshake_timeout`.
+  // Opens a second listener, whose connections use TLS. A handshake must be complete within the duration that
+  // `handshake_timeout` returns.
   void listen_with_tls(const std::string& address, TlsStreamFactory make_tls_stream,
                        std::function<Duration()> handshake_timeout);
   std::uint16_t port() const { return listener_.port(); }
+  // Returns 0 if there is no TLS listener.
   std::uint16_t tls_port() const { return tls_listener_ ? tls_listener_->port() : 0; }
 
-  // From now on each answer is the last of its connection.
+  // From now on each connection is closed after its next answer.
   void begin_shutdown() { shutting_down_ = true; }
-  // Closes the listeners once everything that the kernel has accepted is taken and nobody has come for a
-  // while; false where that is not so yet.
+  // Closes the listeners once every connection in the kernel's accept queues has been accepted and no new one
+  // has arrived for Limits::shutdown_quiet_period. Returns false if that is not the case yet.
   bool close_listeners();
-  // Ends the connections that are between requests, and those that never brought one; not the most recent,
-  // where a request is on its way.
+  // Closes the connections that are between requests, and those that have sent no request for
+  // Limits::min_idle_before_close; a first request may still be on its way on a newer one.
   void close_idle();
-  // No connection is left, and each last answer has been read as far as can be seen.
+  // Returns whether no connection is left. A connection is removed only after its last answer has been read,
+  // as far as that can be observed, or after a timeout.
   bool empty() const { return connections_.empty(); }
-  // Connections ended between requests so far.
+  // Returns how many connections have been closed between requests so far.
   std::size_t idle_close_count() const { return idle_closes_; }
-  // Those of them on which a request came all the same: its client has to send it again elsewhere.
+  // Returns on how many of those a request arrived after the close. Its client has to send it again on
+  // another connection.
   std::size_t idle_close_with_request_count() const { return idle_closes_with_request_; }
 
  private:
   friend class ClientConnection;
-  // In the order in which connections give way to new ones.
+  // The order in which connections are closed to make room for new ones.
   struct EvictionRank {
-    bool kept_alive = false;  // has had an answer, and waits for the next request
-    Instant since;
+    bool kept_alive = false;  // see ClientConnection::is_kept_alive()
+    Instant since;            // see ClientConnection::state_since_
     bool is_before(const EvictionRank& other) const {
       return kept_alive == other.kept_alive ? since < other.since : !kept_alive;
     }
   };
 
+  // A negative `fd` says that accept(2) failed because no file descriptor is available.
   void on_accept(int fd, bool with_tls);
   void pause_listeners(bool paused);
   void pause_accepting();
   void remove(ClientConnection* connection);
   void make_room();
-  // Are as many connections between requests as may be? The answer at hand is then the last of its
-  // connection, since no request can cross that.
+  // Returns whether as many connections as allowed are between requests. The next answer then closes its
+  // connection, because no request can cross a close that is announced in the answer before it.
   bool is_at_idle_limit() const;
   bool is_full() const { return connections_.size() >= limits_.max_client_connections; }
   bool is_crowded() const { return connections_.size() * 2 >= limits_.max_client_connections; }
-  // Closes one connection to make room: of those idle long enough one that never had an answer before one
-  // that has, then the one that has been idle longest. A client that has sent half a request is answered 503.
-  // False where none may go now; those between requests are ended then, and closed at a later call.
+  // Closes one connection to make room, and returns whether it did. Among the connections that have been idle
+  // long enough, one that never had an answer goes before one that has, and then the one that has been idle
+  // longest. A client that has sent part of a request is answered 503. If only connections between requests
+  // are left, their close is started, which a later call completes, and false is returned.
   bool evict_one();
   ClientConnection* eviction_candidate(Instant now) const;
   bool may_be_evicted(const ClientConnection& connection, Instant now) const;
--- a/src/routing/discovery_client.cpp
+++ b/src/routing/discovery_client.cpp
@@ -7,6 +7,7 @@
 
 namespace {
 
+// Maximum number of watches in a row that replace one that has stopped sending.
 constexpr unsigned kMaxReplacements = 2;
 
 }  // namespace
@@ -14,23 +15,23 @@
 const char* name_of(WatchEndReason reason) {
   switch (reason) {
     case WatchEndReason::kClosed:
-      return "ended";
+      return "connection closed";
     case WatchEndReason::kLocalFailure:
-      return "not possible for this machine";
+      return "this machine could not connect";
     case WatchEndReason::kSilent:
-      return "silent";
+      return "no complete line within the timeout";
     case WatchEndReason::kStalled:
-      return "stalled";
+      return "incomplete line stalled";
     case WatchEndReason::kAddressChanged:
-      return "moved";
+      return "address of discovery changed";
     case WatchEndReason::kInvalidHttp:
-      return "answers no HTTP";
+      return "invalid HTTP response head";
     case WatchEndReason::kUnexpectedStatus:
-      return "has no answer";
+      return "response status is not 200";
     case WatchEndReason::kInvalidChunks:
-      return "sends no good chunks";
+      return "invalid chunked body";
     case WatchEndReason::kInvalidLine:
-      return "sends a line that is no list";
+      return "line rejected: too long, invalid, or to be requested again";
   }
   return "unknown";
 }
@@ -46,29 +47,31 @@
 bool DiscoveryClient::apply_list(std::string_view line) {
   const auto list = decode_endpoint_list(line);
   if (!list) return false;
-  // An entry may have been damaged on its way: the list is asked for once more. If it comes again as it is,
-  // discovery has it so, and the other entries count.
+  // A malformed entry may have been corrupted in transit, so the list is requested once more. If the same
+  // revision is malformed again, that is how discovery stores it, and its other entries are applied.
   const bool well_formed = std::all_of(list->endpoints.begin(), list->endpoints.end(),
-                                       [](const ListedEndpoint& e) { return e.is_well_formed(); });
+                                       [](const ListedEndpoint& entry) { return entry.is_well_formed(); });
   if (!well_formed && malformed_revision_ != list->revision) {
     malformed_revision_ = list->revision;
     return false;
   }
   if (is_stale(*list)) {
-    if (established_) return true;  // after a newer list on the same watch an older one is no news
+    if (established_) return true;  // an older list after a newer one on the same watch is ignored
     if (!accept_stale_list(*list)) return false;
   }
   stale_list_seen_ = false;
   revision_ = list->revision;
   has_list_ = true;
-  detail_log_.write_line(LogTopic::kDiscovery, loop_.now(), "discovery: version %llu%s",
+  detail_log_.write_line(LogTopic::kDiscovery, loop_.now(),
+                         "discovery: endpoint list revision %llu applied%s",
                          static_cast<unsigned long long>(revision_), list->complete ? ", complete" : "");
   observer_.on_endpoint_list(*list);
   return true;
 }
 
-// An older list at the beginning of a watch: discovery counts anew, or lags behind itself. It is asked once
-// more, for the complete list where it sent changes alone, and believed then.
+// Decides on a list at the beginning of a watch that is older than the one known: discovery has restarted its
+// revisions, or this instance of it lags behind another. The list is requested once more, and as a complete
+// list if only changes were sent, and is accepted if it is older again.
 bool DiscoveryClient::accept_stale_list(const EndpointList& list) {
   if (!list.complete) {
     has_list_ = false;
@@ -104,7 +107,7 @@
   call_bytes_ = 0;
   call_started_at_ = loop_.now();
   detail_log_.write_line(LogTopic::kDiscovery, call_started_at_,
-                         "discovery: call %llu to %s begins, has version %llu", call_number(),
+                         "discovery: call %llu to %s started, known revision %llu (0: none)", call_number(),
                          address_.c_str(), static_cast<unsigned long long>(has_list_ ? revision_ : 0));
   Connection::Owner& owner = *this;
   connection_ = std::make_unique<Connection>(loop_, limits_, owner, address_);
@@ -114,11 +117,12 @@
   silence_timer_.schedule_after(first_line_timeout);
 }
 
-// Only a complete line is a sign of life: a list that trickles in and never ends says nothing.
+// Only a complete line restarts the silence timeout. A line whose bytes arrive slowly and never end would
+// otherwise keep a useless watch open.
 bool DiscoveryClient::on_line(std::string_view line) {
   if (!line.empty() || !established_)
     detail_log_.write_line(LogTopic::kDiscovery, loop_.now(),
-                           "discovery: call %llu line of %zu bytes, after %.1f ms", call_number(),
+                           "discovery: call %llu received a line of %zu bytes after %.1f ms", call_number(),
                            line.size(), call_ms());
   if (!line.empty() && !apply_list(line)) return false;
   established_ = true;
@@ -128,13 +132,14 @@
   return true;
 }
 
-// Whatever a silent watch misses counts as notified all the same, so another is begun at once.
+// A change that a silent watch misses counts as notified all the same, so another watch is started at once.
 void DiscoveryClient::on_silence_timeout() {
   if (!established_ && replacements_ == 0) return end_watch(WatchEndReason::kSilent);
   replace_watch(WatchEndReason::kSilent);
 }
 
-// What has begun counts as notified: its rest has to come well within the grace, on another call if need be.
+// A change counts as notified as soon as its first byte has been received. The rest of it has to arrive well
+// within the grace period of drains, if necessary on another call.
 void DiscoveryClient::replace_watch(WatchEndReason reason) {
   if (replacements_ >= kMaxReplacements) return end_watch(reason);
   const bool was_established = established_;
@@ -162,7 +167,7 @@
 }
 
 void DiscoveryClient::on_connected() {
-  detail_log_.write_line(LogTopic::kDiscovery, loop_.now(), "discovery: call %llu connected, after %.1f ms",
+  detail_log_.write_line(LogTopic::kDiscovery, loop_.now(), "discovery: call %llu connected after %.1f ms",
                          call_number(), call_ms());
 }
 
@@ -172,31 +177,31 @@
   call_bytes_ += unread;
   if (!established_)
     detail_log_.write_line(LogTopic::kDiscovery, loop_.now(),
-                           "discovery: call %llu bytes %zu, %llu in all, after %.1f ms", call_number(),
-                           unread, static_cast<unsigned long long>(call_bytes_), call_ms());
+                           "discovery: call %llu received %zu bytes, %llu in total, after %.1f ms",
+                           call_number(), unread, static_cast<unsigned long long>(call_bytes_), call_ms());
   if (!in_body_ && !read_head(bytes)) return;
   observer_.on_line_started();
   raw_body_.clear();
   body_text_.clear();
-  const auto got = body_.feed(bytes, raw_body_, &body_text_);
+  const auto result = body_.feed(bytes, raw_body_, &body_text_);
   connection_->consume(unread);
-  if (got == http::ParseResult::kInvalid || got == http::ParseResult::kTooLong)
+  if (result == http::ParseResult::kInvalid || result == http::ParseResult::kTooLong)
     return end_watch(WatchEndReason::kInvalidChunks);
-  const bool good = lines_.feed(body_text_, [&](std::string_view line) { return on_line(line); });
-  if (!good) return end_watch(WatchEndReason::kInvalidLine);
-  if (got == http::ParseResult::kComplete) return end_watch(WatchEndReason::kClosed);
+  const bool lines_accepted = lines_.feed(body_text_, [&](std::string_view line) { return on_line(line); });
+  if (!lines_accepted) return end_watch(WatchEndReason::kInvalidLine);
+  if (result == http::ParseResult::kComplete) return end_watch(WatchEndReason::kClosed);
   check_for_stall();
 }
 
-// False where the head is not complete yet, or the watch has ended.
+// Returns false if the head is not complete yet, or if the watch has been ended because of an error.
 bool DiscoveryClient::read_head(std::string_view& bytes) {
   const std::size_t unread = bytes.size();
-  const auto got = head_.feed(bytes);
-  if (got == http::ParseResult::kIncomplete) {
+  const auto result = head_.feed(bytes);
+  if (result == http::ParseResult::kIncomplete) {
     connection_->consume(unread);
     return false;
   }
-  if (got != http::ParseResult::kComplete) {
+  if (result != http::ParseResult::kComplete) {
     end_watch(WatchEndReason::kInvalidHttp);
     return false;
   }
@@ -215,8 +220,8 @@
 
 const char* DiscoveryClient::progress_text() const {
   if (connection_->connecting()) return "not connected";
-  if (established_) return "watch stood";
-  return in_body_ ? "line begun" : "no answer";
+  if (established_) return "watch established";
+  return in_body_ ? "first line incomplete" : "no response head";
 }
 
 void DiscoveryClient::close_call(WatchEndReason reason) {
@@ -224,9 +229,9 @@
   stall_timer_.cancel();
   if (!connection_) return;
   detail_log_.write_line(LogTopic::kDiscovery, loop_.now(),
-                         "discovery: call %llu closed: %s, after %.1f ms, %llu bytes, %s", call_number(),
-                         name_of(reason), call_ms(), static_cast<unsigned long long>(call_bytes_),
-                         progress_text());
+                         "discovery: call %llu closed: %s, after %.1f ms and %llu bytes, progress: %s",
+                         call_number(), name_of(reason), call_ms(),
+                         static_cast<unsigned long long>(call_bytes_), progress_text());
   connection_->close();
   loop_.destroy_later(std::move(connection_));
 }
--- a/src/routing/discovery_client.hpp
+++ b/src/routing/discovery_client.hpp
@@ -1,11 +1,12 @@
-// The client of endpoint discovery: one watch, a connection that stays open and brings a line for each change
-// of the endpoint list. A watch that falls silent or stalls is replaced by another at once, twice at the
-// most.
+// The client of endpoint discovery. It keeps one watch open: an HTTP response of unlimited length in which
+// discovery sends one line for each change of the endpoint list, and empty lines in between.
 //
-// Order of calls: apply_list() with the configured list, if there is one; watch() to begin, and again each
-// time on_watch_ended() says that no other watch was begun. No callback comes while the owner is in a call to
-// this object, but for apply_list() and change_address(). Units: as in Limits. Errors: a WatchEndReason.
-// Source: the protocol's discovery pages; chunked bodies as in RFC 9112, section 7.1.
+// Call apply_list() first if the configuration holds an endpoint list. Then call watch(), and again after
+// each Observer::on_watch_ended() that does not say that another watch has been started. A watch that stops
+// sending is replaced at once, at most twice in a row. Except within apply_list() and change_address(), the
+// observer is not called while the owner is in a call to this object. Timeouts are those of Limits. Errors
+// are reported as a WatchEndReason. Source: the protocol's discovery pages; chunked bodies as in RFC 9112,
+// section 7.1.
 #pragma once
 #include <cstdint>
 #include <memory>
@@ -24,22 +25,23 @@
 namespace ashbeam {
 
 enum class WatchEndReason : std::uint8_t {
-  kClosed,
-  kLocalFailure,    // this machine could not connect
-  kSilent,          // no complete line in time
-  kStalled,         // no further byte of a line that had begun
-  kAddressChanged,  // discovery is at another address
-  kInvalidHttp,
-  kUnexpectedStatus,
-  kInvalidChunks,
-  kInvalidLine,
+  kClosed,            // discovery closed the connection or ended the response, or the connection failed
+  kLocalFailure,      // this machine could not connect (no descriptor, port, memory or route)
+  kSilent,            // no complete line within the timeout
+  kStalled,           // no further byte of an incomplete line within the timeout
+  kAddressChanged,    // the address of discovery was changed
+  kInvalidHttp,       // the head of the response is not valid HTTP
+  kUnexpectedStatus,  // the status of the response is not 200
+  kInvalidChunks,     // the chunked framing of the body is not valid
+  kInvalidLine,       // a line is too long or no endpoint list, or its list is to be requested again
 };
+// Returns the reason as a phrase for log lines.
 const char* name_of(WatchEndReason reason);
 
 struct WatchEnd {
   WatchEndReason reason = WatchEndReason::kClosed;
-  bool replaced = false;            // another watch has been begun already
-  bool connection_refused = false;  // the machine is there, and nothing listens
+  bool replaced = false;            // another watch has already been started
+  bool connection_refused = false;  // the machine of discovery is up, but nothing listens at the port
 };
 
 class DiscoveryClient : private Connection::Owner {
@@ -47,24 +49,27 @@
   class Observer {
    public:
     virtual ~Observer() = default;
+    // Called with each new list.
     virtual void on_endpoint_list(const EndpointList& list) = 0;
-    // A complete line has come: the list stands as discovery has it now. An end of the watch in order
-    // confirms nothing: the watch may have fallen silent before it.
+    // Called after each complete line, including empty ones: the list received last is current. The regular
+    // end of a watch confirms nothing, because the watch may have stopped receiving changes before it.
     virtual void on_list_confirmed() = 0;
-    // The first bytes of an answer or of a line have come, and not all of it.
+    // Called when part of a response or of a line has been received, but not all of it.
     virtual void on_line_started() = 0;
     virtual void on_watch_ended(const WatchEnd& end) = 0;
   };
 
+  // `observer` must outlive this object.
   DiscoveryClient(EventLoop& loop, const Limits& limits, std::string address, DetailLog& detail_log,
                   Observer& observer);
 
-  // A list in discovery's form, from the watch or from elsewhere. False where it is none, or is to be asked
-  // for once more.
+  // Applies an endpoint list in discovery's JSON form, either a line of the watch or the configured list.
+  // Returns false if it cannot be parsed, or if the list has to be requested again before it is applied.
   bool apply_list(std::string_view line);
-  // Begins a watch unless one stands.
+  // Starts a watch, unless one is open.
   void watch();
-  // Discovery is elsewhere from now on: a watch that stands is begun anew there, from the list known last.
+  // Changes the address of discovery. An open watch is closed and started again at the new address, from the
+  // revision received last.
   void change_address(const std::string& address);
   const std::string& address() const { return address_; }
 
@@ -81,11 +86,12 @@
   bool accept_stale_list(const EndpointList& list);
   void on_silence_timeout();
   void replace_watch(WatchEndReason reason);
-  // Have bytes of an answer or a line come, and not all of it?
+  // Returns whether part of the first line, or of a later one, has been received, but not all of it.
   bool has_incomplete_line() const;
   void check_for_stall();
   void end_watch(WatchEndReason reason, bool connection_refused = false);
   void close_call(WatchEndReason reason);
+  // Returns how far the current call has come, for the log.
   const char* progress_text() const;
   unsigned long long call_number() const { return call_number_; }
   double call_ms() const { return (loop_.now() - call_started_at_).ms(); }
@@ -96,18 +102,18 @@
   DetailLog& detail_log_;
   Observer& observer_;
 
-  // The list.
+  // The list received last.
   bool has_list_ = false;
   std::uint64_t revision_ = 0;
-  // The last revision with an entry that is not well formed.
+  // The revision of the last list with a malformed entry.
   std::optional<std::uint64_t> malformed_revision_;
-  // A watch began with a complete list older than the one known.
+  // The last watch began with a complete list of an older revision than `revision_`.
   bool stale_list_seen_ = false;
 
-  // The watch at hand.
-  bool watching_ = false;      // watch() was called
-  bool established_ = false;   // has brought a list or an empty line
-  unsigned replacements_ = 0;  // watches begun in place of one that was silent, with no line since
+  // The current watch.
+  bool watching_ = false;      // watch() has been called
+  bool established_ = false;   // a complete line has been received
+  unsigned replacements_ = 0;  // watches started by replace_watch() since the last complete line
   std::unique_ptr<Connection> connection_;
   http::Head head_;
   http::Body body_;
@@ -118,7 +124,7 @@
   Timer silence_timer_;
   Timer stall_timer_;
 
-  // For the log.
+  // Figures for the log.
   std::uint64_t call_number_ = 0;
   std::uint64_t call_bytes_ = 0;
   Instant call_started_at_;
--- a/src/routing/endpoint_list_lease.cpp
+++ b/src/routing/endpoint_list_lease.cpp
@@ -7,22 +7,23 @@
 
 namespace {
 
-// What was confirmed longer ago than this never was.
+// Instants further in the past than this stand for "never" (see policy::EndpointLease).
 constexpr Duration kMaxAge = Duration::s(1e6);
 
 }  // namespace
 
 EndpointListLease::EndpointListLease(RouterContext& context, const policy::EndpointLeaseSettings& settings)
-    : context_(context), lease_(settings), expiry_timer_(context.loop, [this] { on_changed("no news"); }) {}
+    : context_(context), lease_(settings),
+      expiry_timer_(context.loop, [this] { on_changed("not confirmed in time"); }) {}
 
 void EndpointListLease::start() {
   configured_list_valid_until_ = context_.loop.now() + context_.limits.configured_list_validity;
-  on_changed("started");
+  on_changed("router started");
 }
 
 void EndpointListLease::on_list_confirmed() {
   lease_.confirmed(context_.loop.now());
-  on_changed("confirmed");
+  on_changed("confirmed by discovery");
 }
 
 void EndpointListLease::on_line_started() {
@@ -51,10 +52,10 @@
 }
 
 void EndpointListLease::log_state(const char* reason) const {
-  if (logged_state_ == policy::LeaseState::kFresh) return context_.log("endpoint list: fresh");
+  if (logged_state_ == policy::LeaseState::kFresh) return context_.log("endpoint list: lease fresh");
   const Duration age = context_.loop.now() - lease_.confirmed_at();
   const std::string confirmed = age < kMaxAge ? std::to_string(age.us() / 1000) + " ms ago" : "never";
-  context_.log(std::string("endpoint list: ") + policy::name_of(logged_state_) + ", " + reason +
+  context_.log(std::string("endpoint list: lease ") + policy::name_of(logged_state_) + ", cause: " + reason +
                ", last confirmed " + confirmed);
 }
 
--- a/src/routing/endpoint_list_lease.hpp
+++ b/src/routing/endpoint_list_lease.hpp
@@ -1,7 +1,9 @@
-// The lease on the endpoint list as it is published to the decisions: keeps policy::EndpointLease with the
-// event loop's time, and logs each change of its state with the reason.
+// Tracks how long the endpoint list may be used, and publishes that to the routing policy. It runs
+// policy::EndpointLease on the time of the event loop, and logs each change of the lease's state with its
+// cause.
 //
-// Order of calls: start() once, then an event at a time. Units: instants of the event loop. Errors: none.
+// Call start() once, and then one member function for each event. All times are instants of the event loop.
+// Nothing here can fail.
 #pragma once
 #include "policy/endpoint_lease.hpp"
 #include "routing/router_context.hpp"
@@ -12,18 +14,25 @@
  public:
   EndpointListLease(RouterContext& context, const policy::EndpointLeaseSettings& settings);
 
-  // The configured list may be used for a while, whatever discovery says.
+  // From now on the configured list may be used for Limits::configured_list_validity, whatever the state of
+  // the lease is.
   void start();
 
-  // See policy::EndpointLease for these.
+  // Called when a complete line has been received on a watch, so that the list is current.
   void on_list_confirmed();
+  // Called when part of a line, or of the response to a call, has been received. A change that it announces
+  // already counts as notified.
   void on_line_started();
+  // Called when a watch has ended. `reason` is a phrase for the log. `discovery_refused` says that the
+  // machine of discovery refused the connection, so that discovery cannot have announced a change.
   void on_watch_lost(const char* reason, bool discovery_refused);
 
   policy::LeaseState state() const { return lease_.state(context_.loop.now()); }
+  // Returns when the list was last confirmed; far in the past if it never was.
   Instant confirmed_at() const { return lease_.confirmed_at(); }
-  // An endpoint has answered a request that was sent then, on a connection that was opened then: tells the
-  // decisions how long it may be sent to, if that is known by it.
+  // Called when an endpoint has answered a request that was sent at `sent` on a connection that was opened at
+  // `connection_opened`. If that shows that the endpoint was not draining, the routing policy may use the
+  // endpoint for longer.
   void on_endpoint_answered(EndpointIndex endpoint, Instant sent, Instant connection_opened);
 
  private:
@@ -38,7 +47,8 @@
   Timer expiry_timer_;
 };
 
-// The settings of the lease; `connect_timeout` is how long an attempt may wait for its connection.
+// Returns the settings of the lease. `connect_timeout` is the longest time that an attempt waits for its
+// connection.
 policy::EndpointLeaseSettings endpoint_lease_settings(const Limits& limits, const RouterSettings& settings,
                                                       Duration connect_timeout);
 
--- a/src/routing/endpoint_list_message.cpp
+++ b/src/routing/endpoint_list_message.cpp
@@ -9,7 +9,8 @@
 
 namespace {
 
-constexpr double kMaxRevision = 9e15;  // a double holds whole numbers exactly up to there
+// A double represents all integers exactly up to 2^53, which is about 9e15.
+constexpr double kMaxRevision = 9e15;
 
 std::optional<EndpointState> endpoint_state_of(std::string_view word) {
   if (word == "up") return EndpointState::kReady;
--- a/src/routing/endpoint_pools.cpp
+++ b/src/routing/endpoint_pools.cpp
@@ -43,7 +43,7 @@
   std::size_t slot() const { return slot_; }
   void set_slot(std::size_t slot) { slot_ = slot; }
 
-  // No callback comes after this.
+  // Closes the connection. No callback is called after this.
   void close() {
     timer_.cancel();
     connection_.close();
@@ -62,18 +62,20 @@
     timer_.schedule_at(std::min(deadline, pools_.loop_.now() + pools_.connect_timeout_));
   }
 
-  // Ends the attempt, from a callback of the connection.
+  // Ends the attempt. To be called from callbacks of the connection only.
   void end_attempt(AttemptResult result) {
     const EndCallback on_end = take_end_callback();
     on_end(result, nullptr);
   }
 
-  // The same from a call of the owner, who is notified after it.
+  // Ends the attempt from within a call of the owner. The end callback is called after that call has
+  // returned.
   void end_attempt_later(AttemptResult result) {
     pools_.loop_.post([on_end = take_end_callback(), result] { on_end(result, nullptr); });
   }
 
-  // What is not written completely has not run.
+  // Returns `result`, unless the request has not been written completely: then the endpoint cannot have run
+  // it, and the result says so.
   AttemptResult effective_result(AttemptResult result) const {
     if (is_written()) return result;
     return connection_.failure() == Failure::kLocal ? AttemptResult::kLocalFailure
@@ -91,17 +93,17 @@
     if (!is_in_flight()) return on_unsolicited_data();
     std::string_view bytes = connection_.unread();
     const std::size_t unread = bytes.size();
-    const auto got = answers_.feed(bytes);
+    const auto result = answers_.feed(bytes);
     connection_.consume(unread - bytes.size());
-    if (got == http::ParseResult::kIncomplete) return;
-    if (got == http::ParseResult::kInvalid) return end_attempt(effective_result(AttemptResult::kReset));
+    if (result == http::ParseResult::kIncomplete) return;
+    if (result == http::ParseResult::kInvalid) return end_attempt(effective_result(AttemptResult::kReset));
     if (!bytes.empty()) pools_.pools_[endpoint_].unsolicited_at = pools_.loop_.now();
     on_answer(bytes.empty() && !answers_.closes_connection());
   }
 
   void on_closed() override {
     if (!is_in_flight()) return pools_.remove(this);
-    // Only an end in order ends a body without a length: a reset may come in the middle of it.
+    // A body without a length ends with a regular close of the connection. A reset may have cut it short.
     if (!connection_.broken() && answers_.end_of_stream() == http::ParseResult::kComplete)
       return on_answer(false);
     end_attempt(effective_result(AttemptResult::kReset));
@@ -148,8 +150,8 @@
   Connection connection_;
   http::MessageParser answers_;
   Timer timer_;
-  EndCallback on_end_;            // none where no attempt is in flight
-  RequestBuilder build_request_;  // until the connection is open
+  EndCallback on_end_;            // empty if no attempt is in flight
+  RequestBuilder build_request_;  // empty once the connection is open
   Instant deadline_;
   Instant idle_since_;
   Instant opened_at_ = Instant::never();
@@ -177,15 +179,15 @@
   }
   for (PooledConnection* connection : in_use) {
     connection->close_after_answer();
-    // The attempt provably never ran: it ends as if no connection had come up.
+    // The endpoint cannot have run the attempt, so it ends as if no connection had been established.
     if (connection->is_in_flight() && !connection->is_written())
       connection->end_attempt_later(AttemptResult::kConnectFailed);
   }
 }
 
-// An answer may have more bytes right behind it, which would be taken for the next answer: a connection
-// settles before it is used again. Where many connections to one endpoint settle at a time, each would cost a
-// new one: there the time is short, unless the endpoint has sent unsolicited bytes lately.
+// Returns how long a connection stays unused after an answer. The endpoint may send more bytes after it,
+// which would be read as the next answer. If many connections to one endpoint are waiting, each of them would
+// cost a new connection, so the time is short then, unless the endpoint has sent unsolicited bytes recently.
 Duration EndpointPools::settle_time(const Pool& pool) const {
   const bool sent_unsolicited_bytes = loop_.now() - pool.unsolicited_at < limits_.unsolicited_bytes_retention;
   const bool busy = pool.idle.size() >= limits_.max_settling_connections;
@@ -193,22 +195,23 @@
 }
 
 EndpointPools::PooledConnection* EndpointPools::take_idle(EndpointIndex endpoint) {
-  const Instant settled = loop_.now() - settle_time(pools_[endpoint]);
+  const Instant settled_if_idle_since = loop_.now() - settle_time(pools_[endpoint]);
   auto& idle = pools_[endpoint].idle;
   for (std::size_t i = idle.size(); i-- > 0;) {
     PooledConnection* const connection = idle[i];
-    if (connection->idle_since() > settled) continue;
+    if (connection->idle_since() > settled_if_idle_since) continue;
     if (connection->is_usable()) {
       idle.erase(idle.begin() + static_cast<std::ptrdiff_t>(i));
       return connection;
     }
     if (connection->has_unsolicited_bytes()) pools_[endpoint].unsolicited_at = loop_.now();
-    remove(connection);  // the endpoint has closed it, or will
+    remove(connection);  // the endpoint has closed it, or has sent unsolicited bytes
   }
   return nullptr;
 }
 
-// At the limit the connection that has been idle longest is closed.
+// If the limit of connections is reached, closes the one that has been idle longest. Returns false if none is
+// idle.
 bool EndpointPools::make_room() {
   if (connections_.size() < limits_.max_endpoint_connections) return true;
   PooledConnection* oldest = nullptr;
@@ -235,7 +238,7 @@
     connection = take_idle(endpoint);
     if (!connection) connection = open_new(endpoint);
   }
-  // No connection can be made, or as many as may be are in use.
+  // The endpoint is unknown, or the limit of connections is reached and all are in use.
   if (!connection) {
     loop_.post([on_end = std::move(on_end)] { on_end(AttemptResult::kLocalFailure, nullptr); });
     return nullptr;
--- a/src/routing/endpoint_pools.hpp
+++ b/src/routing/endpoint_pools.hpp
@@ -1,9 +1,10 @@
-// Connection pools, one for each endpoint. An attempt is written to a pooled connection or to a new one, and
-// ends exactly once; nothing here sends it again.
+// Connection pools, one for each endpoint. An attempt is written to an idle pooled connection or to a new
+// one. Each attempt ends exactly once, and is never sent again by this class.
 //
-// Order of calls: update() when the endpoint list names an endpoint, send() for each attempt, then cancel()
-// at most once, as long as the attempt has not ended. No callback comes while the owner is in a call to this
-// object. Units: endpoints by their index, instants of the event loop. Errors: an AttemptResult.
+// Call update() whenever the endpoint list names an endpoint, and send() for each attempt. cancel() may be
+// called at most once for an attempt, before it has ended. No callback is called while the owner is in a call
+// to this object. Endpoints are identified by their index; times are instants of the event loop. Errors are
+// reported as an AttemptResult.
 #pragma once
 #include <functional>
 #include <memory>
@@ -17,45 +18,51 @@
 
 namespace ashbeam {
 
-// What the endpoint list says of an endpoint.
+// The state of an endpoint in the endpoint list, as far as connections depend on it.
 struct EndpointPoolUpdate {
   const std::string& address;
-  bool process_replaced = false;  // pooled connections lead to another process than the one listed
-  bool accepts_attempts = false;  // where not, attempts that are not written yet end
+  bool process_replaced = false;  // pooled connections lead to another process than the listed one
+  bool accepts_attempts = false;  // if false, attempts that have not been written completely end
 };
 
 class EndpointPools {
  public:
   class PooledConnection;
-  // The attempt's end. The answer is valid during the call only, and null where none came.
+  // Called when the attempt has ended. `answer` is null if there is none, and otherwise valid during the call
+  // only.
   using EndCallback = std::function<void(AttemptResult, const http::MessageParser* answer)>;
-  // Makes the request's bytes, once its connection is open; `until` is when the attempt is given up.
+  // Returns the bytes of the request. Called once the attempt's connection is open; the attempt is given up
+  // at `deadline`.
   using RequestBuilder = std::function<std::string(Instant deadline)>;
 
-  // `connect_timeout` bounds how long an attempt waits to be written.
+  // `connect_timeout` is the longest time that an attempt waits for its connection.
   EndpointPools(EventLoop& loop, const Limits& limits, Duration connect_timeout);
   ~EndpointPools();
   EndpointPools(const EndpointPools&) = delete;
   EndpointPools& operator=(const EndpointPools&) = delete;
 
+  // Closes idle connections that may not be used any more, and ends unwritten attempts that may not be sent.
   void update(EndpointIndex endpoint, const EndpointPoolUpdate& update);
-  // The connection, for cancel(), is valid until the attempt has ended; null where there is none.
+  // Starts an attempt. Returns its connection, for cancel(), which is valid until the attempt has ended; null
+  // if no connection could be made. `on_end` is called in either case.
   PooledConnection* send(EndpointIndex endpoint, RequestBuilder build_request, Instant deadline,
                          EndCallback on_end);
-  // Gives the attempt up; its end is notified after this returns.
+  // Cancels the attempt. Its EndCallback is called after this function has returned.
   void cancel(PooledConnection* connection);
-  // The same if the attempt is not written completely, so that it has never run; the connection must not be
-  // named again. False, and nothing done, where it is too late.
+  // Cancels the attempt if its request has not been written completely, so that the endpoint cannot have run
+  // it. Returns false, and does nothing, if it has. After true, `connection` must not be used any more.
   bool cancel_if_unsent(PooledConnection* connection);
-  // Far in the future where it has not opened.
+  // Returns when the connection was opened; far in the future if it has not been, or is null.
   static Instant opened_at(const PooledConnection* connection);
   Duration connect_timeout() const { return connect_timeout_; }
 
  private:
   struct Pool {
     std::string address;
-    std::vector<PooledConnection*> idle;  // the last used one last: it is taken first, so that others age
-    Instant unsolicited_at;               // when the endpoint last sent bytes that answer nothing
+    // Ordered by the time of last use. The connection used last is taken first, so that the others reach
+    // their idle timeout.
+    std::vector<PooledConnection*> idle;
+    Instant unsolicited_at;  // when the endpoint last sent bytes that belong to no answer
   };
 
   Duration settle_time(const Pool& pool) const;
--- a/src/routing/endpoint_registry.cpp
+++ b/src/routing/endpoint_registry.cpp
@@ -38,7 +38,7 @@
 
 void EndpointRegistry::apply_entry(const ListedEndpoint& entry) {
   if (!entry.has_uid_and_state()) {
-    return context_.log("endpoint list: an entry with no id or an unknown state is ignored: " +
+    return context_.log("endpoint list: ignored an entry without a uid or with an unknown state: " +
                         std::string(entry.raw_json.substr(0, kMaxLoggedEntryBytes)));
   }
   const auto index = find_or_assign_index(entry);
@@ -98,11 +98,12 @@
 unsigned EndpointRegistry::name_index_of(NameTable& names, const std::string& name, const char* setting) {
   const unsigned index = names.index_of(name);
   if (const auto unknown = names.take_unreported())
-    context_.log("endpoint list: '" + *unknown + "' is not in the settings' " + setting);
+    context_.log("endpoint list: '" + *unknown + "' is not one of the " + setting +
+                 " in the settings, treated as distinct from them");
   return index;
 }
 
-// A complete list leaves out what it has removed.
+// Endpoints that a complete list does not name have been removed.
 void EndpointRegistry::remove_unlisted() {
   for (EndpointIndex index = 0; index < endpoints_.size(); ++index) {
     Endpoint& endpoint = endpoints_[index];
@@ -112,15 +113,16 @@
   }
 }
 
-// Bounds the table where uids are always new ones.
+// Frees the indices of endpoints that were removed long ago and have no attempt in flight, so that the table
+// does not grow without limit if each new endpoint has a new uid.
 void EndpointRegistry::free_removed_indices() {
-  const Instant long_ago = context_.loop.now() - context_.limits.removed_endpoint_retention;
+  const Instant removed_before = context_.loop.now() - context_.limits.removed_endpoint_retention;
   std::erase_if(indices_, [&](const auto& entry) {
     const Endpoint& endpoint = endpoints_[entry.second];
-    const bool forgotten =
-        !endpoint.listed && endpoint.attempts_in_flight == 0 && endpoint.removed_at <= long_ago;
-    if (forgotten) free_indices_.push_back(entry.second);
-    return forgotten;
+    const bool unused =
+        !endpoint.listed && endpoint.attempts_in_flight == 0 && endpoint.removed_at <= removed_before;
+    if (unused) free_indices_.push_back(entry.second);
+    return unused;
   });
 }
 
--- a/src/routing/endpoint_registry.hpp
+++ b/src/routing/endpoint_registry.hpp
@@ -1,9 +1,10 @@
-// The endpoints by index, as the endpoint list has them: gives out the indices, and notifies the decisions
-// and the connection pools of each change.
+// The table of endpoints. It assigns an index to each endpoint of the endpoint list, and passes each change
+// to the routing policy and to the connection pools.
 //
-// Order of calls: apply() with each list; on_attempt_started() and on_attempt_ended() for each attempt, in
-// pairs. Units: indices are small and used again a while after an endpoint is removed and its last attempt
-// has ended. Errors: none; entries that can't be used are logged and ignored.
+// Call apply() with each endpoint list, and on_attempt_started() and on_attempt_ended() in pairs for each
+// attempt. Indices are small; the index of a removed endpoint is assigned again after
+// Limits::removed_endpoint_retention, once its last attempt has ended. Entries that cannot be used are logged
+// and ignored.
 #pragma once
 #include <map>
 #include <optional>
@@ -27,11 +28,12 @@
 
   void apply(const EndpointList& list);
 
+  // Returns the index of the endpoint with that uid, or std::nullopt.
   std::optional<EndpointIndex> find(std::string_view uid) const;
   const std::string& address(EndpointIndex endpoint) const { return endpoints_[endpoint].address; }
-  // As listed: a higher one is newer.
+  // Returns the release version that the endpoint list gives; a higher one is newer.
   double version(EndpointIndex endpoint) const { return endpoints_[endpoint].version; }
-  // Indices given out so far, whether in use or not.
+  // Returns the number of indices that have been assigned so far, including those that are free again.
   std::size_t slot_count() const { return endpoints_.size(); }
 
   void on_attempt_started(EndpointIndex endpoint) { ++endpoints_[endpoint].attempts_in_flight; }
@@ -41,20 +43,22 @@
   struct Endpoint {
     std::string address;
     double version = 0;
-    double boot_ms = 0;  // as listed
-    Instant started_at;  // by the clock of the event loop
+    double boot_ms = 0;  // as listed: Unix time of the process's start in milliseconds
+    Instant started_at;  // the same by the clock of the event loop
     bool listed = false;
     unsigned attempts_in_flight = 0;
-    Instant removed_at;  // never: it is listed
+    Instant removed_at;  // Instant::never() while the endpoint is listed
   };
 
   void apply_entry(const ListedEndpoint& entry);
-  // The index of the endpoint; a new one where it is not known, unless it is removed.
+  // Returns the index of the endpoint. Assigns one if the endpoint is unknown; returns std::nullopt if it is
+  // unknown and listed as removed.
   std::optional<EndpointIndex> find_or_assign_index(const ListedEndpoint& entry);
-  // Takes the entry over; true where another process than before is listed.
+  // Copies the entry to `endpoint`. Returns whether the entry describes another process than before.
   bool update(Endpoint& endpoint, const ListedEndpoint& entry);
   void remove_unlisted();
   void free_removed_indices();
+  // Returns the index of `name`. Logs a name that the setting does not list, once.
   unsigned name_index_of(NameTable& names, const std::string& name, const char* setting);
 
   RouterContext& context_;
--- a/src/routing/endpoint_watch.cpp
+++ b/src/routing/endpoint_watch.cpp
@@ -12,7 +12,7 @@
 
 void EndpointWatch::apply_configured_list(const std::string& list) {
   if (list.empty() || discovery_.apply_list(list)) return;
-  context_.log("configured endpoint list can't be read");
+  context_.log("endpoint list: ignored the configured list, which is invalid or has an invalid entry");
 }
 
 void EndpointWatch::start(std::uint64_t seed) {
@@ -20,8 +20,8 @@
   first_call_timer_.schedule_after(context_.limits.max_initial_poll_delay * Pcg(seed).next_double());
 }
 
-// After the callback at hand, since the decisions may ask for it in an event that the discovery client
-// brings.
+// The watch is started after the current callback has returned, because the routing policy may ask for it
+// while it handles an event of the discovery client, which must not be called then.
 void EndpointWatch::watch() {
   if (started_) context_.loop.post([this] { discovery_.watch(); });
 }
@@ -33,7 +33,8 @@
 void EndpointWatch::on_endpoint_list(const EndpointList& list) {
   registry_.apply(list);
   if (lost_watches_ > 0)
-    context_.log("discovery: watch stands again, tries " + std::to_string(lost_watches_));
+    context_.log("discovery: watch established again, watches ended before: " +
+                 std::to_string(lost_watches_));
   lost_watches_ = 0;
 }
 
@@ -47,7 +48,7 @@
 void EndpointWatch::on_watch_ended(const WatchEnd& end) {
   const char* const reason = name_of(end.reason);
   lease_.on_watch_lost(reason, end.connection_refused);
-  if (lost_watches_++ == 0) context_.log(std::string("discovery: watch ") + reason);
+  if (lost_watches_++ == 0) context_.log(std::string("discovery: watch ended: ") + reason);
   if (!end.replaced) context_.policy.at_now().on_endpoint_watch_failed();
 }
 
--- a/src/routing/endpoint_watch.hpp
+++ b/src/routing/endpoint_watch.hpp
@@ -1,8 +1,9 @@
-// Keeps the endpoint list up to date: what the discovery client brings goes to the registry, the lease, the
-// readiness and the decisions.
+// Keeps the endpoint list up to date. It receives the events of the discovery client, and passes them to the
+// endpoint registry, the lease, the readiness state and the routing policy.
 //
-// Order of calls: start() once, after the decisions have started; watch() each time the decisions ask for it,
-// which counts from start() on. Units: none. Errors: none; the loss and the return of a watch are logged.
+// Call start() once, after the routing policy has been started. Call watch() whenever the policy asks for it;
+// calls before start() have no effect. The loss of a watch and its return are logged; no other error is
+// reported.
 #pragma once
 #include <string>
 
@@ -19,12 +20,15 @@
   EndpointWatch(RouterContext& context, const std::string& discovery_address, EndpointRegistry& registry,
                 EndpointListLease& lease, Readiness& readiness);
 
-  // A list in discovery's form; empty: none.
+  // Applies the endpoint list of the configuration, which is JSON in discovery's form. Does nothing if `list`
+  // is empty.
   void apply_configured_list(const std::string& list);
-  // The first call to discovery is made after a random part of Limits::max_initial_poll_delay.
+  // Makes the first call to discovery after a random fraction of Limits::max_initial_poll_delay. `seed` seeds
+  // the random number.
   void start(std::uint64_t seed);
+  // Starts a watch, unless one is open.
   void watch();
-  // Nothing happens where discovery is there already.
+  // Changes the address of discovery. Does nothing if it is the same as before.
   void change_address(const std::string& discovery_address);
 
  private:
--- a/src/routing/graceful_shutdown.cpp
+++ b/src/routing/graceful_shutdown.cpp
@@ -36,7 +36,7 @@
   clients_.close_idle();
   const Duration since_begin = context_.loop.now() - begun_at_;
   const Duration timeout = context_.limits.shutdown_timeout;
-  // Whoever still waits gets an answer, and a moment to read it.
+  // Clients that still wait get an error, and then Limits::min_idle_before_close to read it.
   if (since_begin > timeout) requests_.fail_all_unanswered();
   const bool over = closed && requests_.empty() && clients_.empty();
   const bool timed_out = since_begin > timeout + context_.limits.min_idle_before_close;
@@ -45,8 +45,10 @@
 }
 
 void GracefulShutdown::finish() {
-  context_.log("idle client connections closed " + std::to_string(clients_.idle_close_count()) +
-               ", crossed by a request " + std::to_string(clients_.idle_close_with_request_count()));
+  context_.log(
+      "shutdown: client connections closed while idle: " + std::to_string(clients_.idle_close_count()) +
+      ", of these with a request received after the close: " +
+      std::to_string(clients_.idle_close_with_request_count()));
   done_();
 }
 
--- a/src/routing/graceful_shutdown.hpp
+++ b/src/routing/graceful_shutdown.hpp
@@ -1,8 +1,9 @@
-// Ends the program without losing a request: the router is not ready any more, all that still comes is
-// answered, and `done` is called once nothing is left, or after Limits::shutdown_timeout.
+// Shuts the router down without losing a request. After begin() the router reports itself as not ready but
+// still answers every request. `done` is called once no request and no connection is left, or after
+// Limits::shutdown_timeout.
 //
-// Connections between requests stay open until the listeners are closed: clients go on using them, and new
-// ones still come here. Then they are ended, and the program ends once the last answer has been read.
+// Connections between requests stay open until the listeners are closed, because clients go on using them and
+// still open new ones. They are closed after that, and `done` is called once the last answer has been read.
 #pragma once
 #include <functional>
 
@@ -16,11 +17,11 @@
  public:
   GracefulShutdown(RouterContext& context, ClientConnections& clients, RequestLifecycle& requests);
 
-  // Nothing happens where it has begun already.
+  // Starts the shutdown. Does nothing if it has begun already.
   void begin(std::function<void()> done);
   bool has_begun() const { return begun_; }
-  // The deadline of a request that comes now: what comes after the signal is answered before the machine may
-  // kill this process.
+  // Returns the deadline to use for a request that arrives now with the deadline given. During a shutdown it
+  // is limited, so that the request is answered before the orchestrator may kill the process.
   Instant bound_deadline(Instant deadline) const;
 
  private:
--- a/src/routing/header_forwarding.cpp
+++ b/src/routing/header_forwarding.cpp
@@ -8,19 +8,19 @@
 
 namespace {
 
-// Of one connection, or written anew.
+// These fields concern one connection only, or the router writes them anew.
 constexpr std::string_view kNeverForwarded[] = {
     "Connection",        "Keep-Alive",        "Proxy-Connection",  "TE", "Upgrade", "Expect",
     header::kTimeLeftMs, header::kLoadReport, header::kUnprocessed};
 
-// A message's end or its identity hangs on these: a sender can't have them left out by naming them in its
-// Connection field.
+// The end of a message or its identity depends on these fields. They are forwarded even if the sender names
+// them in its Connection field.
 constexpr std::string_view kAlwaysForwarded[] = {"Host", "Content-Length", "Transfer-Encoding",
                                                  header::kRequestId, header::kIdempotencyKey};
 
 char to_lower(char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c - 'A' + 'a') : c; }
 
-// Some endpoints take - and _ in field names for the same.
+// Some endpoints treat '-' and '_' in field names as equal, so both match here.
 bool matches_letter(char name, char expected) {
   return to_lower(name == '_' ? '-' : name) == to_lower(expected);
 }
--- a/src/routing/header_forwarding.hpp
+++ b/src/routing/header_forwarding.hpp
@@ -1,6 +1,6 @@
-// Which header lines of a request or of an answer are forwarded.
+// Selects the header lines of a request or of an answer that are forwarded.
 //
-// Pure functions without I/O. A forwarded line is forwarded byte for byte. Errors: none. Source: RFC 9110,
+// The functions are pure and cannot fail. A forwarded line is forwarded byte for byte. Source: RFC 9110,
 // section 7.6.1 (connection-specific fields); the protocol's page on headers.
 #pragma once
 #include <string>
@@ -10,16 +10,16 @@
 
 namespace ashbeam {
 
-// May the field of that name be forwarded? Fields that concern one connection only, or are written anew for
-// each attempt, may not.
+// Returns whether the field `name` of `head` is forwarded. Fields that concern one connection only, or that
+// the router writes anew for each attempt, are not.
 bool is_forwarded(const http::Head& head, std::string_view name);
 
-// The forwarded lines of a head.
+// Returns the header lines of `head` that are forwarded.
 std::string forwarded_lines(const http::Head& head);
 
-// The forwarded lines of a request that was authorised: `principal` is named to the endpoint, empty where
-// nobody is proven, and no line of the client's own says so. The token of a proven principal is left out
-// unless `forward_token`.
+// Returns the header lines of an authorized request that are forwarded, and a line that names `principal` to
+// the endpoint unless it is empty (not authenticated). A line of the client that claims to name the principal
+// is left out. The token of an authenticated principal is left out too, unless `forward_token` is set.
 std::string forwarded_lines_with_principal(const http::Head& head, std::string_view principal,
                                            bool forward_token);
 
--- a/src/routing/metadata_check.cpp
+++ b/src/routing/metadata_check.cpp
@@ -50,8 +50,8 @@
   Instant& logged_at = refusal_logged_at_[refusal.reason];
   if (now - logged_at > kLogInterval) {
     logged_at = now;
-    context_.log("metadata: refused " + request.file.substr(0, kMaxLoggedFileBytes) + " of " + address +
-                 ": " + request.refusal);
+    context_.log("metadata: file " + request.file.substr(0, kMaxLoggedFileBytes) + " from endpoint " +
+                 address + " refused: " + request.refusal);
   }
   return false;
 }
--- a/src/routing/name_table.hpp
+++ b/src/routing/name_table.hpp
@@ -1,5 +1,6 @@
-// Small indices for names: those of the settings, in their order, and behind them those that the settings do
-// not know, so that an unknown name is never taken for a known one.
+// Maps names, such as those of zones, to small indices. The names of the settings have the first indices, in
+// their order. Names that the settings do not list have indices after those, so that an unknown name is never
+// taken for a known one.
 #pragma once
 #include <algorithm>
 #include <optional>
@@ -13,7 +14,8 @@
  public:
   explicit NameTable(std::vector<std::string> known) : known_(std::move(known)) {}
 
-  // Where the settings name none at all, all names have index 0. Past kMaxUnknown unknown names share one.
+  // Returns the index of `name`. If the settings list no names at all, every name has index 0. Unknown names
+  // beyond the first kMaxUnknown share the last index.
   unsigned index_of(const std::string& name) {
     if (known_.empty()) return 0;
     const std::size_t known = find(known_, name);
@@ -26,7 +28,7 @@
     return static_cast<unsigned>(known_.size() + std::min(unknown, kMaxUnknown - 1));
   }
 
-  // The unknown name met since the last call, if it was the first time.
+  // Returns the unknown name that index_of() has met for the first time since the last call, if there is one.
   std::optional<std::string> take_unreported() { return std::exchange(unreported_, std::nullopt); }
 
  private:
--- a/src/routing/readiness.hpp
+++ b/src/routing/readiness.hpp
@@ -1,7 +1,10 @@
-// Is the router ready to serve? It is once discovery has confirmed the endpoint list: the configured list may
-// be old, and a change that discovery has sent to the machine counts from a process' first moment. Where
-// discovery does not answer it is ready after a while all the same, and rejects.
+// Tracks whether the router reports itself as ready, which it does once discovery has confirmed the endpoint
+// list. Before that the configured list may be old, and a change that discovery has sent to this machine
+// counts as notified from the start of the process. If discovery does not answer, the router reports itself
+// as ready after Limits::ready_without_list_timeout all the same, and rejects requests.
 #pragma once
+#include <string>
+
 #include "routing/router_context.hpp"
 
 namespace ashbeam {
@@ -19,7 +22,9 @@
 
  private:
   void on_timeout() {
-    context_.log("ready without a list from discovery");
+    context_.log("readiness: discovery has not confirmed the endpoint list within " +
+                 std::to_string(context_.limits.ready_without_list_timeout.us() / 1000) +
+                 " ms, reporting ready without it");
     set_ready();
   }
   void set_ready() {
--- a/src/routing/recent_request_ids.hpp
+++ b/src/routing/recent_request_ids.hpp
@@ -1,5 +1,5 @@
-// The ids of requests in flight and of those answered lately, so that no second request is accepted with one
-// of them.
+// Stores the ids of requests that are in flight or were answered recently, so that a second request with the
+// same id can be rejected.
 #pragma once
 #include <map>
 #include <set>
@@ -12,10 +12,10 @@
 
 class RecentRequestIds {
  public:
-  // Remembers at most `max_ids`: past that the ids that would be forgotten first are forgotten early.
+  // Stores at most `max_ids` ids. Beyond that the ids that expire first are removed early.
   explicit RecentRequestIds(std::size_t max_ids) : max_ids_(max_ids) {}
 
-  // Remembers the id until `expiry`; false, and nothing done, if it is remembered already.
+  // Stores `id` until `expiry`. Returns false, and does nothing, if it is stored already.
   bool insert(std::string_view id, Instant now, Instant expiry) {
     remove_expired(now);
     const auto [slot, inserted] = ids_.emplace(id);
@@ -26,6 +26,7 @@
  private:
   using Ids = std::set<std::string, std::less<>>;
 
+  // Removes expired ids, and more if there is no room for another one.
   void remove_expired(Instant now) {
     while (!by_expiry_.empty() && (by_expiry_.begin()->first <= now || ids_.size() >= max_ids_)) {
       ids_.erase(by_expiry_.begin()->second);
--- a/src/routing/release_client.cpp
+++ b/src/routing/release_client.cpp
@@ -19,11 +19,11 @@
 const char* ReleaseClient::name_of(LossReason reason) {
   switch (reason) {
     case LossReason::kClosed:
-      return "ended";
+      return "closed or failed";
     case LossReason::kSilent:
-      return "silent";
+      return "no message within the timeout";
     case LossReason::kInvalidMessage:
-      return "sends what can't be read";
+      return "malformed or unexpected message";
   }
   return "unknown";
 }
@@ -54,10 +54,11 @@
   call(kVoteMethod, encode_vote(version, stage, vote), CallKind::kVote);
 }
 
-// A vote without an answer may have been accepted, or may yet be: its answer is not waited for any more.
+// Reports the outcome kUnknown for each vote whose answer is overdue. The platform may have accepted it, or
+// may yet do so.
 void ReleaseClient::expire_overdue_calls() {
   Instant next_deadline = Instant::never();
-  // By index: the owner may vote again meanwhile, which adds a call.
+  // By index, because the callback may vote again, which adds a call.
   // NOLINTNEXTLINE(modernize-loop-convert): iterators would be invalidated by that.
   for (std::size_t i = 0; i < calls_.size(); ++i) {
     Call& call = calls_[i];
@@ -89,9 +90,9 @@
 void ReleaseClient::on_data() {
   const std::string bytes(connection_->unread());
   connection_->consume(bytes.size());
-  const bool good =
+  const bool lines_accepted =
       lines_.feed(bytes, [this](std::string_view line) { return line.empty() || on_line(line); });
-  if (!good) return on_lost(LossReason::kInvalidMessage);
+  if (!lines_accepted) return on_lost(LossReason::kInvalidMessage);
   finish_if_retired();
 }
 
@@ -99,7 +100,7 @@
   const auto message = Json::parse(line);
   if (!message || !message->is_object()) return false;
   silence_timer_.schedule_after(
-      limits_.platform_silence_timeout);  // bytes that never end a line are no sign of life
+      limits_.platform_silence_timeout);  // not restarted by bytes that never complete a line
   on_established();
   const std::string method = message->text("method");
   if (method.empty()) return on_answer(*message);
@@ -115,18 +116,19 @@
 
 void ReleaseClient::on_established() {
   if (failed_connections_ == 0) return;
-  callbacks_.log("connection stands again, tries " + std::to_string(failed_connections_));
+  callbacks_.log("connection established again, failures before: " + std::to_string(failed_connections_));
   failed_connections_ = 0;
 }
 
-// Answers come in the order of the calls: one that names a later call leaves those before it without any.
+// Answers arrive in the order of the calls. If an answer names a later call, the calls before it have no
+// answer, and their outcome is unknown.
 bool ReleaseClient::on_answer(const Json& answer) {
   const double id = answer.number("id", -1);
   const auto result = answer.member("result");
   const auto error = answer.member("error");
-  const bool has_one_of_both = result.has_value() != error.has_value();
+  const bool has_either = result.has_value() != error.has_value();
   const auto answered = [id](const Call& call) { return static_cast<double>(call.id) == id; };
-  if (!has_one_of_both || std::none_of(calls_.begin(), calls_.end(), answered)) return false;
+  if (!has_either || std::none_of(calls_.begin(), calls_.end(), answered)) return false;
   while (!calls_.empty() && static_cast<double>(calls_.front().id) <= id) {
     const Call call = calls_.front();
     calls_.pop_front();
@@ -153,8 +155,8 @@
 }
 
 void ReleaseClient::on_lost(LossReason reason) {
-  if (failed_connections_++ == 0) callbacks_.log(std::string("connection ") + name_of(reason));
-  // What was never written was not carried out; of the rest that is not known.
+  if (failed_connections_++ == 0) callbacks_.log(std::string("connection lost: ") + name_of(reason));
+  // A vote that was never written was not carried out. Of any other this is not known.
   const VoteOutcome outcome = connected_ ? VoteOutcome::kUnknown : VoteOutcome::kFailed;
   close();
   const std::deque<Call> calls = std::exchange(calls_, {});
--- a/src/routing/release_client.hpp
+++ b/src/routing/release_client.hpp
@@ -1,10 +1,11 @@
-// The connection to the release platform: subscribed to its notifications, it takes this router's votes, and
-// is opened anew with a growing backoff when it breaks or falls silent. A vote is written once; its outcome
-// is notified once.
+// The client of the release platform. It keeps one connection open, which is subscribed to the platform's
+// notifications and sends this router's votes. If the connection is lost or sends nothing, it is opened again
+// with an exponential backoff. A vote is written once, and its outcome is reported once.
 //
-// Order of calls: start() once, then vote() at any time; retire() ends it. No callback comes while the owner
-// is in a call to this object. Units: as in Limits. Errors: a VoteOutcome for a vote; the loss and the return
-// of the connection are logged. Source: JSON-RPC 2.0, a message a line; the protocol's release pages.
+// Call start() once, and then vote() at any time. retire() ends the use of the object. No callback is called
+// while the owner is in a call to this object. Limits and timeouts are those of Limits. The result of a vote
+// is a VoteOutcome; the loss of the connection and its return are logged. Source: JSON-RPC 2.0 with one
+// message per line; the protocol's release pages.
 #pragma once
 #include <cstdint>
 #include <deque>
@@ -26,26 +27,31 @@
 class ReleaseClient : private Connection::Owner {
  public:
   struct Callbacks {
-    // A notification. False where it can't be read, so that the connection is of no further use.
+    // Called with each notification. A false result says that it is malformed; the connection is then closed
+    // and opened again.
     std::function<bool(const std::string& method, const Json& params)> on_notification;
-    // A vote's outcome, with the release's state where it is kAccepted. False as above.
+    // Called with the outcome of each vote. `state` is the state of the release if the outcome is kAccepted,
+    // otherwise null. A false result means the same as that of on_notification.
     std::function<bool(VoteOutcome outcome, const Json* state)> on_vote_outcome;
-    // Once when the connection is lost, once when it stands again.
+    // Called with a log line once when the connection is lost, and once when it is open again.
     std::function<void(const std::string& line)> log;
   };
-  // `seed`: for the jitter of the backoff.
+  // `seed` seeds the jitter of the backoff.
   ReleaseClient(EventLoop& loop, const Limits& limits, std::string address, std::uint64_t seed,
                 Callbacks callbacks);
+  // Opens the connection.
   void start() { open(); }
+  // Sends a vote on a stage of a release. Without a connection its outcome is kFailed.
   void vote(ReleaseVersion version, unsigned stage, Vote vote);
-  // The platform is elsewhere from now on: no more notifications from here and no new connection. Calls
-  // `on_retired`, after this returns, once every vote cast here has its outcome.
+  // Called when the address of the platform has changed. From now on no notification is reported and no new
+  // connection is opened. `on_retired` is called, after this function has returned, once every vote of this
+  // object has its outcome.
   void retire(std::function<void()> on_retired);
 
  private:
   struct Call {
     std::uint64_t id = 0;
-    bool awaits_outcome = false;  // of a vote; false too once its answer is given up
+    bool awaits_outcome = false;  // a vote whose outcome has not been reported yet
     Instant deadline;
   };
   enum class CallKind : std::uint8_t { kSubscribe, kVote };
@@ -74,12 +80,12 @@
   Callbacks callbacks_;
   std::unique_ptr<Connection> connection_;
   LineReader lines_;
-  std::deque<Call> calls_;  // written, not answered; the oldest first
+  std::deque<Call> calls_;  // written and not answered; the oldest first
   std::uint64_t next_call_id_ = 1;
   bool connected_ = false;
-  unsigned failed_connections_ = 0;  // since it was lost
+  unsigned failed_connections_ = 0;  // since the last message from the platform
   Duration backoff_;
-  std::function<void()> on_retired_;  // set once it is retired
+  std::function<void()> on_retired_;  // set by retire() until it has been called
   Timer silence_timer_;
   Timer reconnect_timer_;
   Timer answer_timer_;
--- a/src/routing/release_messages.cpp
+++ b/src/routing/release_messages.cpp
@@ -38,7 +38,7 @@
   return static_cast<unsigned>(found - names.begin());
 }
 
-// How long ago it happened.
+// Returns how long ago the event of the message happened.
 Duration age_of(const Json& message) { return Duration::ms(std::max(0.0, message.number("lag_ms", 0))); }
 
 }  // namespace
--- a/src/routing/release_messages.hpp
+++ b/src/routing/release_messages.hpp
@@ -1,8 +1,8 @@
-// The release platform's messages, decoded to typed values and encoded from them. The only place that knows
-// the platform's methods, JSON keys and words.
+// Decodes the messages of the release platform, and encodes votes. No other module knows the platform's
+// methods, member names and words.
 //
-// Pure functions without I/O. Errors: std::nullopt where a message can't be used. Source: the protocol's
-// release pages; calls as in JSON-RPC 2.0.
+// The functions are pure and do no I/O. They return std::nullopt for a message that cannot be used. Source:
+// the protocol's release pages; calls as in JSON-RPC 2.0.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -19,7 +19,7 @@
 inline constexpr const char* kVoteMethod = "release.vote";
 inline constexpr const char* kPingMethod = "ping";
 
-// What the platform tells without having been asked.
+// The kinds of notification that the platform sends without a call.
 enum class ReleaseNotification : std::uint8_t {
   kReleaseState,
   kOutcomeSample,
@@ -28,22 +28,22 @@
 };
 ReleaseNotification release_notification_of(std::string_view method);
 
-// A client found an answer wrong; the endpoint by its name in the endpoint list.
+// The report of a client that an answer was wrong.
 struct DisputeMessage {
-  std::string endpoint;
-  Duration since_sent;
+  std::string endpoint;  // its uid in the endpoint list
+  Duration since_sent;   // since the attempt was sent
 };
 
 std::optional<ReleaseState> decode_release_state(const Json& message);
-// `request_classes`: names, in the order of the settings.
+// `request_classes` holds the names of the request classes in the order of the settings, here and below.
 std::optional<OutcomeSample> decode_outcome_sample(const Json& message,
                                                    const std::vector<std::string>& request_classes);
 std::optional<DisputeMessage> decode_dispute(const Json& message,
                                              const std::vector<std::string>& request_classes);
 
-// The parameters of a call of kVoteMethod.
+// Returns the parameters of a call of kVoteMethod, as JSON.
 std::string encode_vote(ReleaseVersion version, unsigned stage, Vote vote);
-// What the error of a vote's answer means; `message` is the error's text.
+// Returns the outcome of a vote that was answered with an error. `message` is the text of the error.
 VoteOutcome vote_outcome_of(std::string_view message);
 
 }  // namespace ashbeam
--- a/src/routing/release_subscription.cpp
+++ b/src/routing/release_subscription.cpp
@@ -66,7 +66,7 @@
 bool ReleaseSubscription::on_release_state(const Json& message) {
   const auto state = decode_release_state(message);
   if (!state) {
-    context_.log("release platform: a state that can't be read is ignored: " + truncated_text(message));
+    context_.log("release platform: ignored an invalid release state: " + truncated_text(message));
     return false;
   }
   context_.policy.at_now().on_release_state(*state);
@@ -78,13 +78,14 @@
   if (kind == ReleaseNotification::kReleaseState) return on_release_state(message);
   if (kind == ReleaseNotification::kOutcomeSample && apply_outcome_sample(message)) return true;
   if (kind == ReleaseNotification::kDisputedAnswer && apply_disputed_answer(message)) return true;
-  context_.log("release platform: a notification that can't be used is ignored: " + method + " " +
+  context_.log("release platform: ignored a notification that is unknown or invalid: " + method + " " +
                truncated_text(message));
   return kind != ReleaseNotification::kUnknown || on_unknown_notification(method);
 }
 
-// An unknown method may have been damaged on its way: on a new connection the platform says anew how things
-// stand. The same one a second time was sent so.
+// An unknown method may have been corrupted in transit, so the connection is opened again, where the platform
+// sends the current state once more. If the same method is received a second time, it was sent that way and
+// is ignored.
 bool ReleaseSubscription::on_unknown_notification(const std::string& method) {
   if (unknown_method_ == method) return true;
   unknown_method_ = method;
--- a/src/routing/release_subscription.hpp
+++ b/src/routing/release_subscription.hpp
@@ -1,9 +1,9 @@
-// The release platform's notifications brought to the decisions as typed values, and the decisions' votes to
-// the platform. Owns the connection to the platform, and those to its former addresses until their votes have
-// an outcome.
+// Connects the routing policy to the release platform: it decodes the platform's notifications for the
+// policy, and sends the policy's votes. It owns the connection to the platform, and each connection to a
+// former address until the outcomes of its votes are known.
 //
-// Order of calls: start() once, then cast_vote() and change_address() at any time. Units: none. Errors:
-// messages that can't be used are logged and ignored; one that can't be read has the connection opened anew.
+// Call start() once, and then cast_vote() and change_address() at any time. A message that cannot be used is
+// logged and ignored. After a malformed one the connection is also opened again.
 #pragma once
 #include <cstdint>
 #include <memory>
@@ -19,24 +19,28 @@
 
 class ReleaseSubscription {
  public:
-  // `seed`: of the connection's jitter.
+  // `request_classes` holds the names of the request classes in the order of the settings. `seed` seeds the
+  // jitter of the connection's backoff.
   ReleaseSubscription(RouterContext& context, const EndpointRegistry& registry,
                       std::vector<std::string> request_classes, std::string address, std::uint64_t seed);
 
-  // A release state in the platform's form; nothing happens where it is no JSON.
+  // Applies the release state of the configuration, which is JSON in the platform's form. Does nothing if
+  // `state` is not JSON.
   void apply_configured_state(const std::string& state);
   void start() { open(); }
   void cast_vote(ReleaseVersion version, unsigned stage, Vote vote) { client_->vote(version, stage, vote); }
+  // Changes the address of the platform. Does nothing if it is the same as before.
   void change_address(const std::string& address);
 
  private:
   void open();
-  // These return false where the message can't be read.
+  // These return false if the message is malformed, so that the connection has to be opened again.
   bool on_notification(const std::string& method, const Json& message);
   bool on_unknown_notification(const std::string& method);
   bool on_vote_outcome(VoteOutcome outcome, const Json* state);
   bool on_release_state(const Json& message);
 
+  // These return false if the message cannot be used.
   bool apply_outcome_sample(const Json& message);
   bool apply_disputed_answer(const Json& message);
   void on_retired(const ReleaseClient* client);
@@ -48,7 +52,7 @@
   std::uint64_t seed_;
   std::unique_ptr<ReleaseClient> client_;
   std::vector<std::unique_ptr<ReleaseClient>> retired_clients_;
-  std::string unknown_method_;  // met once
+  std::string unknown_method_;  // of the last notification with an unknown method
 };
 
 }  // namespace ashbeam
--- a/src/routing/request_authorization.cpp
+++ b/src/routing/request_authorization.cpp
@@ -71,7 +71,7 @@
   const unsigned status = calling::http_status_of(reason);
   if (status == 403) return client.answer_plain(status, refused_line);
   if (status == 401) return client.answer_plain(status, challenge_line(reason));
-  // A millisecond more than the wait, which is cut to whole ones.
+  // Truncated to whole milliseconds, plus one, so that the client does not come back too early.
   const Duration rounded_up = Duration::us((retry_after.us() / 1000 + 1) * 1000);
   client.answer_plain(429, retry_after_line(rounded_up) + refused_line);
 }
@@ -86,7 +86,7 @@
     if (!counts.empty()) counts += ", ";
     counts.append(calling::name_of(reason)).append(" ").append(std::to_string(refused));
   }
-  context_.log("calling: refused within 1 s: " + counts);
+  context_.log("calling: requests refused within 1 s: " + counts);
 }
 
 }  // namespace ashbeam
--- a/src/routing/request_lifecycle.cpp
+++ b/src/routing/request_lifecycle.cpp
@@ -32,7 +32,7 @@
     : context_(context), pools_(pools), registry_(registry), lease_(lease), authorization_(authorization),
       metadata_(metadata), local_failures_(context) {}
 
-// ---- Accepted ----
+// ---- Acceptance ----
 
 RequestId RequestLifecycle::accept(ClientConnection& client, AcceptedRequest accepted) {
   const RequestId id = requests_.allocate();
@@ -66,7 +66,8 @@
   request.attempts.back().connection = pools_.send(endpoint, build_request, deadline, on_end);
 }
 
-// The time left is that when the connection is open, which may be long after the decision.
+// The time left is computed when the connection is open, which may be long after the routing policy has
+// decided on the attempt.
 std::string RequestLifecycle::build_attempt_request(RequestId id, Instant deadline) {
   const AcceptedRequest& request = requests_[id].accepted;
   const std::int64_t left_ms = std::max<std::int64_t>(0, (deadline - context_.loop.now()).us() / 1000);
@@ -79,10 +80,10 @@
 
 void RequestLifecycle::log_attempt_begin(RequestId id, unsigned attempt, EndpointIndex endpoint,
                                          Duration time_left) {
-  context_.detail_log.write_line(
-      LogTopic::kRequests, context_.loop.now(),
-      "request %u attempt %u to endpoint %u at %s, release %.0f, waits %.0f ms at most", id, attempt,
-      endpoint, registry_.address(endpoint).c_str(), registry_.version(endpoint), time_left.ms());
+  context_.detail_log.write_line(LogTopic::kRequests, context_.loop.now(),
+                                 "request %u: attempt %u to endpoint %u at %s, release %.0f, timeout %.0f ms",
+                                 id, attempt, endpoint, registry_.address(endpoint).c_str(),
+                                 registry_.version(endpoint), time_left.ms());
 }
 
 void RequestLifecycle::cancel_attempt(RequestId id, unsigned attempt) {
@@ -101,8 +102,8 @@
   if (result == AttemptResult::kOk)
     lease_.on_endpoint_answered(endpoint, ended.sent_at, EndpointPools::opened_at(ended.connection));
   context_.detail_log.write_line(LogTopic::kRequests, context_.loop.now(),
-                                 "request %u attempt %u to endpoint %u ended: %s, after %.1f ms", id, attempt,
-                                 endpoint, name_of(result), duration.ms());
+                                 "request %u: attempt %u to endpoint %u ended: %s, after %.1f ms", id,
+                                 attempt, endpoint, name_of(result), duration.ms());
   const CheckedAnswer checked = check_metadata(requests_[id], endpoint, result, answer);
   const bool ok = checked.result == AttemptResult::kOk;
   const bool answered_client = ok && answer_client(id, checked.status, *answer);
@@ -143,15 +144,17 @@
   return true;
 }
 
-// A sticky key must not go back to an older version: an attempt there that still waits for its connection
-// when a newer version answers would arrive after that answer. It has never run, and is decided anew.
+// The requests of a sticky key must not go back to an older release version. An attempt to an older version
+// that still waits for its connection when a newer version answers would arrive after that answer. So it is
+// cancelled; it cannot have run, and the routing policy decides on the request anew.
 void RequestLifecycle::cancel_unsent_attempts_to_older_versions(std::uint64_t sticky_key, double version) {
   for (RequestId id = 0; id < requests_.slot_count(); ++id) {
     Request& request = requests_[id];
     if (!request.in_use || request.accepted.sticky_key != sticky_key) continue;
     for (Attempt& attempt : request.attempts) {
       const bool older = attempt.connection && registry_.version(attempt.endpoint) < version;
-      // The decisions may cancel it, too, before its end is notified: it has no connection then.
+      // The routing policy may also cancel the attempt before its end is reported. The null connection makes
+      // cancel_attempt() ignore that.
       if (older && pools_.cancel_if_unsent(attempt.connection)) attempt.connection = nullptr;
     }
   }
@@ -162,7 +165,7 @@
 void RequestLifecycle::reject(RequestId id, Duration retry_after) {
   const std::string fields = retry_after > Duration() ? retry_after_line(retry_after) : std::string();
   const MetadataRequest* const metadata = requests_[id].accepted.metadata.get();
-  // A file that no endpoint had in a good form is no lack of capacity.
+  // If every endpoint's file was refused, that is no lack of capacity, so the status is 502 instead of 503.
   if (metadata && !metadata->refusal.empty())
     return answer_without_attempt(id, kBadGatewayStatus, fields + refusal_reason_line(*metadata));
   answer_without_attempt(id, kUnavailableStatus, fields);
@@ -174,11 +177,13 @@
   answer_without_attempt(id, kBadGatewayStatus, refused ? refusal_reason_line(*metadata) : std::string());
 }
 
-// The request is released after the callback at hand: the decisions may still name it in that.
+// The request is released after the current callback has returned, because the routing policy may still refer
+// to it in that callback.
 void RequestLifecycle::answer_without_attempt(RequestId id, unsigned status, std::string_view fields) {
-  context_.detail_log.write_line(LogTopic::kRequests, context_.loop.now(),
-                                 "request %u answered %u without an endpoint's answer, endpoint list %s", id,
-                                 status, policy::name_of(lease_.state()));
+  context_.detail_log.write_line(
+      LogTopic::kRequests, context_.loop.now(),
+      "request %u: answered with status %u without an endpoint's answer, endpoint list lease %s", id, status,
+      policy::name_of(lease_.state()));
   if (ClientConnection* const client = take_client(id)) client->answer_plain(status, fields);
   context_.loop.post([this, id] { release_if_complete(id); });
 }
@@ -189,13 +194,13 @@
   return client;
 }
 
-// ---- Ends without an answer of the decisions ----
+// ---- Ends that the routing policy has not decided ----
 
 void RequestLifecycle::on_client_closed(ClientConnection& client) {
   if (!client.request_id) return;
   const RequestId id = *client.request_id;
-  context_.detail_log.write_line(LogTopic::kRequests, context_.loop.now(), "request %u: its client closed",
-                                 id);
+  context_.detail_log.write_line(LogTopic::kRequests, context_.loop.now(),
+                                 "request %u: client closed the connection before the answer", id);
   take_client(id);
   notify_client_gone(id);
 }
@@ -210,9 +215,10 @@
   }
 }
 
-// Past its deadline, or at the end of a graceful shutdown.
+// Called when the answer deadline has passed, or at the end of a graceful shutdown.
 void RequestLifecycle::fail_overdue(RequestId id) {
-  context_.log("request overdue: answered with an error");
+  context_.log("request " + std::to_string(id) + ": not answered in time, answering with status " +
+               std::to_string(kGatewayTimeoutStatus));
   if (ClientConnection* const client = take_client(id)) client->answer_plain(kGatewayTimeoutStatus);
   notify_client_gone(id);
 }
--- a/src/routing/request_lifecycle.hpp
+++ b/src/routing/request_lifecycle.hpp
@@ -1,10 +1,11 @@
-// The life of a request, from when it is accepted until it has its answer and no attempt is in flight any
-// more. Each gets exactly one final answer, by whatever comes first: an attempt, the decisions' word, or its
-// overdue deadline; none where its client has gone.
+// Controls each request from its acceptance until it has been answered and no attempt is in flight any more.
+// A request gets exactly one final answer, from whatever comes first: a successful attempt, a decision of the
+// routing policy, or the answer deadline. It gets none if its client has closed the connection.
 //
-// Order of calls: accept(), then tell the decisions of it; what they decide is carried out by send_attempt(),
-// cancel_attempt(), reject() and fail(). Units: requests by the id that accept() gives out, attempts counted
-// from 0 for each request. Errors: none; ids are valid until the request is over.
+// Call accept() for a request, and then RouterPolicy::on_request(). The policy's decisions are carried out by
+// send_attempt(), cancel_attempt(), reject() and fail(). Requests are identified by the id that accept()
+// returns, which is valid until the request has ended. Attempts are counted from 0 for each request. Nothing
+// here can fail.
 #pragma once
 #include <cstdint>
 #include <memory>
@@ -25,14 +26,14 @@
 
 namespace ashbeam {
 
-// A request as it is forwarded.
+// A request in the form in which it is forwarded.
 struct AcceptedRequest {
-  Instant deadline;              // when its client stops waiting
-  std::uint64_t sticky_key = 0;  // 0: none, or keys do not bind
-  std::string head;              // first line and header lines, but for the time left
+  Instant deadline;              // when the client stops waiting
+  std::uint64_t sticky_key = 0;  // 0: none, or sticky keys are not enabled
+  std::string head;              // start line and header lines, without the time left
   std::string body;
   calling::QuotaHold admission;
-  std::unique_ptr<MetadataRequest> metadata;  // null: not for a metadata file
+  std::unique_ptr<MetadataRequest> metadata;  // null: not a request for a metadata file
 };
 
 class RequestLifecycle {
@@ -40,18 +41,21 @@
   RequestLifecycle(RouterContext& context, EndpointPools& pools, EndpointRegistry& registry,
                    EndpointListLease& lease, RequestAuthorization& authorization, MetadataCheck& metadata);
 
+  // Takes over the request and returns its id. `client` must stay valid until on_client_closed().
   RequestId accept(ClientConnection& client, AcceptedRequest accepted);
 
-  // See RouterActions for these.
+  // See RouterActions.
   void send_attempt(RequestId id, EndpointIndex endpoint);
   void cancel_attempt(RequestId id, unsigned attempt);
   void reject(RequestId id, Duration retry_after);
   void fail(RequestId id);
 
-  // The client of a request has gone; nothing happens where it has no request at hand.
+  // Called when a client has closed its connection. Does nothing if it has no current request.
   void on_client_closed(ClientConnection& client);
-  // Answers with an error what the decisions have left open.
+  // Answers the client's current request with an error, because the routing policy has not completed it in
+  // time.
   void on_answer_deadline(ClientConnection& client);
+  // Answers every request that has no answer yet with an error.
   void fail_all_unanswered();
 
   bool empty() const { return request_count_ == 0; }
@@ -60,17 +64,17 @@
   struct Attempt {
     EndpointIndex endpoint = 0;
     Instant sent_at;
-    EndpointPools::PooledConnection* connection = nullptr;  // while it is in flight
+    EndpointPools::PooledConnection* connection = nullptr;  // null if not in flight
   };
   struct Request {
     AcceptedRequest accepted;
-    bool in_use = false;                 // of the slab's slot
-    ClientConnection* client = nullptr;  // null once it is answered or has gone
+    bool in_use = false;                 // false: this slot of the slab is free
+    ClientConnection* client = nullptr;  // null once answered, or once the client has gone
     std::vector<Attempt> attempts;
     unsigned attempts_in_flight = 0;
   };
 
-  // What an attempt's answer counts for, and the status that the client gets.
+  // The result of an attempt after the check of metadata, and the status for the client.
   struct CheckedAnswer {
     AttemptResult result = AttemptResult::kOk;
     unsigned status = 0;
@@ -80,16 +84,18 @@
   void on_attempt_end(RequestId id, unsigned attempt, AttemptResult result,
                       const http::MessageParser* answer);
   void log_attempt_begin(RequestId id, unsigned attempt, EndpointIndex endpoint, Duration time_left);
-  // The attempt as it was, with its connection; it is not in flight any more.
+  // Marks the attempt as ended. Returns it as it was before, with its connection.
   Attempt take_ended_attempt(RequestId id, unsigned attempt);
   CheckedAnswer check_metadata(Request& request, EndpointIndex endpoint, AttemptResult result,
                                const http::MessageParser* answer);
-  // False where the client is answered already, or has gone.
+  // Returns false if the client has been answered already, or has gone.
   bool answer_client(RequestId id, unsigned status, const http::MessageParser& answer);
   void cancel_unsent_attempts_to_older_versions(std::uint64_t sticky_key, double version);
   void answer_without_attempt(RequestId id, unsigned status, std::string_view fields);
+  // Detaches the client from the request. Returns null if that has been done before.
   ClientConnection* take_client(RequestId id);
   void fail_overdue(RequestId id);
+  // Tells the routing policy that the request needs no answer any more.
   void notify_client_gone(RequestId id);
   void release_if_complete(RequestId id);
 
@@ -101,7 +107,7 @@
   MetadataCheck& metadata_;
   LocalFailureLog local_failures_;
   Slab<Request> requests_;
-  std::uint32_t request_count_ = 0;  // in use
+  std::uint32_t request_count_ = 0;  // slots in use
 };
 
 }  // namespace ashbeam
--- a/src/routing/request_parser.cpp
+++ b/src/routing/request_parser.cpp
@@ -14,7 +14,8 @@
 constexpr double kMaxTimeLeftMs = 3.6e6;
 constexpr double kMaxNumericKey = 1.8e19;  // below 2^64
 
-// Fields that decisions hang on. Where one stands twice, an endpoint might read the other one.
+// Fields that routing decisions depend on. A request that has one of them twice is rejected, because an
+// endpoint might read the other line.
 constexpr std::string_view kSingletonFields[] = {header::kRequestId, header::kTenant, header::kTimeLeftMs,
                                                  header::kIdempotencyKey, header::kSessionKey};
 
@@ -36,7 +37,8 @@
   return value;
 }
 
-// Calls back with each name=value of a comma-separated list whose value is a number.
+// Calls `callback` with the name and the value of each name=value item of a comma-separated list whose value
+// is a number.
 template <class Callback>
 void for_each_numeric_item(std::string_view list, Callback&& callback) {
   http::for_each_list_element(list, [&](std::string_view item) {
@@ -68,7 +70,7 @@
   if (!has_required_fields(head, rule->idempotency, max_request_id_bytes)) return RequestError{400, {}};
   const auto time_left_ms = http::parse_decimal(*head.find(header::kTimeLeftMs));
   if (!time_left_ms) return RequestError{400, {}};
-  // An endpoint might take the body of an idempotent request for the next request.
+  // An endpoint might read the body of a GET request as the next request.
   if (idempotent && !request.raw_body().empty()) return RequestError{400, {}};
   RequestParameters parameters;
   parameters.request_class = static_cast<unsigned>(rule - rules.begin());
@@ -79,7 +81,7 @@
 std::uint64_t sticky_key_of(const http::Head& head, bool sticky_sessions) {
   std::uint64_t key = 0;
   const auto session = sticky_sessions ? head.find(header::kSessionKey) : std::nullopt;
-  // Decisions need only know a key again; 0 means none.
+  // The routing policy only compares keys. The lowest bit is set because 0 means that there is no key.
   if (session && !session->empty()) key = XXH3_64bits(session->data(), session->size()) | 1U;
   if (const auto facts = head.find(header::kFacts)) {
     for_each_numeric_item(*facts, [&](std::string_view name, double value) {
--- a/src/routing/request_parser.hpp
+++ b/src/routing/request_parser.hpp
@@ -1,7 +1,8 @@
-// What a request's head says to the router: its class, its time limit, its id and its sticky key.
+// Reads the parameters of a request from its head: its class, its time limit and its sticky key. Rejects
+// requests whose form is not accepted.
 //
-// Pure functions without I/O. Errors: a RequestError, the answer to a request that can't be accepted. Source:
-// the protocol's page on requests.
+// The functions are pure and do no I/O. A request that cannot be accepted results in a RequestError, which
+// says how to answer it. Source: the protocol's page on requests.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -16,31 +17,33 @@
 
 namespace ashbeam {
 
-// A request class as requests name it.
+// The rules for the requests of one class.
 struct RequestClassRule {
-  std::string name;  // the first part of the path
+  std::string name;  // the first segment of the path of its requests
   Idempotency idempotency = Idempotency::kUnsafe;
 };
 
 struct RequestParameters {
-  unsigned request_class = 0;  // index in the rules
+  unsigned request_class = 0;  // index in the list of rules
   Duration time_left;          // until the client stops waiting
 };
 
 struct RequestError {
-  unsigned status = 0;                             // 400, 404 or 405
-  std::optional<std::string_view> allowed_method;  // with 405
+  unsigned status = 0;                             // to answer with: 400, 404 or 405
+  std::optional<std::string_view> allowed_method;  // set if `status` is 405
 };
 
-// The path without its query.
+// Returns the path of the request target, without its query.
 std::string_view path_of(const http::Head& head);
 
+// Checks a complete request. The path selects its class in `rules`, and the class decides which method and
+// fields it must have.
 std::variant<RequestParameters, RequestError> parse_request(const http::MessageParser& request,
                                                             const std::vector<RequestClassRule>& rules,
                                                             std::size_t max_request_id_bytes);
 
-// The sticky key, 0 where the request has none. Session keys are any text, and count only with
-// `sticky_sessions`; they are hashed.
+// Returns the sticky key of a request, or 0 if it has none. A session key is any text, which is hashed; it is
+// ignored unless `sticky_sessions` is set.
 std::uint64_t sticky_key_of(const http::Head& head, bool sticky_sessions);
 
 }  // namespace ashbeam
--- a/src/routing/retry_after.hpp
+++ b/src/routing/retry_after.hpp
@@ -1,5 +1,5 @@
-// The Retry-After line of a rejection: in seconds with three decimals, which the protocol allows beyond
-// RFC 9110, section 10.2.3.
+// Formats the Retry-After header line of a rejection. The value is in seconds with three decimals, which the
+// protocol allows in addition to the whole seconds of RFC 9110, section 10.2.3.
 #pragma once
 #include <cstdio>
 #include <string>
--- a/src/routing/router_context.hpp
+++ b/src/routing/router_context.hpp
@@ -1,4 +1,5 @@
-// What all parts of the router on sockets share: the event loop, the limits, the log, and the decisions.
+// The objects that all components of the router share: the event loop, the limits, the log and the routing
+// policy.
 #pragma once
 #include <functional>
 #include <memory>
@@ -12,15 +13,16 @@
 
 namespace ashbeam {
 
-// Writes one line.
+// Writes one log line, which has no line end.
 using LogFunction = std::function<void(std::string_view)>;
 
-// The decisions, which have to know the time of each event before the event.
+// Holds the routing policy, and sets its time before each event, as RouterPolicy requires.
 class TimedPolicy {
  public:
   explicit TimedPolicy(EventLoop& loop) : loop_(loop) {}
+  // Must be called once before at_now().
   void attach(std::unique_ptr<RouterPolicy> policy) { policy_ = std::move(policy); }
-  // For one event, which happens now.
+  // Returns the policy with its time set to now. To be called anew for each event.
   RouterPolicy& at_now() {
     policy_->set_time(loop_.now());
     return *policy_;
@@ -39,7 +41,7 @@
   EventLoop& loop;
   const Limits& limits;
   LogFunction log;
-  DetailLog detail_log;  // of requests, attempts and calls to discovery; off at the start
+  DetailLog detail_log;  // disabled at the start
   TimedPolicy policy;
 };
 
--- a/src/routing/service.cpp
+++ b/src/routing/service.cpp
@@ -17,8 +17,8 @@
 constexpr unsigned kConflictStatus = 409;
 constexpr unsigned kUnavailableStatus = 503;
 
-// An attempt may wait for its connection, and reaches its endpoint that much later: a repeat must still come
-// while the endpoint remembers the key.
+// Reduces the time for which endpoints remember idempotency keys by the time that an attempt may wait for its
+// connection: a retry must reach its endpoint while the endpoint still remembers the key.
 RouterSettings with_reduced_key_retention(RouterSettings settings, Duration connect_timeout) {
   for (RequestClass& request_class : settings.request_classes)
     request_class.key_retention = std::max(Duration(), request_class.key_retention - connect_timeout);
@@ -34,6 +34,9 @@
   return rules;
 }
 
+// Returns how long an attempt may wait for its connection. It is at most half of the drain grace period,
+// because that wait shortens the time for which the endpoint list may be used (see
+// endpoint_lease_settings()).
 Duration connect_timeout(const Limits& limits, const RouterSettings& settings) {
   return std::min(limits.connect_timeout, settings.drain_grace * 0.5);
 }
@@ -150,8 +153,8 @@
   client.answer_plain(ready ? kOkStatus : kUnavailableStatus);
 }
 
-// No second request is run with the id of one that is in flight or was answered lately. By tenant: what one
-// sends says nothing of another's.
+// No request is accepted with the id of another one of the same tenant that is in flight or was answered
+// recently. Ids of different tenants are independent of each other.
 bool Service::remember_request_id(const http::Head& head, Instant now, Instant deadline) {
   request_id_.assign(head.find(header::kTenant).value_or(""))
       .append(1, '\n')
@@ -162,7 +165,7 @@
 AcceptedRequest Service::make_accepted_request(const ClientConnection& client, http::MessageParser& request,
                                                const calling::Identity& identity) const {
   const http::Head& head = request.head();
-  // Who has proven nothing is known by the connection.
+  // A client that is not authenticated is identified by its connection.
   const bool proven = !identity.principal.empty();
   const std::uint64_t metadata_client_id = proven ? identity.subject_hash : client.serial_number();
   AcceptedRequest accepted;
@@ -176,7 +179,6 @@
   return accepted;
 }
 
-// Past the end of the settings' tenants where the request names none of them.
 unsigned Service::tenant_index_of(const http::Head& head, const calling::Identity& identity) const {
   if (!identity.principal.empty()) return identity.policy_tenant;
   const auto found = std::find(tenants_.begin(), tenants_.end(), head.find(header::kTenant).value_or(""));
@@ -187,7 +189,7 @@
   DetailLog& log = context_.detail_log;
   if (!log.is_enabled(LogTopic::kRequests)) return;
   const std::string_view id = head.find(header::kRequestId).value_or("");
-  log.write_line(LogTopic::kRequests, now, "request %u accepted: id %.*s class %u, time left %.0f ms",
+  log.write_line(LogTopic::kRequests, now, "request %u: accepted, id %.*s, class %u, time left %.0f ms",
                  arrival.request, static_cast<int>(id.size()), id.data(), arrival.request_class,
                  (arrival.deadline - now).ms());
 }
--- a/src/routing/service.hpp
+++ b/src/routing/service.hpp
@@ -1,10 +1,10 @@
-// The router on sockets: makes its parts, connects them, and brings each request through them. Nothing here
-// decides anything; the decisions are those of RouterPolicy.
+// The router: constructs its components, connects them with each other, and passes each request through them.
+// It decides nothing about requests itself; RouterPolicy does.
 //
-// Order of calls: construct it, then set_authorizer(), set_metadata_verifier() and listen_with_tls() where
-// they are needed, then start(); change_addresses() at any time; shut_down() once. All on the event loop's
-// thread. Units: as in Limits. Errors: the constructor and listen_with_tls() throw Poco::Exception where an
-// address can't be listened at.
+// Construct it; call set_authorizer(), set_metadata_verifier() and listen_with_tls() where needed; then call
+// start(). change_addresses() may be called at any time after that, and shut_down() ends the service. All
+// calls must come from the thread of the event loop. The constructor and listen_with_tls() throw
+// Poco::Exception if they cannot listen at the address. Limits and timeouts are those of Limits.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -46,25 +46,29 @@
   ~Service() override;
 
   void start();
-  // Ends the program gracefully; `done` is called once nothing is left.
+  // Starts a graceful shutdown. `done` is called when it is complete.
   void shut_down(std::function<void()> done) { shutdown_.begin(std::move(done)); }
   bool is_shutting_down() const { return shutdown_.has_begun(); }
-  // Discovery and the release platform are elsewhere from now on; what was learnt stands.
+  // Changes the addresses of discovery and of the release platform. The endpoint list, the release state and
+  // the statistics are kept.
   void change_addresses(const std::string& discovery, const std::string& release_platform);
 
-  // From now on requests are authorised before they are accepted. `forward_token`: to the endpoints.
+  // From now on requests are authorized before they are accepted. `forward_token` says whether the client's
+  // token is forwarded to the endpoint.
   void set_authorizer(std::unique_ptr<calling::Authorizer> authorizer, bool forward_token);
   calling::Authorizer* authorizer() { return authorization_.authorizer(); }
-  // From now on metadata files are checked before their first byte is forwarded.
+  // From now on metadata files are verified before any byte of them is forwarded to a client.
   void set_metadata_verifier(std::unique_ptr<metadata::MetadataVerifier> verifier);
   const metadata::MetadataVerifier* metadata_verifier() const { return metadata_.verifier(); }
-  // A second listener, behind TLS.
+  // Opens a second listener, whose connections use TLS.
   void listen_with_tls(const TlsSettings& settings, std::shared_ptr<TlsCredentials> credentials);
+  // Returns null if there is no TLS listener.
   TlsAcceptor* tls_acceptor() { return tls_acceptor_.get(); }
 
+  // The ports that the listeners are bound to. tls_port() returns 0 if there is no TLS listener.
   std::uint16_t port() const { return clients_.port(); }
   std::uint16_t tls_port() const { return clients_.tls_port(); }
-  // Endpoint indices given out so far.
+  // Returns the number of endpoint indices that have been assigned so far, including free ones.
   std::size_t endpoint_slot_count() const { return registry_.slot_count(); }
   DetailLog& detail_log() { return context_.detail_log; }
 
@@ -79,13 +83,15 @@
   void cast_vote(ReleaseVersion version, unsigned stage, Vote vote) override;
   void log(std::string_view line) override { context_.log(line); }
 
-  // A complete request: whoever refuses it first answers it, else it is handed to the decisions.
+  // Called with each complete request. It passes the checks one after another; the first that refuses it
+  // answers it. If none does, it is passed to the routing policy.
   void on_request(ClientConnection& client, http::MessageParser& request);
   void answer_health_check(ClientConnection& client, const http::Head& head) const;
-  // False where the id is remembered already.
+  // Stores the request's id. Returns false if the id is stored already.
   bool remember_request_id(const http::Head& head, Instant now, Instant deadline);
   AcceptedRequest make_accepted_request(const ClientConnection& client, http::MessageParser& request,
                                         const calling::Identity& identity) const;
+  // Returns the index of the request's tenant in the settings, or one past the last if it names none of them.
   unsigned tenant_index_of(const http::Head& head, const calling::Identity& identity) const;
   void log_accepted(const RequestArrival& arrival, const http::Head& head, Instant now);
 
@@ -94,7 +100,8 @@
   std::vector<std::string> tenants_;
   bool sticky_keys_;
   RouterContext context_;
-  std::unique_ptr<TlsAcceptor> tls_acceptor_;  // before the connections that stand behind it
+  std::unique_ptr<TlsAcceptor>
+      tls_acceptor_;  // must outlive the connections that it made, so it comes before clients_
   ClientConnections clients_;
   EndpointPools pools_;
   EndpointListLease lease_;
@@ -108,7 +115,7 @@
   GracefulShutdown shutdown_;
   WakeupTimers wakeups_;
   RecentRequestIds recent_ids_;
-  std::string request_id_;  // of the request at hand; a member, so that its memory is used again
+  std::string request_id_;  // tenant and id of the current request; a member so that its memory is reused
 };
 
 }  // namespace ashbeam
--- a/src/routing/wakeup_timers.hpp
+++ b/src/routing/wakeup_timers.hpp
@@ -1,4 +1,5 @@
-// The timers that the decisions ask for: one for each token, which is made once and then used again.
+// The timers that the routing policy requests with RouterActions::schedule_wakeup(). Each token has one
+// timer, which is made at its first use and then reused.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -12,7 +13,8 @@
  public:
   explicit WakeupTimers(RouterContext& context) : context_(context) {}
 
-  // See RouterActions::schedule_wakeup().
+  // Calls RouterPolicy::on_wakeup() with `token` once, after `delay`. Replaces an earlier wakeup with the
+  // same token.
   void schedule(Duration delay, std::uint64_t token) {
     auto& timer = timers_[token];
     if (!timer) {
--- a/tests/client_connections_test.cpp
+++ b/tests/client_connections_test.cpp
@@ -182,7 +182,9 @@
   run_on_loop([] {});
   begin_shutdown();
   thread_.join();
-  EXPECT_TRUE(logged("idle client connections closed 1, crossed by a request 1"));
+  EXPECT_TRUE(
+      logged("shutdown: client connections closed while idle: 1, of these with a request received after the "
+             "close: 1"));
 }
 
 }  // namespace
--- a/tests/endpoint_registry_test.cpp
+++ b/tests/endpoint_registry_test.cpp
@@ -60,8 +60,8 @@
   }
   begin_shutdown();
   thread_.join();
-  EXPECT_TRUE(logged("endpoint list: 'x' is not in the settings' zones") &&
-              logged("endpoint list: 'n' is not in the settings' machine types"));
+  EXPECT_TRUE(logged("endpoint list: 'x' is not one of the zones in the settings") &&
+              logged("endpoint list: 'n' is not one of the machine types in the settings"));
   EXPECT_EQ(std::count_if(log_lines_.begin(), log_lines_.end(),
                           [](const auto& n) { return n.starts_with("endpoint list: 'n'"); }),
             1);
--- a/tests/endpoint_watch_test.cpp
+++ b/tests/endpoint_watch_test.cpp
@@ -54,7 +54,8 @@
   EXPECT_EQ(reached_endpoints(12), (std::vector<bool>{false, true, true}));
   begin_shutdown();
   thread_.join();
-  EXPECT_TRUE(logged("discovery: watch silent") && logged("discovery: watch stands again, tries 2"));
+  EXPECT_TRUE(logged("discovery: watch ended: no complete line within the timeout") &&
+              logged("discovery: watch established again, watches ended before: 2"));
 }
 
 TEST_F(EndpointWatchTest, ALineThatTricklesInAndNeverEndsIsNoSignOfLife) {
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -73,9 +73,9 @@
   thread_.join();
   EXPECT_TRUE(logged("release 2: stage 1, phase canary, exposure cap 0.280"));
   EXPECT_TRUE(logged("release 2: stage 1, phase rolling back, exposure cap 0.000"));
-  EXPECT_TRUE(logged("release platform: a state that can't be read"));
-  EXPECT_TRUE(logged("release platform: a notification that can't be used is ignored: NEW"));
-  EXPECT_TRUE(logged("endpoint list: an entry with no id or an unknown state"));
+  EXPECT_TRUE(logged("release platform: ignored an invalid release state: "));
+  EXPECT_TRUE(logged("release platform: ignored a notification that is unknown or invalid: NEW"));
+  EXPECT_TRUE(logged("endpoint list: ignored an entry without a uid or with an unknown state: "));
 }
 
 }  // namespace
--- a/tests/stale_endpoints_test.cpp
+++ b/tests/stale_endpoints_test.cpp
@@ -94,7 +94,7 @@
   EXPECT_TRUE(discovery_.has_pending(1000));
   stopping_ = true;
   thread_.join();
-  const std::string lost = "endpoint list: unconfirmed, ended, last confirmed ";
+  const std::string lost = "endpoint list: lease unconfirmed, cause: connection closed, last confirmed ";
   const auto line = std::find_if(log_lines_.begin(), log_lines_.end(),
                                  [&](const std::string& one) { return one.starts_with(lost); });
   ASSERT_NE(line, log_lines_.end());
