--- a/tests/client_connections_test.cpp
+++ b/tests/client_connections_test.cpp
@@ -1,5 +1,5 @@
-// Client connections: what a client may send and how long, how many connections there may be, and what
-// crosses a close.
+// Tests of client connections: limits of what a client may send and how long it may take, limits of the
+// number of connections, and requests that cross the close of a connection.
 #include "router_fixture.hpp"
 
 namespace ashbeam {
@@ -7,56 +7,56 @@
 
 class ClientConnectionsTest : public RouterTest {};
 
-TEST_F(ClientConnectionsTest, SilentAndPartialRequestsAreClosedSoonAndIdleConnectionsLater) {
+TEST_F(ClientConnectionsTest, ClosesConnectionsWithoutCompleteRequestSoonerThanIdleOnes) {
   limits_.first_request_timeout = limits_.request_read_timeout = Duration::ms(200);
   limits_.client_idle_timeout = Duration::ms(500);
   start_router(all_endpoints());
-  Stream silent = connect_client(), half = connect_client(), blank = connect_client(),
-         kept = connect_client(), later = connect_client(), odd = connect_client();
-  half.send("GET /look HTT");
-  for (Stream* client : {&kept, &later}) {
+  Stream silent = connect_client(), partial_first = connect_client(), empty_lines = connect_client(),
+         kept_alive = connect_client(), partial_second = connect_client(), extra_line = connect_client();
+  partial_first.send("GET /look HTT");
+  for (Stream* client : {&kept_alive, &partial_second}) {
     client->send(kHealthCheck);
     EXPECT_EQ(status_of(client->read_message()), 200U);
   }
-  later.send("GET /lo");
-  odd.send("GET /health/ready HTTP/1.1\r\n\r\n\r\n");  // an early blank line
-  EXPECT_EQ(status_of(odd.read_message()), 200U);
+  partial_second.send("GET /lo");
+  extra_line.send("GET /health/ready HTTP/1.1\r\n\r\n\r\n");  // an empty line ahead of the next request
+  EXPECT_EQ(status_of(extra_line.read_message()), 200U);
   for (int i = 0; i < 5; ++i) {
-    blank.send("\r\n");
+    empty_lines.send("\r\n");
     usleep(60000);
   }
-  EXPECT_TRUE(silent.closed_by_peer(100) && blank.closed_by_peer(100));
-  EXPECT_EQ(status_of(half.read_message(100)), 408U);
-  EXPECT_EQ(status_of(later.read_message(100)), 408U);
-  EXPECT_FALSE(kept.closed_by_peer(50));
-  EXPECT_TRUE(kept.closed_by_peer(600));
-  EXPECT_TRUE(odd.closed_by_peer(600));
+  EXPECT_TRUE(silent.closed_by_peer(100) && empty_lines.closed_by_peer(100));
+  EXPECT_EQ(status_of(partial_first.read_message(100)), 408U);
+  EXPECT_EQ(status_of(partial_second.read_message(100)), 408U);
+  EXPECT_FALSE(kept_alive.closed_by_peer(50));
+  EXPECT_TRUE(kept_alive.closed_by_peer(600));
+  EXPECT_TRUE(extra_line.closed_by_peer(600));
 }
 
-TEST_F(ClientConnectionsTest, AHugeBodyIsReadAndDroppedAndTheErrorArrives) {
+TEST_F(ClientConnectionsTest, DiscardsTooLargeBodyAndStillDeliversTheError) {
   start_router(all_endpoints());
   Stream client = connect_client();
   client.send(
       "POST /pay HTTP/1.1\r\nX-Correlation-Id: a\r\nX-Time-Left-Ms: 500\r\nContent-Length: 60000000\r\n\r\n");
-  const std::string some(1 << 20, 'x');
+  const std::string chunk(1 << 20, 'x');
   for (int i = 0; i < 57; ++i)
-    ASSERT_EQ(::send(client.fd, some.data(), some.size(), MSG_NOSIGNAL), 1 << 20) << i;
+    ASSERT_EQ(::send(client.fd, chunk.data(), chunk.size(), MSG_NOSIGNAL), 1 << 20) << i;
   EXPECT_EQ(status_of(client.read_message()), 413U);
 }
 
-TEST_F(ClientConnectionsTest, ABadRequestDelaysTheNextOneOfItsConnection) {
+TEST_F(ClientConnectionsTest, DelaysTheNextRequestAfterAClientError) {
   start_router(all_endpoints());
   Stream client = connect_client();
-  std::string many;
-  for (int i = 0; i < 50; ++i) many += "GET /nowhere HTTP/1.1\r\n\r\n";
-  client.send(many);
+  std::string requests;
+  for (int i = 0; i < 50; ++i) requests += "GET /nowhere HTTP/1.1\r\n\r\n";
+  client.send(requests);
   int answers = 0;
   for (const Instant until = loop_.now() + Duration::ms(450); loop_.now() < until;)
     answers += status_of(client.read_message(50)) == 404;
   EXPECT_TRUE(answers >= 3 && answers <= 5) << answers;
 }
 
-TEST_F(ClientConnectionsTest, AtTheLimitIdleConnectionsMakeRoomAndEndpointsAreNotOverrun) {
+TEST_F(ClientConnectionsTest, EvictsIdleConnectionsAtTheLimitAndLimitsEndpointConnections) {
   limits_.max_client_connections = 4;
   limits_.max_endpoint_connections = 2;
   start_router(all_endpoints());
@@ -65,15 +65,16 @@
     busy.push_back(connect_client());
     busy.back().send(get(400));
   }
-  Stream a = take_attempt(), b = take_attempt();
-  EXPECT_EQ(take_attempt(100).fd, -1);  // the third gets no connection, and its answer soon
+  Stream first_attempt = take_attempt(), second_attempt = take_attempt();
+  // The third request gets no connection to an endpoint, and is answered soon.
+  EXPECT_EQ(take_attempt(100).fd, -1);
   for (int i = 0; i < 10; ++i) EXPECT_EQ(status_of(answer_to(kHealthCheck)), 200U);
   unsigned answered = 0;
   for (Stream& client : busy) answered += status_of(client.read_message()) != 0;
   EXPECT_EQ(answered, 3U);
-  busy.push_back(connect_client());  // half a request gives way, too, in time
+  busy.push_back(connect_client());  // a connection with a partial request is closed, too, after its timeout
   busy.back().send("GET /look HTTP/1.1\r\n");
-  usleep(1300000);  // connections between requests give way to new ones
+  usleep(1300000);  // connections between requests are closed to make room for new ones
   for (int i = 0; i < 6; ++i) {
     busy.push_back(connect_client());
     busy.back().send(kHealthCheck);
@@ -81,7 +82,7 @@
   }
 }
 
-TEST_F(ClientConnectionsTest, AFloodOfSilentAndPartialRequestsKeepsNobodyOut) {
+TEST_F(ClientConnectionsTest, AnswersNewClientsDuringAFloodOfIncompleteRequests) {
   limits_.max_client_connections = 8;
   start_router(all_endpoints());
   std::vector<Stream> flood;
@@ -89,56 +90,57 @@
     flood.push_back(connect_client());
     if (i % 2 != 0) flood.back().send("GET /look HTT");
   }
-  const Instant asked = loop_.now();
-  EXPECT_EQ(status_of(answer_to(kHealthCheck)), 200U);  // behind all of them
-  EXPECT_LT(loop_.now() - asked, Duration::s(1));
+  const Instant sent_at = loop_.now();
+  EXPECT_EQ(status_of(answer_to(kHealthCheck)), 200U);  // accepted after all of them
+  EXPECT_LT(loop_.now() - sent_at, Duration::s(1));
 }
 
-// None is closed between its requests, which the next could cross: past the limit each answer is the last
-// one.
-TEST_F(ClientConnectionsTest, OnlySoManyIdleConnectionsAreKept) {
+// A connection that is closed between two requests may lose a request that crosses the close. So beyond the
+// limit of idle connections each answer announces the close of its connection.
+TEST_F(ClientConnectionsTest, AnnouncesCloseInAnswersBeyondTheIdleLimit) {
   limits_.max_idle_client_connections = 4;
   start_router(all_endpoints());
-  std::vector<Stream> stay;
+  std::vector<Stream> clients;
   for (int i = 0; i < 20; ++i) {
-    stay.push_back(connect_client());
-    stay.back().send(kHealthCheck);
-    const std::string answer = stay.back().read_message();
+    clients.push_back(connect_client());
+    clients.back().send(kHealthCheck);
+    const std::string answer = clients.back().read_message();
     EXPECT_EQ(status_of(answer), 200U);
-    const bool kept = answer.find("Connection: close") == std::string::npos;
-    EXPECT_EQ(kept, i < 4) << i;
-    EXPECT_EQ(!stay.back().closed_by_peer(kept ? 20 : 500), kept) << i;
+    const bool kept_alive = answer.find("Connection: close") == std::string::npos;
+    EXPECT_EQ(kept_alive, i < 4) << i;
+    EXPECT_EQ(!clients.back().closed_by_peer(kept_alive ? 20 : 500), kept_alive) << i;
   }
   for (std::size_t i = 0; i < 4; ++i) {
-    stay[i].send(kHealthCheck);
-    EXPECT_EQ(status_of(stay[i].read_message()), 200U) << i;
+    clients[i].send(kHealthCheck);
+    EXPECT_EQ(status_of(clients[i].read_message()), 200U) << i;
   }
 }
 
-TEST_F(ClientConnectionsTest, WithoutDescriptorsItWaitsAndDoesNotSpin) {
+TEST_F(ClientConnectionsTest, PausesAcceptingWithoutFileDescriptorsAndDoesNotSpin) {
 #ifdef __SANITIZE_ADDRESS__
-  GTEST_SKIP() << "the sanitizers need descriptors of their own to look at an object, and report it without";
+  GTEST_SKIP() << "AddressSanitizer needs file descriptors of its own, and reports an error without them";
 #endif
   start_router(all_endpoints());
   Stream client(::socket(AF_INET, SOCK_STREAM, 0));
-  rlimit usual{}, few{};
-  ::getrlimit(RLIMIT_NOFILE, &usual);
-  few = {static_cast<rlim_t>(client.fd), usual.rlim_max};  // open ones go on, no new one can be opened
-  ASSERT_EQ(::setrlimit(RLIMIT_NOFILE, &few), 0);
-  sockaddr_in at{};
-  at.sin_family = AF_INET;
-  at.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-  at.sin_port = htons(service_->port());
-  ::connect(client.fd, reinterpret_cast<sockaddr*>(&at), sizeof at);
+  rlimit original_limit{}, lowered_limit{};
+  ::getrlimit(RLIMIT_NOFILE, &original_limit);
+  // No new descriptor can be opened; open ones keep working.
+  lowered_limit = {static_cast<rlim_t>(client.fd), original_limit.rlim_max};
+  ASSERT_EQ(::setrlimit(RLIMIT_NOFILE, &lowered_limit), 0);
+  sockaddr_in address{};
+  address.sin_family = AF_INET;
+  address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+  address.sin_port = htons(service_->port());
+  ::connect(client.fd, reinterpret_cast<sockaddr*>(&address), sizeof address);
   client.send(kHealthCheck);
-  const auto before = std::clock();
+  const auto cpu_before = std::clock();
   usleep(300000);
-  EXPECT_LT(std::clock() - before, CLOCKS_PER_SEC / 5);
-  ::setrlimit(RLIMIT_NOFILE, &usual);
+  EXPECT_LT(std::clock() - cpu_before, CLOCKS_PER_SEC / 5);
+  ::setrlimit(RLIMIT_NOFILE, &original_limit);
   EXPECT_EQ(status_of(client.read_message()), 200U);
 }
 
-TEST_F(ClientConnectionsTest, AClientThatClosesBehindManyUnreadBytesIsNoticed) {
+TEST_F(ClientConnectionsTest, NoticesCloseOfClientBehindUnreadBytes) {
   start_router(endpoint_list(endpoint_entry(0), 41, true));
   Stream client = connect_client();
   client.send(get(3000));
@@ -150,7 +152,7 @@
   EXPECT_TRUE(attempt.closed_by_peer(300));  // cancelled long before its deadline
 }
 
-TEST_F(ClientConnectionsTest, WithTooManyUnreadBytesTheAnswerIsTheLastOfItsConnection) {
+TEST_F(ClientConnectionsTest, ClosesAfterTheAnswerIfTooManyBytesAreUnread) {
   start_router(endpoint_list(endpoint_entry(0), 41, true));
   Stream client = connect_client();
   client.send(get(3000));
@@ -166,18 +168,19 @@
   EXPECT_TRUE(client.read_message(1500).empty());
 }
 
-// An idle connection that is ended is ended in order: what crosses it is read and dropped, and nothing reset.
-TEST_F(ClientConnectionsTest, ARequestThatCrossesAnIdleCloseMeetsAnEndAndNoReset) {
+// Closing an idle connection while a request is on its way would reset the connection. So its input is read
+// and discarded, and the client sees a regular close.
+TEST_F(ClientConnectionsTest, DoesNotResetAConnectionOnWhichARequestCrossesAnIdleClose) {
   limits_.client_idle_timeout = Duration::ms(100);
   start_router(all_endpoints());
   Stream client = connect_client();
   client.send(kHealthCheck);
   EXPECT_EQ(status_of(client.read_message()), 200U);
   ASSERT_TRUE(client.closed_by_peer(1000));
-  client.send(kHealthCheck);  // as if it had been on its way
+  client.send(kHealthCheck);  // as if it had been sent before the close arrived
   usleep(20000);
-  char one;
-  EXPECT_EQ(::recv(client.fd, &one, 1, MSG_DONTWAIT), 0);
+  char byte;
+  EXPECT_EQ(::recv(client.fd, &byte, 1, MSG_DONTWAIT), 0);
   client.close();
   run_on_loop([] {});
   begin_shutdown();
--- a/tests/endpoint_pools_test.cpp
+++ b/tests/endpoint_pools_test.cpp
@@ -1,4 +1,5 @@
-// Connection pools of endpoints: reuse, settling, and attempts that wait for a connection.
+// Tests of the connection pools of endpoints: reuse of connections, the settle time before a reuse, and
+// attempts that wait for a connection.
 #include "router_fixture.hpp"
 
 namespace ashbeam {
@@ -6,9 +7,10 @@
 
 class EndpointPoolsTest : public RouterTest {
  protected:
-  // Sends so many requests at a time, each on a connection of its own, and answers them; returns how many new
-  // connections to the endpoint they took.
-  int new_connections_of(int count, const std::string& after = "") {
+  // Sends `count` requests at the same time, each on a client connection of its own, and answers each with
+  // kOkAnswer followed by `trailing_bytes`. Returns how many connections to the endpoint were opened for
+  // them.
+  int count_new_connections(int count, const std::string& trailing_bytes = "") {
     std::vector<Stream> clients;
     for (int i = 0; i < count; ++i) {
       clients.push_back(connect_client());
@@ -23,7 +25,7 @@
       }
       for (Stream& connection : connections_) {
         if (connection.read_message(1).empty()) continue;
-        connection.send(kOkAnswer + after);
+        connection.send(kOkAnswer + trailing_bytes);
         ++answered;
       }
     }
@@ -33,7 +35,7 @@
   std::vector<Stream> connections_;
 };
 
-TEST_F(EndpointPoolsTest, ConnectionsAreReusedAndNotPastTheirProcess) {
+TEST_F(EndpointPoolsTest, ReusesConnectionsUntilTheProcessIsReplaced) {
   start_router(endpoint_list(endpoint_entry(0), 41, true));
   Stream watch = discovery_.accept();
   EXPECT_TRUE(watch.read_message().starts_with("GET /registry/instances?follow=1&since=41 HTTP/1.1\r\n"));
@@ -44,11 +46,11 @@
     ASSERT_FALSE(attempt.read_message().empty()) << i;
     attempt.send(kOkAnswer);
     ASSERT_EQ(status_of(client.read_message()), 200U);
-    usleep(70000);  // until it has settled
+    usleep(70000);  // longer than the settle time
     if (i < 2) client.send(get());
   }
-  const std::string change =
-      endpoint_list(endpoint_entry(0, "up", 2), 42) + "\n";  // the same id, another version
+  // The same uid with another version, so another process.
+  const std::string change = endpoint_list(endpoint_entry(0, "up", 2), 42) + "\n";
   char size[16];
   std::snprintf(size, sizeof size, "%zx\r\n", change.size());
   watch.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + std::string(size) +
@@ -58,7 +60,7 @@
   EXPECT_TRUE(attempt.closed_by_peer());
 }
 
-TEST_F(EndpointPoolsTest, AnEndpointThatRefusesOrNeverAcceptsHasNotRunTheRequest) {
+TEST_F(EndpointPoolsTest, RetriesUnsafeRequestIfTheConnectionWasNotEstablished) {
   const FullListener full;
   const std::string closed = [] { return FakeListener().address(); }();
   start_router(endpoint_list(endpoint_entry(0, "up", 1, closed) + "," +
@@ -75,7 +77,7 @@
   }
 }
 
-TEST_F(EndpointPoolsTest, AnAttemptThatWaitsForItsConnectionIsNotWrittenToADrainingEndpoint) {
+TEST_F(EndpointPoolsTest, DoesNotSendWaitingAttemptToADrainingEndpoint) {
   limits_.connect_timeout = Duration::s(5);
   settings_.drain_grace = Duration::s(20);
   const FullListener full;
@@ -86,14 +88,15 @@
   usleep(50000);
   watch.send(endpoint_list(endpoint_entry(0, "draining", 1, full.address()) + "," + endpoint_entry(2), 42) +
              "\n");
-  // Never connected, so even this request may go elsewhere, long before the connect timeout.
+  // The attempt was never sent, so even a request that must not run twice goes to another endpoint, long
+  // before the connect timeout.
   Stream attempt = take_attempt(1000);
   EXPECT_FALSE(attempt.read_message().empty());
   attempt.send(kOkAnswer);
   EXPECT_EQ(status_of(client.read_message()), 200U);
 }
 
-TEST_F(EndpointPoolsTest, MoreThanAnAnswerIsNeverTakenForTheNext) {
+TEST_F(EndpointPoolsTest, DoesNotReadSurplusBytesAsTheNextAnswer) {
   limits_.endpoint_settle_time = Duration::ms(100);
   start_router(endpoint_list(endpoint_entry(0), 41, true));
   Stream client = connect_client();
@@ -103,7 +106,8 @@
   attempt.send(std::string("HTTP/1.1 103 X\r\n\r\nHTTP/1.1 102 X\r\n\r\n") + kOkAnswer);
   EXPECT_EQ(status_of(client.read_message()), 200U);
   client.send(get());
-  Stream second_attempt = take_attempt();  // not where more may still come
+  // The second attempt uses a new connection, because more bytes may follow on the first one.
+  Stream second_attempt = take_attempt();
   EXPECT_FALSE(second_attempt.read_message().empty());
   attempt.send(kOkAnswer);
   EXPECT_TRUE(attempt.closed_by_peer());
@@ -111,20 +115,22 @@
   EXPECT_EQ(status_of(client.read_message()), 200U);
 }
 
-TEST_F(EndpointPoolsTest, WhereManyConnectionsSettleTheTimeIsShortUntilUnsolicitedBytesCome) {
+TEST_F(EndpointPoolsTest, ShortensSettleTimeOfBusyEndpointUntilItSendsUnsolicitedBytes) {
   settings_.may_cancel = false;
   limits_.endpoint_settle_time = Duration::s(2);
   limits_.busy_endpoint_settle_time = Duration();
   limits_.max_settling_connections = 4;
   start_router(endpoint_list(endpoint_entry(0), 41, true));
-  EXPECT_EQ(new_connections_of(2), 2);
+  EXPECT_EQ(count_new_connections(2), 2);
   usleep(20000);
-  EXPECT_EQ(new_connections_of(3), 3);  // two settle, which is few: none is used yet
+  // Two connections are idle, fewer than the limit of four: neither has settled.
+  EXPECT_EQ(count_new_connections(3), 3);
   usleep(20000);
-  EXPECT_LT(new_connections_of(5), 5);  // five settle: those above four are used
-  EXPECT_GT(new_connections_of(1, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx"), -1);
+  // Five connections are idle, at least the limit: the short settle time applies, and some are used again.
+  EXPECT_LT(count_new_connections(5), 5);
+  EXPECT_GT(count_new_connections(1, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx"), -1);
   usleep(20000);
-  EXPECT_EQ(new_connections_of(2), 2);
+  EXPECT_EQ(count_new_connections(2), 2);
 }
 
 }  // namespace
--- a/tests/local_failures_test.cpp
+++ b/tests/local_failures_test.cpp
@@ -1,4 +1,5 @@
-// What fails on this machine is distinguished from what failed elsewhere, up to the decisions.
+// Failures of this machine (no descriptor, no port) are distinguished from failures of the peer, from the
+// socket error to the decisions of the routing policy.
 #include <gtest/gtest.h>
 
 #include <cerrno>
@@ -9,7 +10,7 @@
 namespace ashbeam {
 namespace {
 
-TEST(Failures, AnErrorAtOnceIsOfThisMachineUnlessTheOtherRefuses) {
+TEST(Failures, ClassifiesImmediateErrorsAsLocalUnlessThePeerRefuses) {
   for (const int error : {ENFILE, EMFILE, ENOBUFS, ENOMEM, EADDRNOTAVAIL, ENETUNREACH, EAGAIN})
     EXPECT_EQ(failure_at_once(error), Failure::kLocal) << error;
   EXPECT_EQ(failure_at_once(ECONNREFUSED), Failure::kRefused);
@@ -18,8 +19,8 @@
     EXPECT_EQ(failure_of_pending(error), Failure::kUnreachable) << error;
 }
 
-// An unsafe request as well: it provably never ran.
-TEST(Failures, AnAttemptThatNeverLeftThisMachineIsMadeAgainAndCountsAgainstNobody) {
+// This holds for an unsafe request as well, because it cannot have run.
+TEST(Failures, RetriesLocallyFailedAttemptWithoutCountingItAgainstTheEndpoint) {
   for (const unsigned request_class : {0U, 2U}) {
     SimulatedRouter router(default_settings());
     for (int request = 0; request < 60; ++request) {
@@ -40,7 +41,7 @@
   }
 }
 
-TEST(Failures, OneThatLastsIsAnsweredInTimeAfterAFewAttempts) {
+TEST(Failures, RejectsRequestsInTimeIfTheLocalFailureLasts) {
   SimulatedRouter router(default_settings());
   router.serve = [](ReleaseVersion, EndpointIndex) {
     return Outcome{AttemptResult::kLocalFailure, Duration()};
--- a/tests/release_client_test.cpp
+++ b/tests/release_client_test.cpp
@@ -1,4 +1,4 @@
-// The connection to the release platform, by itself and in the router.
+// Tests of the client of the release platform, on its own and as part of the router.
 #include "router_fixture.hpp"
 
 namespace ashbeam {
@@ -27,17 +27,17 @@
     ReleaseClient client(loop_, limits_, listener_.address(), 3, callbacks);
     client.start();
     int rounds = 0;
-    Timer look(loop_, [&] {
+    Timer poll_timer(loop_, [&] {
       if (++rounds == 2) first(client);
       if (until() || rounds > 400) loop_.stop();
-      look.schedule_after(Duration::ms(5));
+      poll_timer.schedule_after(Duration::ms(5));
     });
-    look.schedule_after(Duration());
+    poll_timer.schedule_after(Duration());
     loop_.run();
   }
 };
 
-TEST_F(ReleaseClientTest, EachVoteHasItsOutcome) {
+TEST_F(ReleaseClientTest, ReportsTheOutcomeOfEachVote) {
   limits_.platform_answer_timeout = Duration::ms(150);
   std::thread platform([this] {
     Stream stream = listener_.accept();
@@ -46,8 +46,8 @@
     EXPECT_NE(
         calls.find(R"("id":2,"method":"release.vote","params":{"image":42,"ring":1,"opinion":"promote"}})"),
         std::string::npos);
-    const auto error = [](int id, const char* words) {
-      return "{\"id\":" + std::to_string(id) + ",\"error\":{\"code\":-32602,\"message\":\"" + words +
+    const auto error = [](int id, const char* message) {
+      return "{\"id\":" + std::to_string(id) + ",\"error\":{\"code\":-32602,\"message\":\"" + message +
              "\"}}\n";
     };
     const std::string text = "{\"id\":1,\"result\":true}\n{\"id\":2,\"result\":{\"image\":42}}\n" +
@@ -58,7 +58,7 @@
       stream.send(text.substr(at, 37));
       usleep(500);
     }
-    usleep(200000);  // the seventh call gets no answer in time, and then one that is not waited for any more
+    usleep(200000);  // the seventh call is not answered before its timeout; its late answer is ignored
     stream.send("{\"id\":7,\"result\":{}}\n{\"method\":\"ping\"}\n");
     usleep(50000);
   });
@@ -74,7 +74,7 @@
   EXPECT_EQ(notifications_, std::vector<std::string>{"ROLLOUT{\"image\":42}"});
 }
 
-TEST_F(ReleaseClientTest, ABrokenSilentOrUnreadableConnectionIsOpenedAnew) {
+TEST_F(ReleaseClientTest, ReopensBrokenSilentOrMalformedConnection) {
   limits_.platform_silence_timeout = Duration::ms(100);
   limits_.min_platform_retry_delay = Duration::ms(10);
   std::thread platform([this] {
@@ -97,12 +97,12 @@
   run([](ReleaseClient& client) { client.vote(42, 1, Vote::kAbort); },
       [this] { return !notifications_.empty(); });
   platform.join();
-  // Written, then broken: it may count.
+  // The vote was written before the connection broke, so the platform may have accepted it.
   EXPECT_EQ(outcomes_, std::vector<VoteOutcome>{VoteOutcome::kUnknown});
   EXPECT_EQ(notifications_.size(), 1U);
 }
 
-TEST_F(ReleaseClientTest, ARetiredClientStillBringsTheOutcomesOfItsVotes) {
+TEST_F(ReleaseClientTest, ReportsOutcomesOfVotesAfterItIsRetired) {
   bool retired = false;
   std::thread platform([this] {
     Stream stream = listener_.accept();
@@ -124,14 +124,14 @@
   EXPECT_TRUE(notifications_.empty());
 }
 
-TEST_F(ReleaseClientTest, AVoteThatIsNeverWrittenHasFailed) {
-  ::close(std::exchange(listener_.fd, ::socket(AF_INET, SOCK_STREAM, 0)));  // nobody listens
+TEST_F(ReleaseClientTest, ReportsVoteThatWasNeverWrittenAsFailed) {
+  ::close(std::exchange(listener_.fd, ::socket(AF_INET, SOCK_STREAM, 0)));  // nothing listens at the port
   run([](ReleaseClient& client) { client.vote(42, 1, Vote::kPromote); },
       [this] { return !outcomes_.empty(); });
   EXPECT_EQ(outcomes_, std::vector<VoteOutcome>{VoteOutcome::kFailed});
 }
 
-TEST_F(ReleaseSubscriptionTest, AConnectionWhoseLineTricklesInAndNeverEndsIsOpenedAnew) {
+TEST_F(ReleaseSubscriptionTest, ReopensConnectionWhoseLineNeverEnds) {
   limits_.platform_silence_timeout = Duration::ms(200);
   limits_.min_platform_retry_delay = Duration::ms(10);
   start_router(all_endpoints());
--- a/tests/request_acceptance_test.cpp
+++ b/tests/request_acceptance_test.cpp
@@ -1,4 +1,4 @@
-// Which requests are accepted: their form, and their ids.
+// Tests of the checks that a request has to pass before it is accepted: its form, and its id.
 #include "router_fixture.hpp"
 
 namespace ashbeam {
@@ -6,15 +6,15 @@
 
 class RequestAcceptanceTest : public RouterTest {};
 
-TEST_F(RequestAcceptanceTest, BadRequestsAreAnsweredAndReachNoEndpoint) {
+TEST_F(RequestAcceptanceTest, AnswersInvalidRequestsWithoutAnAttempt) {
   start_router(all_endpoints());
   const std::string head = " HTTP/1.1\r\nX-Correlation-Id: a\r\nX-Time-Left-Ms: 500\r\n";
-  const std::pair<std::string, unsigned> rows[] = {
+  const std::pair<std::string, unsigned> cases[] = {
       {"GET /nowhere" + head + "\r\n", 404},
       {"GET /lookout" + head + "\r\n", 404},
       {"POST /look" + head + "Content-Length: 0\r\n\r\n", 405},
       {"GET /pay" + head + "\r\n", 405},
-      {"POST /book" + head + "Content-Length: 0\r\n\r\n", 400},  // no key
+      {"POST /book" + head + "Content-Length: 0\r\n\r\n", 400},  // no idempotency key
       {"GET /look HTTP/1.1\r\nX-Time-Left-Ms: 500\r\n\r\n", 400},
       {"GET /look HTTP/1.1\r\nX-Correlation-Id: a\r\n\r\n", 400},
       {"GET /look HTTP/1.1\r\nX-Correlation-Id: a\r\nX-Time-Left-Ms: soon\r\n\r\n", 400},
@@ -30,15 +30,15 @@
       {kHealthCheck, 200},
       {"POST /health/ready HTTP/1.1\r\nContent-Length: 0\r\n\r\n", 405},
   };
-  for (const auto& [request, status] : rows)
+  for (const auto& [request, status] : cases)
     EXPECT_EQ(status_of(answer_to(request)), status) << request.substr(0, 60);
-  Stream half = connect_client();
-  half.send("POST /pay" + head + "Content-Length: 9\r\n\r\nhalf");
-  half.close();
+  Stream partial = connect_client();
+  partial.send("POST /pay" + head + "Content-Length: 9\r\n\r\nhalf");
+  partial.close();
   EXPECT_EQ(take_attempt(50).fd, -1);
 }
 
-TEST_F(RequestAcceptanceTest, AnIdIsAcceptedOnceWhileItsRequestIsInFlightAndSoonAfter) {
+TEST_F(RequestAcceptanceTest, RejectsIdOfARequestInFlightOrAnsweredRecently) {
   start_router(all_endpoints());
   Stream client = connect_client();
   client.send(post("pay", 1500, "b"));
@@ -51,24 +51,24 @@
   EXPECT_EQ(take_attempt(50).fd, -1);
 }
 
-TEST_F(RequestAcceptanceTest, TheSameIdOfTwoTenantsIsTwoRequests) {
+TEST_F(RequestAcceptanceTest, AcceptsTheSameIdFromTwoTenants) {
   start_router(all_endpoints());
   const auto request_of = [](const std::string& tenant) {
     return "POST /pay HTTP/1.1\r\nX-Correlation-Id: one\r\nX-Account: " + tenant +
            "\r\nX-Time-Left-Ms: 900\r\nContent-Length: 0\r\n\r\n";
   };
-  Stream a = connect_client(), b = connect_client();
-  a.send(request_of("shop"));
+  Stream first_client = connect_client(), second_client = connect_client();
+  first_client.send(request_of("shop"));
   Stream attempt = take_attempt();
   EXPECT_FALSE(attempt.read_message().empty());
-  b.send(request_of("other"));
+  second_client.send(request_of("other"));
   Stream second_attempt = take_attempt();
   EXPECT_FALSE(second_attempt.read_message().empty());
   EXPECT_EQ(status_of(answer_to(request_of("shop"))), 409U);
   attempt.send(kOkAnswer);
   second_attempt.send(kOkAnswer);
-  EXPECT_EQ(status_of(a.read_message()), 200U);
-  EXPECT_EQ(status_of(b.read_message()), 200U);
+  EXPECT_EQ(status_of(first_client.read_message()), 200U);
+  EXPECT_EQ(status_of(second_client.read_message()), 200U);
   EXPECT_EQ(status_of(answer_to("GET /look HTTP/1.1\r\nX-Correlation-Id: two\r\nX-Account: shop\r\n"
                                 "X-Account: other\r\nX-Time-Left-Ms: 900\r\n\r\n")),
             400U);
--- a/tests/request_lifecycle_test.cpp
+++ b/tests/request_lifecycle_test.cpp
@@ -1,4 +1,5 @@
-// The life of a request: forwarded, attempted again where that is allowed, answered once.
+// Tests of a request from its acceptance to its answer: it is forwarded, retried if that is allowed, and
+// answered once.
 #include "router_fixture.hpp"
 
 namespace ashbeam {
@@ -6,10 +7,10 @@
 
 class RequestLifecycleTest : public RouterTest {};
 
-TEST_F(RequestLifecycleTest, ARequestIsForwardedUnchangedAndItsAnswerComesBack) {
+TEST_F(RequestLifecycleTest, ForwardsRequestAndAnswerUnchanged) {
   start_router(all_endpoints());
   Stream client = connect_client();
-  for (const int round : {1, 2}) {  // the second on pooled connections
+  for (const int round : {1, 2}) {  // the second one on pooled connections
     const std::string request =
         get(900, "X-Account: shop\r\nX-Odd: \t v \r\nConnection: keep-alive, x-own\r\nX-Own: 1\r\n",
             std::string("r").append(std::to_string(round)));
@@ -18,25 +19,25 @@
       usleep(300);
     }
     Stream attempt = take_attempt();
-    const std::string got = attempt.read_message();
-    EXPECT_TRUE(got.starts_with("GET /look/1?q HTTP/1.1\r\nHost: o\r\nX-Correlation-Id: r" +
-                                std::to_string(round) + "\r\n"))
-        << got;
-    EXPECT_NE(got.find("X-Odd: \t v \r\n"), std::string::npos);
-    EXPECT_EQ(got.find("X-Own"), std::string::npos);
-    const auto left = std::stoul(got.substr(got.find("X-Time-Left-Ms: ") + 16));
-    EXPECT_TRUE(left > 700 && left <= 900) << left;
+    const std::string request_text = attempt.read_message();
+    EXPECT_TRUE(request_text.starts_with("GET /look/1?q HTTP/1.1\r\nHost: o\r\nX-Correlation-Id: r" +
+                                         std::to_string(round) + "\r\n"))
+        << request_text;
+    EXPECT_NE(request_text.find("X-Odd: \t v \r\n"), std::string::npos);
+    EXPECT_EQ(request_text.find("X-Own"), std::string::npos);
+    const auto time_left_ms = std::stoul(request_text.substr(request_text.find("X-Time-Left-Ms: ") + 16));
+    EXPECT_TRUE(time_left_ms > 700 && time_left_ms <= 900) << time_left_ms;
     attempt.send(kOkAnswer);
     const std::string answer = client.read_message();
     EXPECT_EQ(status_of(answer), 200U) << round;
     EXPECT_TRUE(answer.ends_with("\r\n\r\nbody"));
     EXPECT_NE(answer.find("X-Kept: 1\r\n"), std::string::npos);
-    attempt.send("x");  // unsolicited: the connection is not used again
+    attempt.send("x");  // unsolicited, so the connection is not used again
     EXPECT_TRUE(attempt.closed_by_peer());
   }
 }
 
-TEST_F(RequestLifecycleTest, AChunkedBodyIsForwardedAsItCame) {
+TEST_F(RequestLifecycleTest, ForwardsChunkedBodyUnchanged) {
   start_router(all_endpoints());
   Stream client = connect_client();
   client.send(
@@ -44,8 +45,8 @@
       "Connection: transfer-encoding, x-correlation-id\r\nTransfer-Encoding: "
       "chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n");
   Stream attempt = take_attempt();
-  const std::string head =
-      attempt.read_message();  // without what the client calls its connection's own, but for these two
+  // These two fields are forwarded although the Connection field names them.
+  const std::string head = attempt.read_message();
   EXPECT_NE(head.find("Transfer-Encoding: chunked\r\n"), std::string::npos);
   EXPECT_NE(head.find("X-Correlation-Id: a\r\n"), std::string::npos);
   attempt.received.size() < 12 && attempt.receive(500);
@@ -56,55 +57,56 @@
   EXPECT_TRUE(answer.ends_with("until the end"));
 }
 
-// Each row of the outcome table, at a request class that may run again and at one that must not.
-TEST_F(RequestLifecycleTest, AttemptResultsDecideWhetherARequestMayRunAgain) {
+// Checks each result of a first attempt, with a request class that may run again and with one that must not.
+TEST_F(RequestLifecycleTest, RetriesDependingOnAttemptResultAndRequestClass) {
   start_router(all_endpoints());
-  struct Row {
-    const char* what;
-    std::string answer;  // of the first endpoint; "reset" and "end" break the connection
-    bool ran;
-  } const rows[] = {
-      {"an error", status_line("500"), true},
-      {"rejected", status_line("503", "X-Unprocessed: 1\r\n"), false},
-      {"over already", status_line("504", "X-Unprocessed: 1\r\n"), false},
-      {"busy, perhaps run", status_line("503"), true},
-      {"no such status", status_line("302"), true},
-      {"broken", "reset", true},
-      {"ended half way", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", true},
+  struct Case {
+    const char* name;
+    std::string answer;  // of the first endpoint; "reset" resets the connection instead
+    bool may_have_run;
+  } const cases[] = {
+      {"status 500", status_line("500"), true},
+      {"503 and not run", status_line("503", "X-Unprocessed: 1\r\n"), false},
+      {"504 and not run", status_line("504", "X-Unprocessed: 1\r\n"), false},
+      {"503, may have run", status_line("503"), true},
+      {"unexpected status 302", status_line("302"), true},
+      {"connection reset", "reset", true},
+      {"body cut short", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", true},
       {"not HTTP", "garbage\r\n\r\n", true},
-      {"too long", "HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n", true},
+      {"body too long", "HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n", true},
   };
-  for (const Row& row : rows) {
-    for (const bool again : {true, false}) {
+  for (const Case& test_case : cases) {
+    for (const bool may_run_again : {true, false}) {
       Stream client = connect_client();
-      client.send(again ? get() : post("pay"));
+      client.send(may_run_again ? get() : post("pay"));
       Stream first = take_attempt();
-      ASSERT_FALSE(first.read_message().empty()) << row.what;
-      if (row.answer != "reset") first.send(row.answer);
-      if (row.answer == "reset") first.reset();
+      ASSERT_FALSE(first.read_message().empty()) << test_case.name;
+      if (test_case.answer != "reset") first.send(test_case.answer);
+      if (test_case.answer == "reset") first.reset();
       else first.close();
-      Stream second = take_attempt(again || !row.ran ? 1000 : 60);
-      const bool came = !second.read_message().empty();
-      EXPECT_EQ(came, again || !row.ran) << row.what;
-      if (came) second.send(kOkAnswer);
-      EXPECT_EQ(status_of(client.read_message()), came ? 200U : 502U) << row.what << again;
+      Stream second = take_attempt(may_run_again || !test_case.may_have_run ? 1000 : 60);
+      const bool retried = !second.read_message().empty();
+      EXPECT_EQ(retried, may_run_again || !test_case.may_have_run) << test_case.name;
+      if (retried) second.send(kOkAnswer);
+      EXPECT_EQ(status_of(client.read_message()), retried ? 200U : 502U) << test_case.name << may_run_again;
     }
   }
 }
 
-TEST_F(RequestLifecycleTest, SilenceIsAnErrorBeforeTheClientsTimeIsUp) {
+TEST_F(RequestLifecycleTest, AnswersWithAnErrorIfTheEndpointDoesNotAnswerInTime) {
   start_router(endpoint_list(endpoint_entry(0), 41, true));
   Stream client = connect_client();
   client.send(post("pay", 200));
   Stream attempt = take_attempt();
   EXPECT_FALSE(attempt.read_message().empty());
-  const Instant asked = loop_.now();
+  const Instant sent_at = loop_.now();
   EXPECT_EQ(status_of(client.read_message()), 502U);
-  EXPECT_LT(loop_.now() - asked, Duration::ms(450));  // 200, and what a busy machine may add
-  EXPECT_TRUE(attempt.closed_by_peer());              // cancelled by closing it
+  // The client timeout of 200 ms, and a margin for a busy machine.
+  EXPECT_LT(loop_.now() - sent_at, Duration::ms(450));
+  EXPECT_TRUE(attempt.closed_by_peer());  // an attempt is cancelled by closing its connection
 }
 
-TEST_F(RequestLifecycleTest, ADisconnectedClientHasItsAttemptCancelled) {
+TEST_F(RequestLifecycleTest, CancelsAttemptWhenTheClientDisconnects) {
   start_router(endpoint_list(endpoint_entry(0), 41, true));
   Stream client = connect_client();
   client.send(get());
@@ -114,58 +116,60 @@
   EXPECT_TRUE(attempt.closed_by_peer());
 }
 
-TEST_F(RequestLifecycleTest, AnAttemptCarriesTheTimeLeftWhenItsConnectionOpens) {
+TEST_F(RequestLifecycleTest, SendsTheTimeLeftAtTheOpeningOfTheConnection) {
   limits_.connect_timeout = Duration::s(4);
   settings_.drain_grace = Duration::s(20);
-  FullListener late;  // its connections come up once there is room, when the machine asks a second time
+  // Its connections open once there is room in its accept queue and the kernel retransmits the SYN.
+  FullListener late;
   start_router(endpoint_list(endpoint_entry(0, "up", 1, late.address()), 41, true));
   Stream client = connect_client();
   client.send(get(3000));
   usleep(300000);
-  const Instant asked = loop_.now() - Duration::ms(300);
+  const Instant sent_at = loop_.now() - Duration::ms(300);
   ::listen(late.fd, 64);
-  late.filling.clear();  // those accepted before it end at once
-  std::string got;
+  late.filling.clear();  // the connections that filled the queue are closed
+  std::string request_text;
   Stream attempt(-1);
-  while (got.empty() && late.has_pending(3000)) {
+  while (request_text.empty() && late.has_pending(3000)) {
     attempt = late.accept();
-    got = attempt.read_message(1500);
+    request_text = attempt.read_message(1500);
   }
-  ASSERT_FALSE(got.empty());
-  const auto time_left = std::stod(got.substr(got.find("X-Time-Left-Ms: ") + 16));
-  EXPECT_LT(time_left, 3000 - (loop_.now() - asked).ms() + 150);
+  ASSERT_FALSE(request_text.empty());
+  const auto time_left = std::stod(request_text.substr(request_text.find("X-Time-Left-Ms: ") + 16));
+  EXPECT_LT(time_left, 3000 - (loop_.now() - sent_at).ms() + 150);
   attempt.send(kOkAnswer);
   EXPECT_EQ(status_of(client.read_message()), 200U);
 }
 
-// A body of no length goes on until the connection ends, and is complete only where it ends in order.
-TEST_F(RequestLifecycleTest, AnAnswerWithoutLengthThatIsResetIsNotServed) {
+// A body without a length ends with the connection. It is complete only if the connection is closed
+// regularly, so an answer that is reset must not be forwarded.
+TEST_F(RequestLifecycleTest, DoesNotForwardAnswerWithoutLengthThatIsReset) {
   start_router(all_endpoints());
-  for (const bool again : {true, false}) {
+  for (const bool may_run_again : {true, false}) {
     Stream client = connect_client();
-    client.send(again ? get() : post("pay"));
+    client.send(may_run_again ? get() : post("pay"));
     Stream attempt = take_attempt();
     ASSERT_FALSE(attempt.read_message().empty());
     attempt.send("HTTP/1.1 200 OK\r\n\r\nhalf of");
     usleep(20000);
     attempt.reset();
-    Stream second = take_attempt(again ? 1000 : 60);
-    EXPECT_EQ(second.fd >= 0, again);
-    if (again) {
+    Stream second = take_attempt(may_run_again ? 1000 : 60);
+    EXPECT_EQ(second.fd >= 0, may_run_again);
+    if (may_run_again) {
       EXPECT_FALSE(second.read_message().empty());
       second.send("HTTP/1.1 200 OK\r\n\r\nwhole");
       usleep(20000);
       second.close();
     }
     const std::string answer = client.read_message();
-    EXPECT_EQ(status_of(answer), again ? 200U : 502U);
-    EXPECT_EQ(answer.ends_with("\r\n\r\nwhole"), again);
+    EXPECT_EQ(status_of(answer), may_run_again ? 200U : 502U);
+    EXPECT_EQ(answer.ends_with("\r\n\r\nwhole"), may_run_again);
   }
 }
 
-// A key that endpoints remember for less long than an attempt may wait for its connection is never sent
-// again.
-TEST_F(RequestLifecycleTest, ARetryReachesItsEndpointWithinTheKeyRetentionOrIsNotSent) {
+// A retry that reaches its endpoint after the endpoint has forgotten the idempotency key would run a second
+// time. So no retry is sent if the key is stored for less time than an attempt may wait for its connection.
+TEST_F(RequestLifecycleTest, DoesNotRetryBeyondTheKeyRetention) {
   for (RequestClass& request_class : settings_.request_classes) {
     request_class.scope = IdempotencyScope::kAll;
     request_class.key_retention = Duration::ms(240);
@@ -180,8 +184,9 @@
   EXPECT_NE(status_of(client.read_message()), 0U);
 }
 
-// What the new version has answered for a key goes to no older one; other keys do.
-TEST_F(RequestLifecycleTest, AStickyKeyThatTheNewVersionAnsweredStaysWithIt) {
+// Once the new release version has answered for a sticky key, requests with that key go to no older version.
+// Other keys still do.
+TEST_F(RequestLifecycleTest, KeepsStickyKeyOnTheNewVersionThatAnsweredIt) {
   settings_.sticky_keys = true;
   start_router(endpoint_list(endpoint_entry(1, "up", 2), 41, true));
   Stream watch = discovery_.accept(), client = connect_client();
@@ -200,9 +205,9 @@
   EXPECT_TRUE(endpoints_[0].has_pending(1500));
 }
 
-// An attempt counts when its last byte has come: one that still waits for its connection would take the key
-// back.
-TEST_F(RequestLifecycleTest, AnUnsentAttemptIsCancelledWhenANewerVersionAnswersForItsKey) {
+// An attempt to an older version that still waits for its connection would be sent after the newer version
+// has answered, and would move the sticky key back.
+TEST_F(RequestLifecycleTest, CancelsUnsentAttemptWhenANewerVersionAnswersItsStickyKey) {
   settings_.sticky_keys = true;
   settings_.drain_grace = Duration::s(6);
   limits_.connect_timeout = Duration::s(3);
@@ -221,15 +226,17 @@
   usleep(50000);
   attempt.send(kOkAnswer);
   ASSERT_EQ(status_of(first.read_message()), 200U);
-  int written = 0;  // the listener accepts again: those that filled it first, then whoever still tries
+  // The listener accepts the connections that filled its queue, and then any that are still pending.
+  int written = 0;
   for (Stream stream = slow.accept(1500); stream.fd >= 0; stream = slow.accept(1500))
     written += !stream.read_message(100).empty();
   EXPECT_EQ(written, 0);
   EXPECT_EQ(status_of(second.read_message()), 503U);
 }
 
-// The hedged request answers: the attempt that still waits is cancelled here, and then by the policy as well.
-TEST_F(RequestLifecycleTest, AnUnsentAttemptCancelledTwiceEndsOnce) {
+// When the hedged request is answered, the attempt that still waits for its connection is cancelled by
+// RequestLifecycle and then by the routing policy. The second cancellation must have no effect.
+TEST_F(RequestLifecycleTest, EndsAnUnsentAttemptOnceIfItIsCancelledTwice) {
   settings_.sticky_keys = settings_.may_hedge = true;
   settings_.drain_grace = Duration::s(6);
   limits_.connect_timeout = Duration::s(3);
@@ -243,7 +250,7 @@
   ASSERT_FALSE(attempt.read_message().empty());
   attempt.send(kOkAnswer);
   ASSERT_EQ(status_of(client.read_message()), 200U);
-  client.send(get(1500, "X-Session-Key: k\r\n"));  // the next one goes to the new version
+  client.send(get(1500, "X-Session-Key: k\r\n"));  // the next request goes to the new version
   usleep(20000);
   EXPECT_FALSE(
       (attempt.received.empty() && attempt.read_message(300).empty() && !endpoints_[1].has_pending(300)));
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -1,4 +1,5 @@
-// The parts of the router together: changes of addresses, and messages that can't be read.
+// Tests of the whole router: a change of the addresses of discovery and of the release platform, and
+// malformed messages.
 #include "router_fixture.hpp"
 
 namespace ashbeam {
@@ -6,7 +7,7 @@
 
 class ServiceTest : public RouterTest {};
 
-TEST_F(ServiceTest, AChangeOfAddressesLosesNothing) {
+TEST_F(ServiceTest, KeepsListAndRequestsWhenAddressesChange) {
   start_router(all_endpoints());
   Stream watch = discovery_.accept(), subscription = release_platform_.accept(), client = connect_client();
   watch.send("HTTP/1.1 200 OK\r\n\r\n" + endpoint_list(endpoint_entry(0), 42) + "\n");
@@ -28,26 +29,26 @@
   attempt.send(kOkAnswer);
   EXPECT_EQ(status_of(client.read_message()), 200U);
   EXPECT_FALSE(discovery_.has_pending(600) ||
-               release_platform_.has_pending(0));  // the old ones hear nothing more
+               release_platform_.has_pending(0));  // the former addresses get no more calls
 }
 
-TEST_F(ServiceTest, UnreadableMessagesAreRequestedAgainAndThenIgnored) {
+TEST_F(ServiceTest, RequestsMalformedMessagesAgainAndThenIgnoresThem) {
   limits_.min_platform_retry_delay = Duration::ms(10);
   start_router(all_endpoints());
-  for (const char* since : {"since=41", "since=41", "since=42"}) {
+  for (const char* expected_since : {"since=41", "since=41", "since=42"}) {
     Stream watch = discovery_.accept();
-    EXPECT_NE(watch.read_message().find(since), std::string::npos);
+    EXPECT_NE(watch.read_message().find(expected_since), std::string::npos);
     watch.send(
         "HTTP/1.1 200 OK\r\n\r\n" +
         endpoint_list(R"({"uid":"x","state":"melted"},{"state":"up"},7,{"uid":"h9","state":"up"})", 42) +
         "\n");
-    if (since[7] == '1') watch.close();
+    if (expected_since[7] == '1') watch.close();
   }
-  for (const char* odd : {"{\"method\":\"ROLLOUT\",\"params\":{\"image\":1,\"progress\":\"lost\"}}\n",
-                          "{\"method\":\"NEW\",\"params\":{}}\n", "{\"id\":77,\"result\":true}\n"}) {
+  for (const char* malformed : {"{\"method\":\"ROLLOUT\",\"params\":{\"image\":1,\"progress\":\"lost\"}}\n",
+                                "{\"method\":\"NEW\",\"params\":{}}\n", "{\"id\":77,\"result\":true}\n"}) {
     Stream subscription = release_platform_.accept();
-    subscription.send(odd);
-    EXPECT_TRUE(!subscription.read_line().empty() && subscription.closed_by_peer()) << odd;
+    subscription.send(malformed);
+    EXPECT_TRUE(!subscription.read_line().empty() && subscription.closed_by_peer()) << malformed;
   }
   Stream subscription = release_platform_.accept();
   EXPECT_EQ(subscription.read_line(), R"({"jsonrpc":"2.0","id":4,"method":"subscribe"})");
--- a/tests/stale_endpoints_test.cpp
+++ b/tests/stale_endpoints_test.cpp
@@ -1,26 +1,28 @@
-// Incident "routed to draining or removed servers after the grace period", at about 300 processes.
+// Regression tests: with about 300 routers, some sent requests to draining or removed endpoints after the
+// grace period.
 //
-// Seen: processes restarted with an old endpoint list sent to endpoints that had drained before or right
-// after that restart, up to 6 s after the change counted as notified. Course: after an outage, or many
-// restarts together, discovery has more clients than it can serve. It queues a call for 2 s and then rejects
-// it, so that many processes have no list for 6 to 20 s. Cause: a list once received was used without end,
-// though a change counts as notified 6 s after discovery had it; and a line that began and stalled was taken
-// for silence. Evidence: detailed log lines. A process that broke the rule had each call rejected after 2 s,
-// and no line from discovery since its start; it was ready, and was sent requests.
+// Symptom: routers that were restarted with an old configured endpoint list sent requests to endpoints that
+// had drained before or right after the restart, up to 6 s after the change counted as notified. After an
+// outage, or when many routers restart together, discovery has more clients than it can serve. It queues each
+// call for 2 s and then rejects it, so many routers have no current list for 6 to 20 s. Cause: a list that
+// had been received once was used without a time limit, although a change counts as notified 6 s after
+// discovery has received it; and a line that had begun and stalled was treated as silence. Evidence: the
+// detailed log of each router concerned shows that all its calls were rejected after 2 s and that it received
+// no line from discovery since its start, while it reported itself as ready and received requests.
 #include "router_process.hpp"
 
 namespace ashbeam {
 namespace {
 
-constexpr double kNotifiedAtLatestS = 6;
-constexpr double kGraceS = 1;
-constexpr double kSlackS = 0.05;
+constexpr double kMaxNotificationDelayS = 6;
+constexpr double kDrainGraceS = 1;
+constexpr double kToleranceS = 0.05;
 
-std::chrono::milliseconds ms_of(double seconds) {
+std::chrono::milliseconds to_ms(double seconds) {
   return std::chrono::milliseconds(static_cast<int>(seconds * 1e3));
 }
 
-TEST(StaleEndpointsProcessTest, AListThatCannotBeConfirmedIsNotSentToPastItsTime) {
+TEST(StaleEndpointsProcessTest, SendsNothingOnceAnUnconfirmedListHasExpired) {
   RecordingEndpoint endpoint;
   CrowdedDiscovery discovery;
   RouterProcess router(discovery.address(), [&](nlohmann::json& configuration) {
@@ -28,11 +30,11 @@
         {"rev", 1}, {"all", true}, {"targets", {listed_endpoint("h0", endpoint.address())}}};
     configuration["settings"]["replicasOfMe"] = 300;
   });
-  const SteadyTime over = router.started() + ms_of(kNotifiedAtLatestS + kGraceS + kSlackS);
+  const SteadyTime expiry = router.started() + to_ms(kMaxNotificationDelayS + kDrainGraceS + kToleranceS);
   sleep_until(router.started() + std::chrono::seconds(4));
   const SteadyClient client(router.port());
-  sleep_until(over + std::chrono::milliseconds(1500));
-  EXPECT_EQ(endpoint.later_than(over), 0U);
+  sleep_until(expiry + std::chrono::milliseconds(1500));
+  EXPECT_EQ(endpoint.later_than(expiry), 0U);
   const auto answers = client.answers();
   ASSERT_FALSE(answers.empty());
   EXPECT_EQ(answers.back().status, 503U);
@@ -41,8 +43,8 @@
 
 class StaleEndpointsTest : public RouterTest {
  protected:
-  // Answers the router's call with a complete list, and keeps the watch open.
-  Stream standing_watch() {
+  // Accepts the router's watch, sends a complete list, and returns the connection, which stays open.
+  Stream open_watch() {
     Stream watch = discovery_.accept();
     watch.read_message();
     watch.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
@@ -55,8 +57,8 @@
     return size + text + "\r\n";
   }
   static void send_line(Stream& watch, const std::string& line) { watch.send(chunk(line + "\n")); }
-  // Was something sent to any endpoint within that time? Each request is answered.
-  bool sent_within(int wait_ms) {
+  // Sends a request and returns whether an endpoint receives it within `wait_ms`. Answers it in that case.
+  bool is_request_sent_within(int wait_ms) {
     Stream client = connect_client();
     client.send(get(400));
     Stream attempt = take_attempt(wait_ms);
@@ -68,37 +70,38 @@
   }
 };
 
-TEST_F(StaleEndpointsTest, ALineThatBeginsAndStallsCountsAsNotifiedFromItsFirstByte) {
+TEST_F(StaleEndpointsTest, CountsStalledLineAsNotifiedFromItsFirstByte) {
   start_router(all_endpoints());
-  Stream watch = standing_watch();
-  ASSERT_TRUE(sent_within(1000));
+  Stream watch = open_watch();
+  ASSERT_TRUE(is_request_sent_within(1000));
   const std::string line = endpoint_list(endpoint_entry(0, "draining") + "," + endpoint_entry(1, "draining") +
                                              "," + endpoint_entry(2, "draining"),
                                          42);
   const std::string bytes = chunk(line + "\n");
   watch.send(bytes.substr(0, bytes.size() / 2));
   const SteadyTime first_byte = steady_now();
-  // Another call is made well within the grace.
+  // The router starts another call well within the grace period.
   EXPECT_TRUE(discovery_.has_pending(700));
-  sleep_until(first_byte + ms_of(kGraceS + kSlackS));
-  EXPECT_FALSE(sent_within(300));
+  sleep_until(first_byte + to_ms(kDrainGraceS + kToleranceS));
+  EXPECT_FALSE(is_request_sent_within(300));
 }
 
-// The watch may have fallen silent before its end: the lease counts from its last line.
-TEST_F(StaleEndpointsTest, AWatchThatEndsInOrderConfirmsNothing) {
+// The watch may have stopped receiving changes before its regular end, so the lease counts from its last
+// line.
+TEST_F(StaleEndpointsTest, DoesNotConfirmTheListWhenAWatchEndsRegularly) {
   start_router(all_endpoints());
-  Stream watch = standing_watch();
-  ASSERT_TRUE(sent_within(1000));
+  Stream watch = open_watch();
+  ASSERT_TRUE(is_request_sent_within(1000));
   usleep(900000);
   watch.close();
   EXPECT_TRUE(discovery_.has_pending(1000));
   stopping_ = true;
   thread_.join();
-  const std::string lost = "endpoint list: lease unconfirmed, cause: connection closed, last confirmed ";
+  const std::string prefix = "endpoint list: lease unconfirmed, cause: connection closed, last confirmed ";
   const auto line = std::find_if(log_lines_.begin(), log_lines_.end(),
-                                 [&](const std::string& one) { return one.starts_with(lost); });
+                                 [&](const std::string& log_line) { return log_line.starts_with(prefix); });
   ASSERT_NE(line, log_lines_.end());
-  EXPECT_GE(std::stoi(line->substr(lost.size())), 900);
+  EXPECT_GE(std::stoi(line->substr(prefix.size())), 900);
 }
 
 }  // namespace
