--- a/src/routing/request_lifecycle.hpp
+++ b/src/routing/request_lifecycle.hpp
@@ -41,7 +41,8 @@
   RequestLifecycle(RouterContext& context, EndpointPools& pools, EndpointRegistry& registry,
                    EndpointListLease& lease, RequestAuthorization& authorization, MetadataCheck& metadata);
 
-  // Takes over the request and returns its id. `client` must stay valid until on_client_closed().
+  // Takes over the request and returns its id. `client` must stay valid until it has been answered or
+  // on_client_closed() has been called.
   RequestId accept(ClientConnection& client, AcceptedRequest accepted);
 
   // See RouterActions.
--- a/src/routing/service.hpp
+++ b/src/routing/service.hpp
@@ -100,8 +100,8 @@
   std::vector<std::string> tenants_;
   bool sticky_keys_;
   RouterContext context_;
-  std::unique_ptr<TlsAcceptor>
-      tls_acceptor_;  // must outlive the connections that it made, so it comes before clients_
+  // Must outlive the connections that it made, so it is declared before clients_.
+  std::unique_ptr<TlsAcceptor> tls_acceptor_;
   ClientConnections clients_;
   EndpointPools pools_;
   EndpointListLease lease_;
