--- a/src/routing/client_connection.cpp
+++ b/src/routing/client_connection.cpp
@@ -6,11 +6,11 @@
 
 namespace ashbeam {
 
-ClientConnection::ClientConnection(ClientConnections& owner, int accepted, std::unique_ptr<TlsStream> tls,
+ClientConnection::ClientConnection(ClientConnections& owner, int accepted_fd, std::unique_ptr<TlsStream> tls,
                                    std::size_t slot)
     : owner_(owner), slot_(slot), serial_number_(++owner.last_serial_number_),
       state_since_(owner.loop_.now()),
-      connection_(owner.loop_, owner.limits_, *this, accepted, std::move(tls)),
+      connection_(owner.loop_, owner.limits_, *this, accepted_fd, std::move(tls)),
       requests_(http::Side::kRequests, owner.limits_.max_head_bytes, owner.limits_.max_body_bytes),
       timer_(owner.loop_, [this] { on_timer(); }) {
   timer_.schedule_after(connection_.is_handshaking() ? owner_.handshake_timeout_()
@@ -23,13 +23,15 @@
 }
 
 void ClientConnection::on_data() {
-  if (state_ != State::kReading) return on_data_out_of_turn();
+  if (state_ != State::kReading) return on_pipelined_data();
   if (!connection_.unread().empty()) read_request();
 }
 
-// The next request waits for its turn. A client that sends more than is held unread is cut off after its
-// answer: with bytes unread its close would not be seen, and its request would be forwarded for nobody.
-void ClientConnection::on_data_out_of_turn() {
+// A pipelined request is read after the current one has been answered. If a client sends more than
+// Limits::max_unread_bytes before that, its further input is discarded and the connection is closed after the
+// answer: while bytes are left unread, the client's close would not be noticed, and its request would be
+// forwarded although nobody waits for the answer.
+void ClientConnection::on_pipelined_data() {
   if (state_ != State::kAwaitingAnswer) return;
   if (connection_.unread().size() < owner_.limits_.max_unread_bytes) return;
   close_after_answer_ = true;
@@ -39,20 +41,20 @@
 void ClientConnection::read_request() {
   std::string_view bytes = connection_.unread();
   const std::size_t unread = bytes.size();
-  const bool had_begun = requests_.started();
-  const auto got = requests_.feed(bytes);
+  const bool had_started = requests_.started();
+  const auto result = requests_.feed(bytes);
   connection_.consume(unread - bytes.size());
-  if (got == http::ParseResult::kIncomplete) {
-    if (!had_begun && requests_.started()) {
+  if (result == http::ParseResult::kIncomplete) {
+    if (!had_started && requests_.started()) {
       state_since_ = owner_.loop_.now();
       if (answered_once_) timer_.schedule_after(owner_.limits_.request_read_timeout);
     }
-    if (!timer_.is_scheduled()) wait_for_next_request();  // nothing but blank lines came early
+    if (!timer_.is_scheduled()) wait_for_next_request();  // only empty lines have been received
     return;
   }
   timer_.cancel();
   state_ = State::kAwaitingAnswer;
-  if (got == http::ParseResult::kComplete) {
+  if (result == http::ParseResult::kComplete) {
     close_after_answer_ = close_after_answer_ || requests_.closes_connection();
     return owner_.callbacks_.on_request(*this, requests_);
   }
@@ -72,7 +74,7 @@
   if (state_ != State::kAwaitingAnswer) return;
   state_ = State::kWritingAnswer;
   answered_client_error_ = status >= 400 && status < 500;
-  close_after_answer_ = close_after_answer_ || owner_.shutting_down_ || owner_.at_idle_limit();
+  close_after_answer_ = close_after_answer_ || owner_.shutting_down_ || owner_.is_at_idle_limit();
   std::string bytes = "HTTP/1.1 " + std::to_string(status) + " ";
   bytes.append(http::reason_phrase(status)).append("\r\n").append(fields);
   if (close_after_answer_) bytes += "Connection: close\r\n";
@@ -89,7 +91,7 @@
 void ClientConnection::on_answer_written() {
   timer_.cancel();
   state_since_ = owner_.loop_.now();
-  if (close_after_answer_) return linger();
+  if (close_after_answer_) return start_lingering_close();
   answered_once_ = true;
   requests_.start_next();
   if (answered_client_error_) {  // slows down a client that repeats a bad request at once
@@ -98,18 +100,19 @@
   }
   state_ = State::kReading;
   if (connection_.unread().empty()) return wait_for_next_request();
-  timer_.schedule_at(state_since_);  // what came early is read after the callback at hand
+  timer_.schedule_at(state_since_);  // pipelined bytes are read after the current callback has returned
 }
 
 void ClientConnection::close_idle() {
   closed_idle_ = true;
-  ++owner_.closed_idle_;
+  ++owner_.idle_closes_;
   state_since_ = owner_.loop_.now();
-  linger();
+  start_lingering_close();
 }
 
-// Closing with bytes unread would reset the connection, and the answer with it.
-void ClientConnection::linger() {
+// Closing a socket with unread input would reset the connection, and the client could lose the answer. So the
+// write side is shut down first, and input is discarded until the client closes or a timeout has passed.
+void ClientConnection::start_lingering_close() {
   state_ = State::kLingering;
   connection_.shutdown_write();
   timer_.schedule_after(owner_.limits_.lingering_close_timeout);
@@ -118,7 +121,8 @@
 
 void ClientConnection::wait_for_next_request() {
   const Limits& limits = owner_.limits_;
-  const Duration timeout = owner_.crowded() ? limits.crowded_client_idle_timeout : limits.client_idle_timeout;
+  const Duration timeout =
+      owner_.is_crowded() ? limits.crowded_client_idle_timeout : limits.client_idle_timeout;
   timer_.schedule_at(state_since_ + timeout);
 }
 
@@ -134,15 +138,15 @@
     if (connection_.unread().empty()) return wait_for_next_request();
   }
   if (state_ == State::kReading && !connection_.unread().empty() && !requests_.started()) return on_data();
-  if (request_begun()) {
+  if (has_partial_request()) {
     state_ = State::kAwaitingAnswer;
     close_after_answer_ = true;
     return answer_plain(408);
   }
-  if (state_ == State::kAwaitingAnswer) return owner_.callbacks_.on_answer_overdue(*this);
+  if (state_ == State::kAwaitingAnswer) return owner_.callbacks_.on_answer_deadline(*this);
   if (state_ != State::kReading) return owner_.remove(this);
   if (!connection_.is_idle())
-    return timer_.schedule_after(owner_.limits_.min_idle_before_close);  // a request is coming
+    return timer_.schedule_after(owner_.limits_.min_idle_before_close);  // a request is arriving
   close_idle();
 }
 
--- a/src/routing/endpoint_watch.cpp
+++ b/src/routing/endpoint_watch.cpp
@@ -11,8 +11,8 @@
       first_call_timer_(context.loop, [this] { watch(); }) {}
 
 void EndpointWatch::apply_configured_list(const std::string& list) {
-  if (list.empty() || discovery_.apply_line(list)) return;
-  context_.log("configured endpoint list can't be read");
+  if (list.empty() || discovery_.apply_list(list)) return;
+  context_.log("endpoint list: ignored the configured list, which is invalid or has an invalid entry");
 }
 
 void EndpointWatch::start(std::uint64_t seed) {
@@ -20,34 +20,35 @@
   first_call_timer_.schedule_after(context_.limits.max_initial_poll_delay * Pcg(seed).next_double());
 }
 
-// After the callback at hand, since the decisions may ask for it in an event that the discovery client
-// brings.
+// The watch is started after the current callback has returned, because the routing policy may ask for it
+// while it handles an event of the discovery client, which must not be called then.
 void EndpointWatch::watch() {
   if (started_) context_.loop.post([this] { discovery_.watch(); });
 }
 
-void EndpointWatch::move_to(const std::string& discovery_address) {
-  if (discovery_address != discovery_.address()) discovery_.move_to(discovery_address);
+void EndpointWatch::change_address(const std::string& discovery_address) {
+  if (discovery_address != discovery_.address()) discovery_.change_address(discovery_address);
 }
 
 void EndpointWatch::on_endpoint_list(const EndpointList& list) {
   registry_.apply(list);
-  if (watches_ended_ > 0)
-    context_.log("discovery: watch stands again, tries " + std::to_string(watches_ended_));
-  watches_ended_ = 0;
+  if (lost_watches_ > 0)
+    context_.log("discovery: watch established again, watches ended before: " +
+                 std::to_string(lost_watches_));
+  lost_watches_ = 0;
 }
 
 void EndpointWatch::on_list_confirmed() {
-  lease_.confirmed();
+  lease_.on_list_confirmed();
   readiness_.on_list_confirmed();
 }
 
-void EndpointWatch::on_line_begun() { lease_.line_begun(); }
+void EndpointWatch::on_line_started() { lease_.on_line_started(); }
 
 void EndpointWatch::on_watch_ended(const WatchEnd& end) {
   const char* const reason = name_of(end.reason);
-  lease_.watch_lost(reason, end.refused);
-  if (watches_ended_++ == 0) context_.log(std::string("discovery: watch ") + reason);
+  lease_.on_watch_lost(reason, end.connection_refused);
+  if (lost_watches_++ == 0) context_.log(std::string("discovery: watch ended: ") + reason);
   if (!end.replaced) context_.policy.at_now().on_endpoint_watch_failed();
 }
 
--- a/src/routing/header_forwarding.cpp
+++ b/src/routing/header_forwarding.cpp
@@ -8,26 +8,26 @@
 
 namespace {
 
-// Of one connection, or written anew.
+// These fields concern one connection only, or the router writes them anew.
 constexpr std::string_view kNeverForwarded[] = {
     "Connection",        "Keep-Alive",        "Proxy-Connection",  "TE", "Upgrade", "Expect",
     header::kTimeLeftMs, header::kLoadReport, header::kUnprocessed};
 
-// A message's end or its identity hangs on these: a sender can't have them left out by naming them in its
-// Connection field.
+// The end of a message or its identity depends on these fields. They are forwarded even if the sender names
+// them in its Connection field.
 constexpr std::string_view kAlwaysForwarded[] = {"Host", "Content-Length", "Transfer-Encoding",
                                                  header::kRequestId, header::kIdempotencyKey};
 
-char lower_case(char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c - 'A' + 'a') : c; }
+char to_lower(char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c - 'A' + 'a') : c; }
 
-// Some endpoints take - and _ in field names for the same.
-bool same_letter(char name, char expected) {
-  return lower_case(name == '_' ? '-' : name) == lower_case(expected);
+// Some endpoints treat '-' and '_' in field names as equal, so both match here.
+bool matches_letter(char name, char expected) {
+  return to_lower(name == '_' ? '-' : name) == to_lower(expected);
 }
 
-bool names_principal(std::string_view name) {
+bool is_principal_field(std::string_view name) {
   const std::string_view expected = header::kPrincipal;
-  return std::equal(name.begin(), name.end(), expected.begin(), expected.end(), same_letter);
+  return std::equal(name.begin(), name.end(), expected.begin(), expected.end(), matches_letter);
 }
 
 bool contains(const auto& names, std::string_view name) {
@@ -51,11 +51,12 @@
   return lines;
 }
 
-std::string authorized_lines(const http::Head& head, std::string_view principal, bool forward_token) {
+std::string forwarded_lines_with_principal(const http::Head& head, std::string_view principal,
+                                           bool forward_token) {
   const bool hide_token = !principal.empty() && !forward_token;
   std::string lines;
   for (const http::Field& field : head.fields()) {
-    if (!is_forwarded(head, field.name) || names_principal(field.name)) continue;
+    if (!is_forwarded(head, field.name) || is_principal_field(field.name)) continue;
     if (hide_token && http::field_names_equal(field.name, "Authorization")) continue;
     lines += field.line;
   }
--- a/src/routing/request_authorization.cpp
+++ b/src/routing/request_authorization.cpp
@@ -30,21 +30,21 @@
 
 const calling::Identity* RequestAuthorization::identify(ClientConnection& client, const http::Head& head,
                                                         Instant now) {
-  const TlsStream::PeerCertificate proof = client.proof(now);
+  const TlsStream::PeerCertificate proof = client.peer_proof(now);
   if (proof.is_rejected) {
     client.close_after_answer();
     refuse(client, calling::Refusal::kCertificate, Duration());
     return nullptr;
   }
   if (!authorizer_) return &identity_;
-  calling::Credentials asked;
-  asked.authorization = head.find("Authorization").value_or("");
-  asked.is_ambiguous = head.count("Authorization") > 1 || head.count(header::kTenant) > 1;
-  asked.account = head.find(header::kTenant).value_or("");
-  asked.certificate = proof.certificate;
+  calling::Credentials credentials;
+  credentials.authorization = head.find("Authorization").value_or("");
+  credentials.is_ambiguous = head.count("Authorization") > 1 || head.count(header::kTenant) > 1;
+  credentials.account = head.find(header::kTenant).value_or("");
+  credentials.certificate = proof.certificate;
   Duration retry_after;
   const calling::Refusal reason =
-      authorizer_->authenticate(asked, client.history, context_.loop.now(), identity_, retry_after);
+      authorizer_->authenticate(credentials, client.history, context_.loop.now(), identity_, retry_after);
   if (reason == calling::Refusal::kNone) return &identity_;
   refuse(client, reason, retry_after);
   return nullptr;
@@ -71,14 +71,14 @@
   const unsigned status = calling::http_status_of(reason);
   if (status == 403) return client.answer_plain(status, refused_line);
   if (status == 401) return client.answer_plain(status, challenge_line(reason));
-  // A millisecond more than the wait, which is cut to whole ones.
+  // Truncated to whole milliseconds, plus one, so that the client does not come back too early.
   const Duration rounded_up = Duration::us((retry_after.us() / 1000 + 1) * 1000);
   client.answer_plain(429, retry_after_line(rounded_up) + refused_line);
 }
 
 void RequestAuthorization::log_refusals() {
   std::string counts;
-  for (std::size_t i = 1; i < kReasons; ++i) {
+  for (std::size_t i = 1; i < kReasonCount; ++i) {
     const auto reason = static_cast<calling::Refusal>(i);
     const std::uint64_t refused = authorizer_->refusal_count(reason) - logged_refusals_[i];
     if (refused == 0) continue;
@@ -86,7 +86,7 @@
     if (!counts.empty()) counts += ", ";
     counts.append(calling::name_of(reason)).append(" ").append(std::to_string(refused));
   }
-  context_.log("calling: refused within 1 s: " + counts);
+  context_.log("calling: requests refused within 1 s: " + counts);
 }
 
 }  // namespace ashbeam
--- a/src/routing/request_lifecycle.cpp
+++ b/src/routing/request_lifecycle.cpp
@@ -20,7 +20,7 @@
 constexpr unsigned kUnavailableStatus = 503;
 constexpr unsigned kGatewayTimeoutStatus = 504;
 
-std::string refused_line(const MetadataRequest& metadata) {
+std::string refusal_reason_line(const MetadataRequest& metadata) {
   return header::line(header::kRefusalReason, metadata.refusal);
 }
 
@@ -32,16 +32,16 @@
     : context_(context), pools_(pools), registry_(registry), lease_(lease), authorization_(authorization),
       metadata_(metadata), local_failures_(context) {}
 
-// ---- Accepted ----
+// ---- Acceptance ----
 
 RequestId RequestLifecycle::accept(ClientConnection& client, AcceptedRequest accepted) {
   const RequestId id = requests_.allocate();
   Request& request = requests_[id];
-  ++count_;
+  ++request_count_;
   request.accepted = std::move(accepted);
   request.in_use = true;
   request.client = &client;
-  client.request = id;
+  client.request_id = id;
   client.set_answer_deadline(request.accepted.deadline + context_.limits.overdue_answer_delay);
   return id;
 }
@@ -51,23 +51,26 @@
 void RequestLifecycle::send_attempt(RequestId id, EndpointIndex endpoint) {
   Request& request = requests_[id];
   const Instant now = context_.loop.now();
-  const Instant until = request.accepted.deadline;
+  const Instant deadline = request.accepted.deadline;
   const auto attempt = static_cast<unsigned>(request.attempts.size());
-  log_attempt_begin(id, attempt, endpoint, until - now);
+  log_attempt_begin(id, attempt, endpoint, deadline - now);
   request.attempts.push_back({endpoint, now, nullptr});
   ++request.attempts_in_flight;
-  registry_.attempt_began(endpoint);
-  const auto make_bytes = [this, id](Instant end) { return attempt_bytes(id, end); };
+  registry_.on_attempt_started(endpoint);
+  const auto build_request = [this, id](Instant attempt_deadline) {
+    return build_attempt_request(id, attempt_deadline);
+  };
   const auto on_end = [this, id, attempt](AttemptResult result, const http::MessageParser* answer) {
     on_attempt_end(id, attempt, result, answer);
   };
-  request.attempts.back().connection = pools_.send(endpoint, make_bytes, until, on_end);
+  request.attempts.back().connection = pools_.send(endpoint, build_request, deadline, on_end);
 }
 
-// The time left is that when the connection is open, which may be long after the decision.
-std::string RequestLifecycle::attempt_bytes(RequestId id, Instant until) {
+// The time left is computed when the connection is open, which may be long after the routing policy has
+// decided on the attempt.
+std::string RequestLifecycle::build_attempt_request(RequestId id, Instant deadline) {
   const AcceptedRequest& request = requests_[id].accepted;
-  const std::int64_t left_ms = std::max<std::int64_t>(0, (until - context_.loop.now()).us() / 1000);
+  const std::int64_t left_ms = std::max<std::int64_t>(0, (deadline - context_.loop.now()).us() / 1000);
   const std::string time_left = header::line(header::kTimeLeftMs, std::to_string(left_ms));
   std::string bytes;
   bytes.reserve(request.head.size() + time_left.size() + kLineEnd.size() + request.body.size());
@@ -77,10 +80,10 @@
 
 void RequestLifecycle::log_attempt_begin(RequestId id, unsigned attempt, EndpointIndex endpoint,
                                          Duration time_left) {
-  context_.detail_log.write_line(
-      LogTopic::kRequests, context_.loop.now(),
-      "request %u attempt %u to endpoint %u at %s, release %.0f, waits %.0f ms at most", id, attempt,
-      endpoint, registry_.address(endpoint).c_str(), registry_.version(endpoint), time_left.ms());
+  context_.detail_log.write_line(LogTopic::kRequests, context_.loop.now(),
+                                 "request %u: attempt %u to endpoint %u at %s, release %.0f, timeout %.0f ms",
+                                 id, attempt, endpoint, registry_.address(endpoint).c_str(),
+                                 registry_.version(endpoint), time_left.ms());
 }
 
 void RequestLifecycle::cancel_attempt(RequestId id, unsigned attempt) {
@@ -92,30 +95,31 @@
 
 void RequestLifecycle::on_attempt_end(RequestId id, unsigned attempt, AttemptResult result,
                                       const http::MessageParser* answer) {
-  const Attempt ended = take_ended(id, attempt);
+  const Attempt ended = take_ended_attempt(id, attempt);
   const EndpointIndex endpoint = ended.endpoint;
   const Duration duration = context_.loop.now() - ended.sent_at;
   if (result == AttemptResult::kLocalFailure) local_failures_.on_failure();
   if (result == AttemptResult::kOk)
     lease_.on_endpoint_answered(endpoint, ended.sent_at, EndpointPools::opened_at(ended.connection));
   context_.detail_log.write_line(LogTopic::kRequests, context_.loop.now(),
-                                 "request %u attempt %u to endpoint %u ended: %s, after %.1f ms", id, attempt,
-                                 endpoint, name_of(result), duration.ms());
+                                 "request %u: attempt %u to endpoint %u ended: %s, after %.1f ms", id,
+                                 attempt, endpoint, name_of(result), duration.ms());
   const CheckedAnswer checked = check_metadata(requests_[id], endpoint, result, answer);
   const bool ok = checked.result == AttemptResult::kOk;
   const bool answered_client = ok && answer_client(id, checked.status, *answer);
   const std::uint64_t sticky_key = requests_[id].accepted.sticky_key;
-  if (ok && sticky_key != 0) cancel_unsent_to_older(sticky_key, registry_.version(endpoint));
+  if (ok && sticky_key != 0)
+    cancel_unsent_attempts_to_older_versions(sticky_key, registry_.version(endpoint));
   context_.policy.at_now().on_attempt_end({id, attempt, endpoint, checked.result, duration, answered_client});
-  release_if_over(id);
+  release_if_complete(id);
 }
 
-RequestLifecycle::Attempt RequestLifecycle::take_ended(RequestId id, unsigned attempt) {
+RequestLifecycle::Attempt RequestLifecycle::take_ended_attempt(RequestId id, unsigned attempt) {
   Request& request = requests_[id];
   const Attempt ended = request.attempts[attempt];
   request.attempts[attempt].connection = nullptr;
   --request.attempts_in_flight;
-  registry_.attempt_ended(ended.endpoint);
+  registry_.on_attempt_ended(ended.endpoint);
   return ended;
 }
 
@@ -124,8 +128,8 @@
                                                                  const http::MessageParser* answer) {
   MetadataRequest* const metadata = request.accepted.metadata.get();
   if (!metadata || !answer) return {result, kOkStatus};
-  if (metadata->is_end_of_roots(result, *answer)) return {AttemptResult::kOk, kNotFoundStatus};
-  if (result == AttemptResult::kOk && !metadata_.passes(*metadata, *answer, registry_.address(endpoint)))
+  if (metadata->is_end_of_root_chain(result, *answer)) return {AttemptResult::kOk, kNotFoundStatus};
+  if (result == AttemptResult::kOk && !metadata_.accepts(*metadata, *answer, registry_.address(endpoint)))
     return {AttemptResult::kError, kOkStatus};
   return {result, kOkStatus};
 }
@@ -140,15 +144,17 @@
   return true;
 }
 
-// A sticky key must not go back to an older version: an attempt there that still waits for its connection
-// when a newer version answers would arrive after that answer. It has never run, and is decided anew.
-void RequestLifecycle::cancel_unsent_to_older(std::uint64_t sticky_key, double version) {
+// The requests of a sticky key must not go back to an older release version. An attempt to an older version
+// that still waits for its connection when a newer version answers would arrive after that answer. So it is
+// cancelled; it cannot have run, and the routing policy decides on the request anew.
+void RequestLifecycle::cancel_unsent_attempts_to_older_versions(std::uint64_t sticky_key, double version) {
   for (RequestId id = 0; id < requests_.slot_count(); ++id) {
     Request& request = requests_[id];
     if (!request.in_use || request.accepted.sticky_key != sticky_key) continue;
     for (Attempt& attempt : request.attempts) {
       const bool older = attempt.connection && registry_.version(attempt.endpoint) < version;
-      // The decisions may cancel it, too, before its end is notified: it has no connection then.
+      // The routing policy may also cancel the attempt before its end is reported. The null connection makes
+      // cancel_attempt() ignore that.
       if (older && pools_.cancel_if_unsent(attempt.connection)) attempt.connection = nullptr;
     }
   }
@@ -159,46 +165,48 @@
 void RequestLifecycle::reject(RequestId id, Duration retry_after) {
   const std::string fields = retry_after > Duration() ? retry_after_line(retry_after) : std::string();
   const MetadataRequest* const metadata = requests_[id].accepted.metadata.get();
-  // A file that no endpoint had in a good form is no lack of capacity.
+  // If every endpoint's file was refused, that is no lack of capacity, so the status is 502 instead of 503.
   if (metadata && !metadata->refusal.empty())
-    return answer_without_attempt(id, kBadGatewayStatus, fields + refused_line(*metadata));
+    return answer_without_attempt(id, kBadGatewayStatus, fields + refusal_reason_line(*metadata));
   answer_without_attempt(id, kUnavailableStatus, fields);
 }
 
 void RequestLifecycle::fail(RequestId id) {
   const MetadataRequest* const metadata = requests_[id].accepted.metadata.get();
   const bool refused = metadata && !metadata->refusal.empty();
-  answer_without_attempt(id, kBadGatewayStatus, refused ? refused_line(*metadata) : std::string());
+  answer_without_attempt(id, kBadGatewayStatus, refused ? refusal_reason_line(*metadata) : std::string());
 }
 
-// The request is released after the callback at hand: the decisions may still name it in that.
+// The request is released after the current callback has returned, because the routing policy may still refer
+// to it in that callback.
 void RequestLifecycle::answer_without_attempt(RequestId id, unsigned status, std::string_view fields) {
-  context_.detail_log.write_line(LogTopic::kRequests, context_.loop.now(),
-                                 "request %u answered %u without an endpoint's answer, endpoint list %s", id,
-                                 status, policy::name_of(lease_.state()));
+  context_.detail_log.write_line(
+      LogTopic::kRequests, context_.loop.now(),
+      "request %u: answered with status %u without an endpoint's answer, endpoint list lease %s", id, status,
+      policy::name_of(lease_.state()));
   if (ClientConnection* const client = take_client(id)) client->answer_plain(status, fields);
-  context_.loop.post([this, id] { release_if_over(id); });
+  context_.loop.post([this, id] { release_if_complete(id); });
 }
 
 ClientConnection* RequestLifecycle::take_client(RequestId id) {
   ClientConnection* const client = std::exchange(requests_[id].client, nullptr);
-  if (client) client->request.reset();
+  if (client) client->request_id.reset();
   return client;
 }
 
-// ---- Ends without an answer of the decisions ----
+// ---- Ends that the routing policy has not decided ----
 
 void RequestLifecycle::on_client_closed(ClientConnection& client) {
-  if (!client.request) return;
-  const RequestId id = *client.request;
-  context_.detail_log.write_line(LogTopic::kRequests, context_.loop.now(), "request %u: its client closed",
-                                 id);
+  if (!client.request_id) return;
+  const RequestId id = *client.request_id;
+  context_.detail_log.write_line(LogTopic::kRequests, context_.loop.now(),
+                                 "request %u: client closed the connection before the answer", id);
   take_client(id);
-  disconnect(id);
+  notify_client_gone(id);
 }
 
-void RequestLifecycle::on_answer_overdue(ClientConnection& client) {
-  if (client.request) fail_overdue(*client.request);
+void RequestLifecycle::on_answer_deadline(ClientConnection& client) {
+  if (client.request_id) fail_overdue(*client.request_id);
 }
 
 void RequestLifecycle::fail_all_unanswered() {
@@ -207,22 +215,23 @@
   }
 }
 
-// Past its deadline, or at the end of a graceful shutdown.
+// Called when the answer deadline has passed, or at the end of a graceful shutdown.
 void RequestLifecycle::fail_overdue(RequestId id) {
-  context_.log("request overdue: answered with an error");
+  context_.log("request " + std::to_string(id) + ": not answered in time, answering with status " +
+               std::to_string(kGatewayTimeoutStatus));
   if (ClientConnection* const client = take_client(id)) client->answer_plain(kGatewayTimeoutStatus);
-  disconnect(id);
+  notify_client_gone(id);
 }
 
-void RequestLifecycle::disconnect(RequestId id) {
+void RequestLifecycle::notify_client_gone(RequestId id) {
   context_.policy.at_now().on_client_disconnect(id);
-  release_if_over(id);
+  release_if_complete(id);
 }
 
-void RequestLifecycle::release_if_over(RequestId id) {
+void RequestLifecycle::release_if_complete(RequestId id) {
   Request& request = requests_[id];
   if (!request.in_use || request.client || request.attempts_in_flight > 0) return;
-  --count_;
+  --request_count_;
   authorization_.release(request.accepted.admission);
   request = Request{};
   requests_.deallocate(id);
