--- a/proofs/router_thread.hpp
+++ b/proofs/router_thread.hpp
@@ -103,14 +103,14 @@
   void run(const std::string& configuration, const InstanceSettings& site, const SetUp& set_up) {
     EventLoop loop;
     const StartupConfiguration start = parse_startup_configuration(configuration, site);
-    InstanceSettings full_site = start.site;
+    InstanceSettings full_site = start.instance;
     full_site.release_platform_address = site.release_platform_address;
     full_site.discovery_address = site.discovery_address;
     full_site.configured_endpoint_list = site.configured_endpoint_list;
     full_site.configured_release_state = site.configured_release_state;
     const RouterSettings settings = read_router_settings(start.settings);
     const WireSettings wire_settings = read_wire_settings(start.settings);
-    const Limits limits = limits_for(1024, wire_settings, settings);
+    const Limits limits = make_limits(1024, wire_settings, settings);
     Service service(loop, limits, settings, wire_settings, full_site, print_log_line);
     const std::shared_ptr<void> attached = set_up({loop, service, wire_settings, settings});
     service.start();
--- a/src/base/limits.hpp
+++ b/src/base/limits.hpp
@@ -1,6 +1,6 @@
 // The limits and timeouts of the router. The structure is filled in once at start and passed to the
 // components by reference. The defaults stand here; some are replaced from the deployment's settings (see
-// limits_for).
+// make_limits).
 #pragma once
 #include <cstddef>
 
--- a/src/program/check_command.cpp
+++ b/src/program/check_command.cpp
@@ -9,7 +9,7 @@
 
 namespace ashbeam {
 
-int check_file(const std::string& path) {
+int check_operator_file(const std::string& path) {
   try {
     const OperatorConfig config = read_operator_config(path, nullptr);
     const std::size_t tenants = config.calling ? config.calling->settings.tenants.size() : 0;
@@ -22,7 +22,7 @@
   }
 }
 
-int print_schema() {
+int print_operator_schema() {
   const std::string_view schema = operator_schema();
   std::printf("%.*s", static_cast<int>(schema.size()), schema.data());
   return 0;
--- a/src/program/commands.hpp
+++ b/src/program/commands.hpp
@@ -11,8 +11,8 @@
 };
 int serve(const ServeOptions& options);
 
-int check_file(const std::string& path);
-int print_schema();
+int check_operator_file(const std::string& path);
+int print_operator_schema();
 
 struct KeysOptions {
   std::string folder = "keys", kid, algorithm = "EdDSA", from = "0s";
--- a/src/program/demo.cpp
+++ b/src/program/demo.cpp
@@ -63,11 +63,11 @@
   "stats":{"how":"off"},"tickMs":5,"zone":0,"zones":["one"]}})";
 
 StartupConfiguration configuration_for(std::uint16_t port) {
-  InstanceSettings site;
-  site.name = "demo";
-  site.listen_address = "127.0.0.1:" + std::to_string(port);
-  site.seed = kSeed;
-  return parse_startup_configuration(kConfiguration, site);
+  InstanceSettings instance;
+  instance.name = "demo";
+  instance.listen_address = "127.0.0.1:" + std::to_string(port);
+  instance.seed = kSeed;
+  return parse_startup_configuration(kConfiguration, instance);
 }
 
 const char* outcome_text(const std::optional<ReleaseProgress>& outcome) {
@@ -80,7 +80,7 @@
       : configuration_(configuration_for(options.port)),
         router_settings_(read_router_settings(configuration_.settings)),
         wire_settings_(read_wire_settings(configuration_.settings)),
-        limits_(limits_for(kMaxSockets, wire_settings_, router_settings_)), discovery_(loop_, limits_),
+        limits_(make_limits(kMaxSockets, wire_settings_, router_settings_)), discovery_(loop_, limits_),
         platform_(loop_, limits_, {std::begin(kExposureCaps), std::end(kExposureCaps)},
                   [this](const fakes::ReleasePlatform::State& state) { on_release_change(state); }),
         ends_by_itself_(options.seconds > 0), release_timer_(loop_, [this] { start_next_release(); }),
@@ -126,12 +126,12 @@
   }
 
   void start_router() {
-    configuration_.site.discovery_address = discovery_.address();
-    configuration_.site.release_platform_address = platform_.address();
-    configuration_.site.configured_endpoint_list = discovery_.list();
-    configuration_.site.configured_release_state = platform_.state_json();
+    configuration_.instance.discovery_address = discovery_.address();
+    configuration_.instance.release_platform_address = platform_.address();
+    configuration_.instance.configured_endpoint_list = discovery_.list();
+    configuration_.instance.configured_release_state = platform_.state_json();
     service_ = std::make_unique<Service>(
-        loop_, limits_, router_settings_, wire_settings_, configuration_.site, [](std::string_view line) {
+        loop_, limits_, router_settings_, wire_settings_, configuration_.instance, [](std::string_view line) {
           std::printf("router: %.*s\n", static_cast<int>(line.size()), line.data());
         });
     install_authorizer();
--- a/src/program/main.cpp
+++ b/src/program/main.cpp
@@ -39,8 +39,8 @@
 }
 
 int check(const CommandLine& line) {
-  if (line.wants_schema) return print_schema();
-  if (!line.checked_file.empty()) return check_file(line.checked_file);
+  if (line.wants_schema) return print_operator_schema();
+  if (!line.checked_file.empty()) return check_operator_file(line.checked_file);
   std::fprintf(stderr, "ashbeam check: FILE or --schema is needed\n");
   return kWrongUse;
 }
--- a/src/program/router_limits.cpp
+++ b/src/program/router_limits.cpp
@@ -30,7 +30,7 @@
 
 }  // namespace
 
-Limits limits_for(std::size_t max_sockets, const WireSettings& wire, const RouterSettings& router) {
+Limits make_limits(std::size_t max_sockets, const WireSettings& wire, const RouterSettings& router) {
   Limits limits;
   // A request in flight holds a connection of either kind.
   const std::size_t connections_of_each_kind = (max_sockets - kOwnSockets) / 2;
--- a/src/program/router_limits.hpp
+++ b/src/program/router_limits.hpp
@@ -9,6 +9,6 @@
 namespace ashbeam {
 
 // `max_sockets`: what the process may have open, at least 64.
-Limits limits_for(std::size_t max_sockets, const WireSettings& wire, const RouterSettings& router);
+Limits make_limits(std::size_t max_sockets, const WireSettings& wire, const RouterSettings& router);
 
 }  // namespace ashbeam
--- a/src/program/serve.cpp
+++ b/src/program/serve.cpp
@@ -72,10 +72,10 @@
   return std::min<std::size_t>(configured, std::max<rlim_t>(descriptors.rlim_cur, kMinSockets));
 }
 
-RouterSettings read_settings_and_log_doubts(const SettingsMap& settings) {
-  std::vector<std::string> doubts;
-  RouterSettings router = read_router_settings(settings, &doubts);
-  for (const std::string& doubt : doubts) spdlog::warn("{}", doubt);
+RouterSettings read_settings_and_log_warnings(const SettingsMap& settings) {
+  std::vector<std::string> warnings;
+  RouterSettings router = read_router_settings(settings, &warnings);
+  for (const std::string& warning : warnings) spdlog::warn("{}", warning);
   return router;
 }
 
@@ -84,23 +84,23 @@
  public:
   explicit Process(const ServeOptions& options)
       : configuration_(read_configuration()),
-        router_settings_(read_settings_and_log_doubts(configuration_.settings)),
+        router_settings_(read_settings_and_log_warnings(configuration_.settings)),
         wire_settings_(read_wire_settings(configuration_.settings)),
-        limits_(limits_for(available_sockets(configuration_.max_sockets), wire_settings_, router_settings_)),
-        service_(loop_, limits_, router_settings_, wire_settings_, configuration_.site, log_line),
+        limits_(make_limits(available_sockets(configuration_.max_sockets), wire_settings_, router_settings_)),
+        service_(loop_, limits_, router_settings_, wire_settings_, configuration_.instance, log_line),
         signal_timer_(loop_, [this] { handle_signals(); }) {
     if (options.operator_file.empty()) return;
     access_loader_ =
         std::make_unique<AccessConfigLoader>(loop_, service_, wire_settings_, router_settings_,
-                                             options.operator_file, configuration_.site.seed, log_line);
+                                             options.operator_file, configuration_.instance.seed, log_line);
   }
 
   void run() {
     const char* const topics = std::getenv(kDetailLogVariable);
     service_.detail_log().enable(topics ? topics : "");
     service_.start();
-    spdlog::info("{} serves at {}: {} request classes, router {} of {}", configuration_.site.name,
-                 configuration_.site.listen_address, router_settings_.request_classes.size(),
+    spdlog::info("{} serves at {}: {} request classes, router {} of {}", configuration_.instance.name,
+                 configuration_.instance.listen_address, router_settings_.request_classes.size(),
                  router_settings_.router_index, router_settings_.router_count);
     signal_timer_.schedule_after(Duration());
     loop_.run();
@@ -142,10 +142,10 @@
       const StartupConfiguration next = read_configuration();
       read_router_settings(next.settings);
       read_wire_settings(next.settings);
-      service_.change_addresses(next.site.discovery_address, next.site.release_platform_address);
+      service_.change_addresses(next.instance.discovery_address, next.instance.release_platform_address);
       const bool same_settings = next.settings == configuration_.settings;
       spdlog::info("configuration read again: discovery {}, release platform {}{}",
-                   next.site.discovery_address, next.site.release_platform_address,
+                   next.instance.discovery_address, next.instance.release_platform_address,
                    same_settings ? "" : "; other settings count from the next start");
     } catch (const std::exception& error) {
       spdlog::error("configuration can't be used, the old one stands: {}", error.what());
--- a/src/program/startup_configuration.cpp
+++ b/src/program/startup_configuration.cpp
@@ -35,7 +35,7 @@
       has_objects = true;
       flatten(settings, prefix + std::to_string(count), item);
     } else {
-      joined.append(count > 0 ? "," : "").append(listed_name(plain_text(item)));
+      joined.append(count > 0 ? "," : "").append(sanitize_name(plain_text(item)));
     }
     ++count;
   });
@@ -51,7 +51,7 @@
   } else if (value.is_array()) {
     flatten_list(settings, key, prefix, value);
   } else {
-    settings.put(key, listed_name(plain_text(value)));
+    settings.put(key, sanitize_name(plain_text(value)));
   }
 }
 
@@ -86,7 +86,7 @@
   return flat;
 }
 
-StartupConfiguration parse_startup_configuration(std::string_view text, InstanceSettings site) {
+StartupConfiguration parse_startup_configuration(std::string_view text, InstanceSettings instance) {
   const auto file = Json::parse(text);
   if (!file || !file->is_object()) throw ConfigurationError("configuration: not a JSON object");
   const auto settings = file->member("settings");
@@ -95,16 +95,17 @@
   if (!platform || platform->text("address").empty()) {
     throw ConfigurationError("configuration: 'release_api.address' is missing");
   }
-  site.seed = parse_seed(file->member("seed"));
-  site.release_platform_address = platform->text("address");
-  if (!file->text("discovery").empty()) site.discovery_address = file->text("discovery");
-  check_address("release_api.address", site.release_platform_address);
-  check_address("discovery", site.discovery_address);
+  instance.seed = parse_seed(file->member("seed"));
+  instance.release_platform_address = platform->text("address");
+  if (!file->text("discovery").empty()) instance.discovery_address = file->text("discovery");
+  check_address("release_api.address", instance.release_platform_address);
+  check_address("discovery", instance.discovery_address);
   if (const auto release_state = platform->member("news"))
-    site.configured_release_state = release_state->raw();
-  if (const auto endpoint_list = file->member("known")) site.configured_endpoint_list = endpoint_list->raw();
+    instance.configured_release_state = release_state->raw();
+  if (const auto endpoint_list = file->member("known"))
+    instance.configured_endpoint_list = endpoint_list->raw();
   StartupConfiguration configuration;
-  configuration.site = std::move(site);
+  configuration.instance = std::move(instance);
   configuration.settings = flatten_settings(*settings);
   if (const auto limits = file->member("limits")) {
     const double sockets = limits->number("sockets", kDefaultSockets);
@@ -119,12 +120,12 @@
     if (!value || !*value) throw ConfigurationError(std::string(name) + " is not set");
     return std::string(value);
   };
-  InstanceSettings site;
-  site.name = required("PROXY_NAME");
-  site.listen_address = required("PROXY_LISTEN");
-  site.discovery_address = required("PROXY_DISCOVERY");
+  InstanceSettings instance;
+  instance.name = required("PROXY_NAME");
+  instance.listen_address = required("PROXY_LISTEN");
+  instance.discovery_address = required("PROXY_DISCOVERY");
   const std::string path = required("PROXY_CONFIG");
-  return parse_startup_configuration(read_whole_file(path), std::move(site));
+  return parse_startup_configuration(read_whole_file(path), std::move(instance));
 }
 
 }  // namespace ashbeam
--- a/src/program/startup_configuration.hpp
+++ b/src/program/startup_configuration.hpp
@@ -17,7 +17,7 @@
 };
 
 struct StartupConfiguration {
-  InstanceSettings site;
+  InstanceSettings instance;
   SettingsMap settings;
   std::size_t max_sockets = 1024;
 };
@@ -25,8 +25,9 @@
 // Reads the variables by `variable`, which is null for one that is not set, and the file. Throws
 // ConfigurationError.
 StartupConfiguration read_startup_configuration(const char* (*variable)(const char*));
-// Reads the file's text; what it says of the site goes over what `site` says. Throws ConfigurationError.
-StartupConfiguration parse_startup_configuration(std::string_view text, InstanceSettings site);
+// Reads the file's text; what it says of the instance goes over what `instance` says. Throws
+// ConfigurationError.
+StartupConfiguration parse_startup_configuration(std::string_view text, InstanceSettings instance);
 
 // The settings of an object as a flat map, see SettingsMap.
 SettingsMap flatten_settings(const Json& settings);
--- a/src/routing/endpoint_list_message.cpp
+++ b/src/routing/endpoint_list_message.cpp
@@ -26,8 +26,8 @@
   endpoint.address = entry.text("endpoint");
   if (const auto version = entry.member("release")) endpoint.version = version->number();
   endpoint.boot_ms = entry.number("boot_ms", 0);
-  endpoint.zone = listed_name(entry.text("az"));
-  endpoint.machine_type = listed_name(entry.text("model"));
+  endpoint.zone = sanitize_name(entry.text("az"));
+  endpoint.machine_type = sanitize_name(entry.text("model"));
   endpoint.cell = static_cast<unsigned>(std::max(0.0, entry.number("pod_group", 0)));
   return endpoint;
 }
--- a/src/terms/router_settings_reader.cpp
+++ b/src/terms/router_settings_reader.cpp
@@ -41,9 +41,9 @@
   RequestClass request_class;
   request_class.idempotency = read_idempotency(settings, key(keys::kClassIdempotency));
   request_class.scope = read_scope(settings, key(keys::kClassScope));
-  request_class.latency_objective = settings.span(key(keys::kClassLatencyObjectiveMs));
-  request_class.client_timeout = settings.span(key(keys::kClassClientTimeoutMs));
-  request_class.key_retention = settings.span(key(keys::kClassKeyRetentionMs), 0);
+  request_class.latency_objective = settings.duration(key(keys::kClassLatencyObjectiveMs));
+  request_class.client_timeout = settings.duration(key(keys::kClassClientTimeoutMs));
+  request_class.key_retention = settings.duration(key(keys::kClassKeyRetentionMs), 0);
   request_class.priority_weight = settings.number(key(keys::kClassPriorityWeight), 1);
   request_class.late_priority_weight = settings.number(key(keys::kClassLatePriorityWeight), 0);
   return request_class;
@@ -72,7 +72,7 @@
 // A number of routers that can't be is read as the most that the rest of the settings speak of: each router
 // divides by it what all together may send to an endpoint that warms up, and one that takes itself for the
 // only one would send it all.
-std::uint32_t read_router_count(const SettingsMap& settings, std::vector<std::string>& doubts) {
+std::uint32_t read_router_count(const SettingsMap& settings, std::vector<std::string>& warnings) {
   const double given = settings.number(keys::kRouterCount, 0);
   const double at_least =
       std::max({settings.number(keys::kRouterIndex, 0) + 1, settings.number(keys::kPromoteVotesNeeded, 1),
@@ -81,94 +81,94 @@
   if (plausible) return static_cast<std::uint32_t>(given);
   const double assumed = std::min(std::max(at_least, given > 0 ? given : 0), kMaxRouters);
   const auto count = static_cast<std::uint32_t>(assumed);
-  doubts.push_back("settings: '" + std::string(keys::kRouterCount) + "' is " +
-                   settings.text(keys::kRouterCount, "missing") + ", read as " + std::to_string(count) +
-                   ": by own number and votes needed there are so many");
+  warnings.push_back("settings: '" + std::string(keys::kRouterCount) + "' is " +
+                     settings.text(keys::kRouterCount, "missing") + ", read as " + std::to_string(count) +
+                     ": by own number and votes needed there are so many");
   return count;
 }
 
-void read_fleet(const SettingsMap& settings, RouterSettings& router, std::vector<std::string>& doubts) {
+void read_fleet(const SettingsMap& settings, RouterSettings& router, std::vector<std::string>& warnings) {
   const auto length_of = [&settings](const char* key) {
-    return std::max<std::uint32_t>(1, static_cast<std::uint32_t>(settings.texts(key).size()));
+    return std::max<std::uint32_t>(1, static_cast<std::uint32_t>(settings.text_list(key).size()));
   };
   router.zone_count = length_of(keys::kZones);
   router.machine_type_count = length_of(keys::kMachineTypes);
   router.zone = settings.count(keys::kZone, 0);
-  router.router_count = read_router_count(settings, doubts);
+  router.router_count = read_router_count(settings, warnings);
   router.router_index = settings.count(keys::kRouterIndex, 0);
 }
 
 void read_permissions(const SettingsMap& settings, RouterSettings& router) {
   router.must_watch_endpoints =
       settings.text(keys::kDiscoveryMode, values::kDiscoveryAutomatic) == values::kDiscoverySubscribe;
-  router.may_cancel = settings.flag(keys::kMayCancel);
-  router.may_hedge = settings.flag(keys::kMayHedge);
-  router.may_send_retry_after = settings.flag(keys::kMaySendRetryAfter);
-  router.max_retry_after = settings.span(keys::kMaxRetryAfterMs, 0);
+  router.may_cancel = settings.boolean(keys::kMayCancel);
+  router.may_hedge = settings.boolean(keys::kMayHedge);
+  router.may_send_retry_after = settings.boolean(keys::kMaySendRetryAfter);
+  router.max_retry_after = settings.duration(keys::kMaxRetryAfterMs, 0);
   router.max_attempts = settings.count(keys::kMaxAttempts, 1);
 }
 
 void read_endpoint_rules(const SettingsMap& settings, RouterSettings& router) {
-  router.drain_grace = settings.span(keys::kDrainGraceMs);
-  router.endpoint_poll_interval = settings.span(keys::kEndpointPollIntervalMs, kNeverPolledMs);
-  router.slow_start_window = settings.span(keys::kSlowStartWindowMs);
+  router.drain_grace = settings.duration(keys::kDrainGraceMs);
+  router.endpoint_poll_interval = settings.duration(keys::kEndpointPollIntervalMs, kNeverPolledMs);
+  router.slow_start_window = settings.duration(keys::kSlowStartWindowMs);
   router.overload_multiple = settings.number(keys::kOverloadMultiple);
   router.initial_capacity = settings.number(keys::kInitialCapacity);
-  router.slow_start_duration = settings.span(keys::kSlowStartDurationMs);
-  router.clock_tick = settings.span(keys::kClockTickMs, 1);
+  router.slow_start_duration = settings.duration(keys::kSlowStartDurationMs);
+  router.clock_tick = settings.duration(keys::kClockTickMs, 1);
   router.cross_zone_cost = settings.number(keys::kCrossZoneCost, 0);
   router.health_check_cost = settings.number(keys::kHealthCheckCost, 0);
 }
 
 void read_release_rules(const SettingsMap& settings, RouterSettings& router) {
-  router.exposure_caps = settings.numbers(keys::kExposureCaps);
+  router.exposure_caps = settings.number_list(keys::kExposureCaps);
   if (router.exposure_caps.empty()) {
     throw SettingsError("settings: '" + std::string(keys::kExposureCaps) + "' is missing");
   }
-  router.stage_fractions = settings.numbers(keys::kStageFractions);
+  router.stage_fractions = settings.number_list(keys::kStageFractions);
   router.exposure_per_class =
       settings.text(keys::kExposureCounting, values::kCountedTogether) == values::kCountedPerClass;
-  router.sticky_keys = settings.flag(keys::kStickyKeys);
+  router.sticky_keys = settings.boolean(keys::kStickyKeys);
   router.promoted_by_clock =
       settings.text(keys::kPromotedBy, values::kPromotedBySingleVote) == values::kPromotedByClock;
   router.rolling_update = settings.text(keys::kReleaseStyle, values::kSideBySide) == values::kRolling;
   router.idempotent_only_stages = settings.count(keys::kIdempotentOnlyStages, 0);
   router.exposure_allowance = settings.number(keys::kExposureAllowance, 0);
-  router.exposure_window = settings.span(keys::kExposureWindowMs);
+  router.exposure_window = settings.duration(keys::kExposureWindowMs);
 }
 
-double read_platform_calls_per_s(const SettingsMap& settings, std::vector<std::string>& doubts) {
+double read_platform_calls_per_s(const SettingsMap& settings, std::vector<std::string>& warnings) {
   const double given = settings.number(keys::kPlatformCallsPerS, kDefaultPlatformCallsPerS);
   if (given > 0) return given;
-  doubts.push_back("settings: '" + std::string(keys::kPlatformCallsPerS) + "' is " +
-                   settings.text(keys::kPlatformCallsPerS) + ", read as 1");
+  warnings.push_back("settings: '" + std::string(keys::kPlatformCallsPerS) + "' is " +
+                     settings.text(keys::kPlatformCallsPerS) + ", read as 1");
   return 1;
 }
 
-void read_votes(const SettingsMap& settings, RouterSettings& router, std::vector<std::string>& doubts) {
-  router.vote_ttl = settings.span(keys::kVoteTtlMs);
-  router.bake_time = settings.span(keys::kBakeTimeMs, kDefaultBakeTimeMs);
-  router.sample_interval = settings.span(keys::kSampleIntervalMs, 0);
-  router.vote_answer_timeout = settings.span(keys::kVoteAnswerTimeoutMs, kDefaultVoteAnswerTimeoutMs);
+void read_votes(const SettingsMap& settings, RouterSettings& router, std::vector<std::string>& warnings) {
+  router.vote_ttl = settings.duration(keys::kVoteTtlMs);
+  router.bake_time = settings.duration(keys::kBakeTimeMs, kDefaultBakeTimeMs);
+  router.sample_interval = settings.duration(keys::kSampleIntervalMs, 0);
+  router.vote_answer_timeout = settings.duration(keys::kVoteAnswerTimeoutMs, kDefaultVoteAnswerTimeoutMs);
   router.abort_votes_needed = settings.count(keys::kAbortVotesNeeded, 1);
-  router.platform_calls_per_s = read_platform_calls_per_s(settings, doubts);
+  router.platform_calls_per_s = read_platform_calls_per_s(settings, warnings);
   router.dispute_report_fraction = settings.number(keys::kDisputeReportFraction, 0);
   router.outcome_sample_fraction = settings.number(keys::kOutcomeSampleFraction, 1);
 }
 
 }  // namespace
 
-RouterSettings read_router_settings(const SettingsMap& settings, std::vector<std::string>* doubts) {
+RouterSettings read_router_settings(const SettingsMap& settings, std::vector<std::string>* warnings) {
   RouterSettings router;
-  std::vector<std::string> found_doubts;
+  std::vector<std::string> found_warnings;
   read_request_classes(settings, router);
   read_tenants(settings, router);
-  read_fleet(settings, router, found_doubts);
+  read_fleet(settings, router, found_warnings);
   read_permissions(settings, router);
   read_endpoint_rules(settings, router);
   read_release_rules(settings, router);
-  read_votes(settings, router, found_doubts);
-  if (doubts) *doubts = std::move(found_doubts);
+  read_votes(settings, router, found_warnings);
+  if (warnings) *warnings = std::move(found_warnings);
   return router;
 }
 
--- a/src/terms/router_settings_reader.hpp
+++ b/src/terms/router_settings_reader.hpp
@@ -10,7 +10,8 @@
 
 // Throws SettingsError where something that decisions need is missing or malformed. What can't be (no
 // routers, fewer routers than the votes that are needed, no platform calls a second) is read as the safe
-// value, with a line for the log in `doubts` each, which replaces what stood there.
-RouterSettings read_router_settings(const SettingsMap& settings, std::vector<std::string>* doubts = nullptr);
+// value, with a line for the log in `warnings` each, which replaces what stood there.
+RouterSettings read_router_settings(const SettingsMap& settings,
+                                    std::vector<std::string>* warnings = nullptr);
 
 }  // namespace ashbeam
--- a/src/terms/settings_map.cpp
+++ b/src/terms/settings_map.cpp
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-std::string listed_name(std::string name) {
+std::string sanitize_name(std::string name) {
   std::replace_if(
       name.begin(), name.end(), [](char c) { return c == ' ' || c == ','; }, '_');
   return name;
@@ -54,7 +54,7 @@
   return contains(key) ? number(key) : default_value;
 }
 
-std::vector<std::string> SettingsMap::texts(std::string_view key) const {
+std::vector<std::string> SettingsMap::text_list(std::string_view key) const {
   std::vector<std::string> items;
   std::string rest = text(key, "");
   while (!rest.empty()) {
@@ -65,9 +65,9 @@
   return items;
 }
 
-std::vector<double> SettingsMap::numbers(std::string_view key) const {
+std::vector<double> SettingsMap::number_list(std::string_view key) const {
   std::vector<double> values;
-  for (const std::string& item : texts(key)) values.push_back(parse_number(key, item));
+  for (const std::string& item : text_list(key)) values.push_back(parse_number(key, item));
   return values;
 }
 
--- a/src/terms/settings_map.hpp
+++ b/src/terms/settings_map.hpp
@@ -22,7 +22,7 @@
 };
 
 // A name as it stands in the settings' lists, where spaces and commas are replaced by underscores.
-std::string listed_name(std::string name);
+std::string sanitize_name(std::string name);
 
 class SettingsMap {
  public:
@@ -44,15 +44,15 @@
     return static_cast<std::uint32_t>(number(key, default_value));
   }
   // Values in milliseconds.
-  Duration span(std::string_view key) const { return Duration::ms(number(key)); }
-  Duration span(std::string_view key, double default_ms) const {
+  Duration duration(std::string_view key) const { return Duration::ms(number(key)); }
+  Duration duration(std::string_view key, double default_ms) const {
     return Duration::ms(number(key, default_ms));
   }
   // False where the key is missing.
-  bool flag(std::string_view key) const { return text(key, "false") == "true"; }
+  bool boolean(std::string_view key) const { return text(key, "false") == "true"; }
   // The items of a comma-separated list; empty where the key is missing.
-  std::vector<std::string> texts(std::string_view key) const;
-  std::vector<double> numbers(std::string_view key) const;
+  std::vector<std::string> text_list(std::string_view key) const;
+  std::vector<double> number_list(std::string_view key) const;
 
   bool operator==(const SettingsMap&) const = default;
 
--- a/src/terms/wire_settings.cpp
+++ b/src/terms/wire_settings.cpp
@@ -29,11 +29,11 @@
   WireSettings wire;
   wire.request_classes = read_names(settings, keys::kRequestClasses);
   wire.tenants = read_names(settings, keys::kTenants);
-  wire.zones = settings.texts(keys::kZones);
-  wire.machine_types = settings.texts(keys::kMachineTypes);
-  wire.load_report_columns = settings.texts(keys::kLoadReportColumns);
-  wire.connect_timeout = settings.span(keys::kConnectTimeoutMs, kDefaultConnectTimeoutMs);
-  wire.endpoint_idle_timeout = settings.span(keys::kEndpointIdleTimeoutMs, kDefaultEndpointIdleTimeoutMs);
+  wire.zones = settings.text_list(keys::kZones);
+  wire.machine_types = settings.text_list(keys::kMachineTypes);
+  wire.load_report_columns = settings.text_list(keys::kLoadReportColumns);
+  wire.connect_timeout = settings.duration(keys::kConnectTimeoutMs, kDefaultConnectTimeoutMs);
+  wire.endpoint_idle_timeout = settings.duration(keys::kEndpointIdleTimeoutMs, kDefaultEndpointIdleTimeoutMs);
   return wire;
 }
 
--- a/tests/environment_test.cpp
+++ b/tests/environment_test.cpp
@@ -30,7 +30,7 @@
       complaint(R"({"discovery":"10.1",)" + rest + R"("1.2.3.4:5"}})").find("'discovery' is no numeric"),
       std::string::npos);
   EXPECT_EQ(parse_startup_configuration(R"({"discovery":"1.2.3.4:6",)" + rest + R"("1.2.3.4:5"}})", {})
-                .site.discovery_address,
+                .instance.discovery_address,
             "1.2.3.4:6");
   try {
     read_startup_configuration([](const char*) -> const char* { return nullptr; });
@@ -44,11 +44,11 @@
   const SettingsMap pairs = flatten_settings(*Json::parse(
       R"({"tickMs":5.0,"allowed":{"cancel":true},"zones":["a b","c"],"grades":[{"name":"x","worth":2}],"no":[]})"));
   EXPECT_EQ(pairs.number("tickMs"), 5.0);
-  EXPECT_TRUE(pairs.flag("allowed.cancel"));
-  EXPECT_EQ(pairs.texts("zones"), (std::vector<std::string>{"a_b", "c"}));
+  EXPECT_TRUE(pairs.boolean("allowed.cancel"));
+  EXPECT_EQ(pairs.text_list("zones"), (std::vector<std::string>{"a_b", "c"}));
   EXPECT_EQ(pairs.count("grades.count"), 1U);
   EXPECT_EQ(pairs.text("grades.0.name"), "x");
-  EXPECT_TRUE(pairs.numbers("no").empty());
+  EXPECT_TRUE(pairs.number_list("no").empty());
 }
 
 }  // namespace
--- a/tests/router_settings_reader_test.cpp
+++ b/tests/router_settings_reader_test.cpp
@@ -17,10 +17,10 @@
 
 // A router that wrongly takes itself for one of few would send endpoints that warm up what all together may.
 TEST(RouterSettingsReader, ImplausibleCountsAreReadSafelyAndReportedOnce) {
-  const auto read = [](const std::string& more, std::size_t doubt_count) {
-    std::vector<std::string> doubts;
-    RouterSettings settings = read_router_settings(SettingsMap(kSettings + more), &doubts);
-    EXPECT_EQ(doubts.size(), doubt_count) << more;
+  const auto read = [](const std::string& more, std::size_t warning_count) {
+    std::vector<std::string> warnings;
+    RouterSettings settings = read_router_settings(SettingsMap(kSettings + more), &warnings);
+    EXPECT_EQ(warnings.size(), warning_count) << more;
     return settings;
   };
   EXPECT_EQ(read("replicasOfMe=300\nmyNumber=299\nfamilyInfo.onVotes=118\n", 0).router_count, 300u);
