--- a/src/program/access_config_loader.cpp
+++ b/src/program/access_config_loader.cpp
@@ -12,7 +12,7 @@
 
 constexpr Duration kMaxPollInterval = Duration::s(1);
 constexpr Duration kWallClockTolerance = Duration::s(1);
-constexpr Duration kHangingLoad = Duration::s(5);
+constexpr Duration kSlowLoadThreshold = Duration::s(5);
 
 }  // namespace
 
@@ -22,15 +22,15 @@
     : loop_(loop), service_(service),
       source_(std::make_shared<Source>(Source{std::move(path), Deployment{wire, router}})),
       log_(std::move(log)), poll_timer_(loop, [this] { poll(); }) {
-  const Loaded loaded = source_->load_everything();
+  const LoadResult loaded = source_->load_everything();
   if (!loaded.error.empty()) throw OperatorConfigError(loaded.error);
-  install(loaded, seed);
+  configure_service(loaded, seed);
 }
 
-// ---- Reading, on the worker's thread but for the start ----
+// ---- Reading files: on the worker thread, except at startup ----
 
-AccessConfigLoader::Loaded AccessConfigLoader::Source::load_everything() const {
-  Loaded loaded;
+AccessConfigLoader::LoadResult AccessConfigLoader::Source::load_everything() const {
+  LoadResult loaded;
   try {
     loaded.config = read_operator_config(path, &deployment);
     if (loaded.config.calling && !loaded.config.calling->key_folder.empty()) {
@@ -46,9 +46,9 @@
   return loaded;
 }
 
-AccessConfigLoader::Loaded AccessConfigLoader::Source::load_key_sets(const std::string& folder,
-                                                                     const std::string& known_stamp) {
-  Loaded loaded;
+AccessConfigLoader::LoadResult AccessConfigLoader::Source::load_key_sets(const std::string& folder,
+                                                                         const std::string& known_stamp) {
+  LoadResult loaded;
   try {
     loaded.unchanged = key_folder_stamp(folder) == known_stamp;
     if (!loaded.unchanged) loaded.keys = read_key_folder(folder);
@@ -58,11 +58,11 @@
   return loaded;
 }
 
-// ---- The start ----
+// ---- Startup ----
 
-void AccessConfigLoader::install(const Loaded& loaded, std::uint64_t seed) {
+void AccessConfigLoader::configure_service(const LoadResult& loaded, std::uint64_t seed) {
   config_ = loaded.config;
-  if (config_.metadata) install_metadata_verifier();
+  if (config_.metadata) configure_metadata_verifier();
   if (!config_.calling && !config_.tls) return;
   worker_ = std::make_unique<Worker>(loop_);
   if (config_.tls) service_.listen_with_tls(*config_.tls, loaded.tls);
@@ -73,7 +73,7 @@
   poll_timer_.schedule_after(Duration());
 }
 
-void AccessConfigLoader::install_metadata_verifier() {
+void AccessConfigLoader::configure_metadata_verifier() {
   std::vector<metadata::RepositorySettings> repositories = config_.metadata->repositories;
   for (metadata::RepositorySettings& repository : repositories) {
     repository.root = read_file(repository.root, metadata::max_file_bytes("root"));
@@ -82,15 +82,17 @@
       std::make_unique<metadata::MetadataVerifier>(std::move(repositories), config_.metadata->max_clients));
 }
 
-// ---- Loading again ----
+// ---- Reloading ----
 
 std::uint64_t AccessConfigLoader::reload() {
   if (!worker_) {
-    log_("operator's file: counts from the next start, nothing of it was on at this one");
+    log_(
+        "operator file: not reloaded, because it enabled neither calling nor tls at startup; "
+        "changes take effect at the next start");
     return 0;
   }
-  if (loading_) {  // that load may have read the files before they changed
-    load_again_ = true;
+  if (loading_) {  // The current load may have read the files before they changed, so another one follows.
+    reload_pending_ = true;
     return completed_loads_ + 2;
   }
   begin_load();
@@ -106,10 +108,10 @@
   poll_timer_.schedule_after(std::min(interval, kMaxPollInterval));
   check_wall_clock();
   const Instant now = loop_.now();
-  warn_if_load_hangs(now);
+  warn_if_load_is_slow(now);
   if (loading_ || folder.empty() || now - load_started_at_ < interval) return;
   begin_load();
-  worker_->submit([this, folder, stamp = keys_stamp_]() -> Worker::Completion {
+  worker_->submit([this, folder, stamp = key_folder_stamp_]() -> Worker::Completion {
     return [this, loaded = Source::load_key_sets(folder, stamp)] { finish_load(loaded, Scope::kKeySets); };
   });
 }
@@ -119,36 +121,40 @@
   const Duration before = service_.authorizer()->wall_clock_ahead();
   if (ahead > before + kWallClockTolerance || ahead < before - kWallClockTolerance) {
     const std::int64_t change_ms = (ahead - before).us() / 1000;
-    log_("calling: the machine's clock was set by " + std::to_string(change_ms) + " ms");
+    log_("calling: system clock was adjusted by " + std::to_string(change_ms) +
+         " ms; tokens, keys and certificates are checked against the new time");
   }
   service_.authorizer()->set_wall_clock_ahead(ahead);
 }
 
-// While a folder's file system hangs, keys that have been revoked there are not known here.
-void AccessConfigLoader::warn_if_load_hangs(Instant now) {
-  if (!loading_ || hang_logged_ || now - load_started_at_ <= kHangingLoad) return;
-  hang_logged_ = true;
-  log_("calling: reading keys and files has taken 5 s and goes on; the old ring and rights stand");
+// The operator has to know: while a load hangs, for example on an unreachable file system, keys that have
+// been revoked in the folder are still accepted.
+void AccessConfigLoader::warn_if_load_is_slow(Instant now) {
+  if (!loading_ || slow_load_logged_ || now - load_started_at_ <= kSlowLoadThreshold) return;
+  slow_load_logged_ = true;
+  log_(
+      "calling: load of operator file and key sets still running after 5 s; "
+      "former keys and permissions stay in force");
 }
 
 void AccessConfigLoader::begin_load() {
   loading_ = true;
   load_started_at_ = loop_.now();
-  hang_logged_ = false;
+  slow_load_logged_ = false;
 }
 
-void AccessConfigLoader::finish_load(const Loaded& loaded, Scope scope) {
+void AccessConfigLoader::finish_load(const LoadResult& loaded, Scope scope) {
   loading_ = false;
   ++completed_loads_;
   if (!loaded.unchanged) apply(loaded, scope);
-  if (std::exchange(load_again_, false)) reload();
+  if (std::exchange(reload_pending_, false)) reload();
 }
 
-void AccessConfigLoader::apply(const Loaded& loaded, Scope scope) {
+void AccessConfigLoader::apply(const LoadResult& loaded, Scope scope) {
   if (!loaded.error.empty()) {
-    // A folder that stays malformed is read again and again; it is logged once.
+    // An unusable folder of key sets is read at each poll; its error is logged once.
     const bool repeated = scope == Scope::kKeySets && loaded.error == last_error_;
-    if (!repeated) log_("calling: the old ring and rights stand: " + loaded.error);
+    if (!repeated) log_("calling: load failed, former keys and permissions stay in force: " + loaded.error);
     last_error_ = loaded.error;
     return;
   }
@@ -157,37 +163,37 @@
   apply_key_sets(loaded.keys);
 }
 
-// False where there are no key sets to apply.
-bool AccessConfigLoader::apply_config(const Loaded& loaded) {
+bool AccessConfigLoader::apply_config(const LoadResult& loaded) {
   if (needs_restart(loaded)) {
-    log_("operator's file: the old one stands: calling, tls and its listener come and go by a restart");
+    log_(
+        "operator file: reload rejected, former file stays in force: "
+        "adding or removing calling or tls, or changing tls.listen, takes a restart");
     return false;
   }
   config_ = loaded.config;
   if (loaded.tls) service_.tls_acceptor()->replace_credentials(*config_.tls, loaded.tls);
   if (!config_.calling) {
-    log_("operator's file read again");
+    log_("operator file: reloaded, calling is off");
     return false;
   }
   service_.authorizer()->update_settings(config_.calling->settings, loop_.now());
-  log_("operator's file read again: " + std::to_string(config_.calling->settings.tenants.size()) +
-       " tenants");
+  log_("operator file: reloaded, " + std::to_string(config_.calling->settings.tenants.size()) + " tenants");
   return true;
 }
 
-bool AccessConfigLoader::needs_restart(const Loaded& loaded) const {
+bool AccessConfigLoader::needs_restart(const LoadResult& loaded) const {
   return loaded.config.calling.has_value() != config_.calling.has_value() ||
          loaded.config.tls.has_value() != config_.tls.has_value() ||
          (loaded.tls && loaded.config.tls->listen != config_.tls->listen);
 }
 
 void AccessConfigLoader::apply_key_sets(const KeyFolder& folder) {
-  keys_stamp_ = folder.stamp;
+  key_folder_stamp_ = folder.stamp;
   const auto change = service_.authorizer()->update_keys(folder.keys, loop_.now());
   if (!change.any()) return;
-  log_("calling: key ring " + std::to_string(service_.authorizer()->key_ring().epoch()) + ": " +
-       std::to_string(folder.keys.size()) + " keys listed, " + std::to_string(change.added) + " new, " +
-       std::to_string(change.restored) + " back, " + std::to_string(change.retiring) + " retiring, " +
+  log_("calling: key ring epoch " + std::to_string(service_.authorizer()->key_ring().epoch()) + ": " +
+       std::to_string(folder.keys.size()) + " keys listed, " + std::to_string(change.added) + " added, " +
+       std::to_string(change.restored) + " listed again, " + std::to_string(change.retiring) + " retiring, " +
        std::to_string(change.revoked) + " revoked, " + std::to_string(change.forgotten) + " forgotten");
 }
 
--- a/src/program/access_config_loader.hpp
+++ b/src/program/access_config_loader.hpp
@@ -1,9 +1,9 @@
-// Keeps the operator's file and what it names (key sets, certificates) in force while the router runs: loaded
-// at the start, on request (SIGHUP) and, for the folder of key sets, when that changes.
+// Loads the operator file and the files that it names (key sets, certificates), and applies them to the
+// router: at startup, on request (SIGHUP) and, for the folder of key sets, whenever its content changes.
 //
-// What can't be used changes nothing and is logged. Files are read on a thread of their own and applied on
-// the event loop. What listens and whether principals are checked is settled at the start; by what they are
-// checked is not.
+// A load that fails is logged and leaves the former configuration in force. The files are read on a worker
+// thread and applied on the event loop. The listeners, and whether the router has an authorizer, are
+// determined at startup; keys, permissions, quotas and certificates can change while the router runs.
 #pragma once
 #include <cstdint>
 #include <memory>
@@ -18,64 +18,74 @@
 
 class AccessConfigLoader {
  public:
-  // Loads the file at `path` and sets up `service` by it, which has to outlive the loader and must not have
-  // been started. `seed`: for random numbers. Throws OperatorConfigError or FileError where it can't be used:
-  // the program does not start on it.
+  // Loads the operator file at `path` and configures `service` accordingly. `service` must outlive the loader
+  // and must not have been started. `seed` is the seed of the authorizer's hashes. Throws OperatorConfigError
+  // if a file cannot be read or used, FileError or std::runtime_error if this holds for the file of a pinned
+  // root, and Poco::Exception if the TLS listener cannot be opened; the program must not start then.
   AccessConfigLoader(EventLoop& loop, Service& service, const WireSettings& wire,
                      const RouterSettings& router, std::string path, std::uint64_t seed, LogFunction log);
 
-  // Loads everything again. What stands in the files now is in force, or has been found unfit, once
-  // completed_loads() has reached the number returned; 0 where nothing is to be loaded.
+  // Starts to load all files again. Returns a number: once completed_loads() has reached it, the current
+  // content of the files has been applied or rejected. Returns 0 if nothing is loaded, because the operator
+  // file enabled neither calling nor tls at startup.
   std::uint64_t reload();
+  // Returns the number of loads that have completed since startup, whether they were applied or rejected.
   std::uint64_t completed_loads() const { return completed_loads_; }
 
  private:
   enum class Scope { kEverything, kKeySets };
 
-  // What the worker has read.
-  struct Loaded {
-    std::string error;       // empty: the rest can be used
-    bool unchanged = false;  // the folder is as it was, and has not been read
+  // The result of reading files on the worker thread.
+  struct LoadResult {
+    std::string error;       // empty if the load succeeded
+    bool unchanged = false;  // the folder of key sets has not changed and was not read
     OperatorConfig config;
     KeyFolder keys;
     std::shared_ptr<TlsCredentials> tls;
   };
 
-  // What a job on the worker reads by: it shares the ownership, as the job may outlive the loader.
+  // The input of a load. A task on the worker thread shares its ownership, because the task may outlive the
+  // loader.
   struct Source {
-    std::string path;
+    std::string path;  // of the operator file
     Deployment deployment;
 
-    Loaded load_everything() const;
-    static Loaded load_key_sets(const std::string& folder, const std::string& known_stamp);
+    LoadResult load_everything() const;
+    // Reads the folder of key sets unless its stamp (see key_folder_stamp) is still `known_stamp`.
+    static LoadResult load_key_sets(const std::string& folder, const std::string& known_stamp);
   };
 
-  void install(const Loaded& loaded, std::uint64_t seed);
-  void install_metadata_verifier();
-  void poll();  // the folder of key sets, and the wall clock
+  void configure_service(const LoadResult& loaded, std::uint64_t seed);
+  void configure_metadata_verifier();
+  // Called by poll_timer_: checks the wall clock and, once per poll interval, the folder of key sets.
+  void poll();
   void check_wall_clock();
-  void warn_if_load_hangs(Instant now);
+  // Logs once per load that it has taken longer than kSlowLoadThreshold.
+  void warn_if_load_is_slow(Instant now);
   void begin_load();
-  void finish_load(const Loaded& loaded, Scope scope);
-  void apply(const Loaded& loaded, Scope scope);
-  bool apply_config(const Loaded& loaded);
+  void finish_load(const LoadResult& loaded, Scope scope);
+  void apply(const LoadResult& loaded, Scope scope);
+  // Returns whether the key sets of `loaded` are to be applied as well.
+  bool apply_config(const LoadResult& loaded);
   void apply_key_sets(const KeyFolder& folder);
-  bool needs_restart(const Loaded& loaded) const;
+  // Returns whether `loaded` differs from the configuration in force in what is determined at startup.
+  bool needs_restart(const LoadResult& loaded) const;
 
   EventLoop& loop_;
   Service& service_;
   std::shared_ptr<const Source> source_;
   LogFunction log_;
-  OperatorConfig config_;   // in force
-  std::string keys_stamp_;  // of the folder of key sets, as last applied
-  std::string last_error_;  // as last logged; empty once a load could be used
+  OperatorConfig config_;         // in force
+  std::string key_folder_stamp_;  // of the key sets in force
+  std::string last_error_;        // of the last load; empty if it succeeded
   bool loading_ = false;
-  bool load_again_ = false;  // once the load under way has finished
-  bool hang_logged_ = false;
+  bool reload_pending_ = false;  // a reload starts when the current load completes
+  bool slow_load_logged_ = false;
   Instant load_started_at_;
   std::uint64_t completed_loads_ = 0;
   Timer poll_timer_;
-  std::unique_ptr<Worker> worker_;  // last: ends before what its jobs answer to
+  // The last member, so that it is destroyed first: completions of its tasks use the other members.
+  std::unique_ptr<Worker> worker_;
 };
 
 }  // namespace ashbeam
--- a/src/program/check_command.cpp
+++ b/src/program/check_command.cpp
@@ -1,4 +1,4 @@
-// `ashbeam check`: whether an operator's file can be used, and the schema of such files.
+// Implements `ashbeam check`: checks an operator file, or prints the schema of operator files.
 #include <cstdio>
 #include <exception>
 #include <string_view>
@@ -13,7 +13,7 @@
   try {
     const OperatorConfig config = read_operator_config(path, nullptr);
     const std::size_t tenants = config.calling ? config.calling->settings.tenants.size() : 0;
-    std::printf("%s: good; calling %s, %zu tenants; tls %s\n", path.c_str(), config.calling ? "on" : "off",
+    std::printf("%s: valid; calling %s, %zu tenants; tls %s\n", path.c_str(), config.calling ? "on" : "off",
                 tenants, config.tls ? "on" : "off");
     return 0;
   } catch (const std::exception& error) {
--- a/src/program/demo.cpp
+++ b/src/program/demo.cpp
@@ -28,26 +28,28 @@
 
 using fakes::ReleaseProgress;
 
+// Set by the signal handlers.
 volatile std::sig_atomic_t stop_requested = 0;
 
-constexpr unsigned kEndpoints = 6;
-constexpr unsigned kClients = 16;
+constexpr unsigned kEndpointCount = 6;
+constexpr unsigned kClientCount = 16;
 constexpr std::size_t kMaxSockets = 1024;
 constexpr std::uint64_t kSeed = 7;
 
 constexpr unsigned kStableVersion = 1;
-constexpr unsigned kBadVersion = 2;  // fails a third of its requests
-constexpr unsigned kGoodVersion = 3;
-constexpr double kExposureCaps[] = {0.2, 0.5, 1.0};          // by stage
-constexpr unsigned kCanaryEndpoints[] = {1, 3, kEndpoints};  // by stage
+constexpr unsigned kFaultyVersion = 2;  // answers a third of its requests with status 500
+constexpr unsigned kWorkingVersion = 3;
+constexpr double kExposureCaps[] = {0.2, 0.5, 1.0};                   // by stage
+constexpr unsigned kCanaryEndpointCounts[] = {1, 3, kEndpointCount};  // by stage
 
 constexpr double kRequestsPerS = 240;
-constexpr Duration kLoadTick = Duration::ms(5);
+constexpr Duration kSendInterval = Duration::ms(5);
 constexpr Duration kSignalPollInterval = Duration::ms(50);
-constexpr Duration kFirstRelease = Duration::s(1.5);
-constexpr Duration kBetweenReleases = Duration::s(2);
+constexpr Duration kFirstReleaseDelay = Duration::s(1.5);
+constexpr Duration kDelayBetweenReleases = Duration::s(2);
 
-// As an operator of the platform would write them.
+// A configuration file as the deployment platform writes it; the addresses are replaced by those of the
+// fakes.
 constexpr const char* kConfiguration = R"({"seed":"7","release_api":{"address":"127.0.0.1:1"},"settings":{
   "allowed":{"cancel":true,"connectTimeoutMs":250,"connIdleMs":20000,"maxAttempts":3,"retryAfter":true,
              "maxRetryAfterMs":2000},
@@ -71,7 +73,7 @@
 }
 
 const char* outcome_text(const std::optional<ReleaseProgress>& outcome) {
-  return outcome ? fakes::wire_name(*outcome) : "not over";
+  return outcome ? fakes::wire_name(*outcome) : "still in progress";
 }
 
 class Demo {
@@ -83,40 +85,40 @@
         limits_(make_limits(kMaxSockets, wire_settings_, router_settings_)), discovery_(loop_, limits_),
         platform_(loop_, limits_, {std::begin(kExposureCaps), std::end(kExposureCaps)},
                   [this](const fakes::ReleasePlatform::State& state) { on_release_change(state); }),
-        ends_by_itself_(options.seconds > 0), release_timer_(loop_, [this] { start_next_release(); }),
-        load_timer_(loop_, [this] { send_requests(); }), end_timer_(loop_, [this] { loop_.stop(); }),
+        has_end_time_(options.seconds > 0), release_timer_(loop_, [this] { start_next_release(); }),
+        request_timer_(loop_, [this] { send_requests(); }), end_timer_(loop_, [this] { loop_.stop(); }),
         signal_timer_(loop_, [this] { check_signals(); }) {
     start_endpoints();
     start_router();
-    for (unsigned i = 0; i < kClients; ++i) {
+    for (unsigned i = 0; i < kClientCount; ++i) {
       clients_.push_back(std::make_unique<fakes::Client>(loop_, limits_, address()));
     }
-    if (ends_by_itself_) end_timer_.schedule_after(Duration::s(options.seconds));
+    if (has_end_time_) end_timer_.schedule_after(Duration::s(options.seconds));
   }
 
-  // Returns the program's exit code.
+  // Returns the exit code of the program.
   int run() {
     print_introduction();
-    load_timer_.schedule_after(Duration());
+    request_timer_.schedule_after(Duration());
     signal_timer_.schedule_after(Duration());
-    release_timer_.schedule_after(kFirstRelease);
+    release_timer_.schedule_after(kFirstReleaseDelay);
     loop_.run();
-    std::printf("demo: %u answers 200, %u others; release %u %s, release %u %s\n", answers_200_,
-                other_answers_, kBadVersion, outcome_text(bad_outcome_), kGoodVersion,
-                outcome_text(good_outcome_));
+    std::printf("demo: %u answers with status 200, %u with other status; release %u %s, release %u %s\n",
+                answers_200_, other_answers_, kFaultyVersion, outcome_text(faulty_outcome_), kWorkingVersion,
+                outcome_text(working_outcome_));
     const bool as_expected =
-        bad_outcome_ == ReleaseProgress::kWithdrawn && good_outcome_ == ReleaseProgress::kReleased;
-    return as_expected || !ends_by_itself_ ? 0 : 1;
+        faulty_outcome_ == ReleaseProgress::kWithdrawn && working_outcome_ == ReleaseProgress::kReleased;
+    return as_expected || !has_end_time_ ? 0 : 1;
   }
 
  private:
-  // ---- Set-up ----
+  // ---- Setup ----
 
   std::string address() const { return "127.0.0.1:" + std::to_string(service_->port()); }
 
   void start_endpoints() {
-    versions_.assign(kEndpoints, kStableVersion);
-    for (unsigned endpoint = 0; endpoint < kEndpoints; ++endpoint) {
+    versions_.assign(kEndpointCount, kStableVersion);
+    for (unsigned endpoint = 0; endpoint < kEndpointCount; ++endpoint) {
       const auto handler = [this, endpoint](const http::Head& head, const std::string&) {
         return answer(endpoint, head);
       };
@@ -138,7 +140,7 @@
     service_->start();
   }
 
-  // One tenant, with a key made here and one token signed with it.
+  // Configures one tenant and one key, and signs a token with the key for print_introduction().
   void install_authorizer() {
     calling::CallingSettings settings;
     settings.audience = "ashbeam";
@@ -164,13 +166,14 @@
   void print_introduction() const {
     const std::string router = address();
     std::printf(
-        "demo: the router serves at %s: %u endpoints, discovery %s, release platform %s, all fakes in this "
-        "process\n"
-        "try: curl -i -H 'X-Correlation-Id: me-1' -H 'X-Time-Left-Ms: 1500' http://%s/look/1\n"
-        "who: curl -i -H 'X-Correlation-Id: me-2' -H 'X-Time-Left-Ms: 1500' -H 'Authorization: Bearer %s' "
+        "demo: router listens at %s, with %u endpoints, discovery at %s and release platform at %s, "
+        "all fakes in this process\n"
+        "anonymous request: curl -i -H 'X-Correlation-Id: me-1' -H 'X-Time-Left-Ms: 1500' http://%s/look/1\n"
+        "authenticated request: curl -i -H 'X-Correlation-Id: me-2' -H 'X-Time-Left-Ms: 1500' "
+        "-H 'Authorization: Bearer %s' "
         "http://%s/look/1\n",
-        router.c_str(), kEndpoints, discovery_.address().c_str(), platform_.address().c_str(), router.c_str(),
-        token_.c_str(), router.c_str());
+        router.c_str(), kEndpointCount, discovery_.address().c_str(), platform_.address().c_str(),
+        router.c_str(), token_.c_str(), router.c_str());
     std::fflush(stdout);
   }
 
@@ -180,7 +183,7 @@
     const unsigned version = versions_[endpoint];
     fakes::EndpointAnswer answer;
     answer.delay = Duration::ms(8 + random_.next_below(12));
-    if (version == kBadVersion && random_.next_below(3) == 0) answer.status = 500;
+    if (version == kFaultyVersion && random_.next_below(3) == 0) answer.status = 500;
     answer.body = "endpoint " + std::to_string(endpoint) + " release " + std::to_string(version) + " for " +
                   std::string(head.find("X-Caller").value_or("nobody known")) + "\n";
     return answer;
@@ -192,54 +195,58 @@
                     version, started_at});
   }
 
-  // Installs the canary on the stage's endpoints, and the stable version again once it is withdrawn.
+  // Installs the canary on the endpoints of its stage. Installs the stable version on them again when the
+  // release is withdrawn.
   void on_release_change(const fakes::ReleasePlatform::State& state) {
-    std::printf("release platform: release %u %s, stage %u, cap %.2f\n", state.version,
+    std::printf("release platform: release %u is %s, stage %u, exposure cap %.2f\n", state.version,
                 fakes::wire_name(state.progress), state.stage, state.exposure_cap);
     std::fflush(stdout);
     if (state.progress == ReleaseProgress::kCanary) {
-      for (unsigned endpoint = 0; endpoint < kCanaryEndpoints[state.stage]; ++endpoint) {
+      for (unsigned endpoint = 0; endpoint < kCanaryEndpointCounts[state.stage]; ++endpoint) {
         if (versions_[endpoint] != state.version) install(endpoint, state.version, loop_.now());
       }
     } else if (state.progress == ReleaseProgress::kWithdrawn) {
-      for (unsigned endpoint = 0; endpoint < kEndpoints; ++endpoint) {
+      for (unsigned endpoint = 0; endpoint < kEndpointCount; ++endpoint) {
         if (versions_[endpoint] == state.version) install(endpoint, kStableVersion, loop_.now());
       }
     }
-    const bool is_over =
+    const bool has_ended =
         state.progress == ReleaseProgress::kWithdrawn || state.progress == ReleaseProgress::kReleased;
-    if (!is_over) return;
-    (state.version == kBadVersion ? bad_outcome_ : good_outcome_) = state.progress;
-    release_timer_.schedule_after(kBetweenReleases);
+    if (!has_ended) return;
+    (state.version == kFaultyVersion ? faulty_outcome_ : working_outcome_) = state.progress;
+    release_timer_.schedule_after(kDelayBetweenReleases);
   }
 
   void start_next_release() {
-    if (!bad_outcome_) platform_.start_release(kBadVersion);
-    else if (!good_outcome_) platform_.start_release(kGoodVersion);
-    else if (ends_by_itself_) loop_.stop();
+    if (!faulty_outcome_) platform_.start_release(kFaultyVersion);
+    else if (!working_outcome_) platform_.start_release(kWorkingVersion);
+    else if (has_end_time_) loop_.stop();
   }
 
   // ---- Clients ----
 
   void send_requests() {
-    load_timer_.schedule_after(kLoadTick);
-    const double chance = kRequestsPerS * kLoadTick.s() / kClients * 2;  // some clients are busy
+    request_timer_.schedule_after(kSendInterval);
+    // Doubled, because busy clients send nothing.
+    const double send_probability = kRequestsPerS * kSendInterval.s() / kClientCount * 2;
     for (const auto& client : clients_) {
-      if (client->busy() || random_.next_double() > chance) continue;
-      client->send(draw_request(), [this](const fakes::Client::Answer& answer) {
+      if (client->busy() || random_.next_double() > send_probability) continue;
+      client->send(make_random_request(), [this](const fakes::Client::Answer& answer) {
         ++(answer.status == 200 ? answers_200_ : other_answers_);
       });
     }
   }
 
-  // Seven of ten are idempotent, two have an idempotency key, one is unsafe.
-  std::string draw_request() {
+  // Returns an idempotent request with probability 0.7, one with an idempotency key with probability 0.2, and
+  // an unsafe one with probability 0.1.
+  std::string make_random_request() {
     const std::string id = "demo-" + std::to_string(++last_request_id_);
     const std::string fields = " HTTP/1.1\r\nHost: demo\r\nX-Account: shop\r\nX-Correlation-Id: " + id +
                                "\r\nX-Time-Left-Ms: 1500\r\n";
-    const unsigned draw = random_.next_below(10);
-    if (draw < 7) return "GET /look/1" + fields + "\r\n";
-    if (draw < 9) return "POST /book" + fields + "Idempotency-Key: " + id + "\r\nContent-Length: 2\r\n\r\nhi";
+    const unsigned number = random_.next_below(10);
+    if (number < 7) return "GET /look/1" + fields + "\r\n";
+    if (number < 9)
+      return "POST /book" + fields + "Idempotency-Key: " + id + "\r\nContent-Length: 2\r\n\r\nhi";
     return "POST /pay" + fields + "Content-Length: 2\r\n\r\nhi";
   }
 
@@ -261,14 +268,14 @@
   std::vector<std::unique_ptr<fakes::Client>> clients_;
   Pcg random_{kSeed};
   std::string token_;
-  std::optional<ReleaseProgress> bad_outcome_;
-  std::optional<ReleaseProgress> good_outcome_;
+  std::optional<ReleaseProgress> faulty_outcome_;
+  std::optional<ReleaseProgress> working_outcome_;
   unsigned last_request_id_ = 0;
   unsigned answers_200_ = 0;
   unsigned other_answers_ = 0;
-  bool ends_by_itself_;
+  bool has_end_time_;
   Timer release_timer_;
-  Timer load_timer_;
+  Timer request_timer_;
   Timer end_timer_;
   Timer signal_timer_;
 };
--- a/src/program/keys_command.cpp
+++ b/src/program/keys_command.cpp
@@ -1,5 +1,5 @@
-// `ashbeam keys`: a folder with one key set (ring.json, public, which routers read) and the private parts in
-// private/, a file each.
+// Implements `ashbeam keys`. Its folder holds one key set in ring.json, with the public keys that routers
+// read, and in private/ one file for each private key.
 #include <fcntl.h>
 #include <openssl/pem.h>
 #include <openssl/x509.h>
@@ -39,14 +39,15 @@
   return std::chrono::duration<double>(std::chrono::system_clock::now().time_since_epoch()).count();
 }
 
-// Holds the folder's lock file while it lives, so that of two commands at once neither undoes the other.
+// Holds an exclusive lock on the folder's lock file during its lifetime, so that two commands that run at the
+// same time do not overwrite each other's changes.
 class FolderLock {
  public:
   explicit FolderLock(const std::string& folder)
       : descriptor_(::open((folder + "/.lock").c_str(), O_RDWR | O_CREAT | O_CLOEXEC, kPrivateFileMode)) {
     if (descriptor_ >= 0 && ::flock(descriptor_, LOCK_EX) == 0) return;
     if (descriptor_ >= 0) ::close(descriptor_);
-    throw FileError(folder, "can't be written");
+    throw FileError(folder, "lock file .lock cannot be created or locked");
   }
   ~FolderLock() { ::close(descriptor_); }
   FolderLock(const FolderLock&) = delete;
@@ -56,16 +57,18 @@
   int descriptor_;
 };
 
-std::string made_folder(const std::string& path) {
+// Creates the folder and its private folder unless they exist. Returns `path`.
+std::string create_folders(const std::string& path) {
   ::mkdir(path.c_str(), kPublicFolderMode);
   ::mkdir((path + "/private").c_str(), kPrivateFolderMode);
   return path;
 }
 
-// The folder's key set, read when it is opened and written by save(). Throws FileError.
-class SigningKeys {
+// The keys of a folder. The constructor locks the folder and reads the key set; save() writes it. Throws
+// FileError.
+class SigningKeyFolder {
  public:
-  explicit SigningKeys(const std::string& folder) : folder_(made_folder(folder)), lock_(folder_) {
+  explicit SigningKeyFolder(const std::string& folder) : folder_(create_folders(folder)), lock_(folder_) {
     if (!std::filesystem::exists(set_path())) return;
     tokens::KeySet set = tokens::parse_key_set(read_file(set_path(), tokens::kMaxKeySetBytes));
     if (!set.problem.empty()) throw FileError(set_path(), set.problem);
@@ -73,24 +76,30 @@
   }
 
   std::vector<tokens::KeyEntry>& entries() { return entries_; }
+  // Returns null if there is no key of this name.
   tokens::KeyEntry* find(const std::string& kid) {
     const auto found = std::find_if(entries_.begin(), entries_.end(),
                                     [&](const tokens::KeyEntry& entry) { return entry.kid == kid; });
     return found == entries_.end() ? nullptr : &*found;
   }
+  // Throws std::runtime_error if there is no key of this name.
   tokens::KeyEntry& get(const std::string& kid) {
     tokens::KeyEntry* const entry = find(kid);
-    if (!entry) throw std::runtime_error("no key is called " + kid);
+    if (!entry) throw std::runtime_error("key '" + kid + "' is not in the key set");
     return *entry;
   }
+  // Writes the public keys to the key set.
   void save() const { write_file(set_path(), tokens::key_set_text(entries_), kPublicFileMode); }
 
-  void save_private(const tokens::KeyEntry& entry) const {
+  // Writes the private key of `entry` to its file in private/.
+  void save_private_key(const tokens::KeyEntry& entry) const {
     const std::string jwk =
         "{\"kid\":" + json_quoted(entry.kid) + "," + entry.key.jwk_members(/*with_private=*/true) + "}";
     write_file(private_path(entry.kid), "{\"keys\":[" + jwk + "]}\n", kPrivateFileMode);
   }
-  tokens::Key load_private(const std::string& kid) const {
+  // Reads the private key of the name `kid`. Throws FileError also if others than the owner may read the
+  // file.
+  tokens::Key load_private_key(const std::string& kid) const {
     const std::string path = private_path(kid);
     need_private(path);
     const tokens::KeySet set = tokens::parse_key_set(read_file(path, tokens::kMaxKeySetBytes));
@@ -107,15 +116,17 @@
   std::vector<tokens::KeyEntry> entries_;
 };
 
-Duration parse_span(const std::string& text) {
-  const auto span = records::parse_span(text);
-  if (!span) throw std::runtime_error("wanted a span like 10m, found " + records::quoted(text));
-  return *span;
+// Parses a duration with a unit, like "10m". Throws std::runtime_error.
+Duration parse_duration(const std::string& text) {
+  const auto duration = records::parse_span(text);
+  if (!duration) throw std::runtime_error("expected a duration like 10m, got " + records::quoted(text));
+  return *duration;
 }
 
 enum class ListedState { kComing, kCurrent, kRetiringOrRetired, kRevoked };
 
-// As far as the file's own times say; how long a retiring key still verifies is in the routers' settings.
+// Returns the state of a key by the times of the key set. Whether a retiring key still verifies tokens
+// depends on the overlap in the operator file, which this command does not read.
 ListedState state_of(const tokens::KeyEntry& entry) {
   if (entry.revoked) return ListedState::kRevoked;
   if (entry.active_from_unix_s > unix_now_s()) return ListedState::kComing;
@@ -137,36 +148,38 @@
   return "?";
 }
 
+// Returns a name made of the Unix time in milliseconds and the algorithm, like "k1700000000000-EdDSA".
 std::string default_kid(const std::string& algorithm) {
   return "k" + std::to_string(static_cast<long long>(unix_now_s() * 1000)) + "-" + algorithm;
 }
 
-// A kid names a file, too.
-bool is_good_kid(const std::string& kid) {
+// A kid is also part of a file name, which restricts its characters.
+bool is_valid_kid(const std::string& kid) {
   return kid.size() <= tokens::kMaxKidBytes && std::all_of(kid.begin(), kid.end(), [](unsigned char c) {
            return std::isalnum(c) || c == '-' || c == '_';
          });
 }
 
 void create_key(const KeysOptions& options) {
-  SigningKeys keys(options.folder);
+  SigningKeyFolder keys(options.folder);
   tokens::KeyEntry entry;
   entry.key = tokens::Key::generate(*tokens::parse_algorithm(options.algorithm));
   entry.kid = options.kid.empty() ? default_kid(options.algorithm) : options.kid;
-  if (!is_good_kid(entry.kid))
-    throw std::runtime_error("wanted a name of at most 64 letters, digits, - and _");
-  if (keys.find(entry.kid)) throw std::runtime_error("a key is called " + entry.kid + " already");
-  entry.active_from_unix_s = std::floor(unix_now_s() + parse_span(options.from).s());
-  keys.save_private(entry);
+  if (!is_valid_kid(entry.kid))
+    throw std::runtime_error("key name " + records::quoted(entry.kid) +
+                             " is invalid: expected at most 64 letters, digits, '-' and '_'");
+  if (keys.find(entry.kid)) throw std::runtime_error("key '" + entry.kid + "' already exists");
+  entry.active_from_unix_s = std::floor(unix_now_s() + parse_duration(options.activation_delay).s());
+  keys.save_private_key(entry);
   keys.entries().push_back(entry);
   if (keys.entries().size() > tokens::kMaxKeysOfSet)
-    throw std::runtime_error("more than 64 keys: remove old ones");
+    throw std::runtime_error("key set is full: at most 64 keys; remove old ones from ring.json");
   keys.save();
   std::printf("%s\n", entry.kid.c_str());
 }
 
 void list_keys(const KeysOptions& options) {
-  SigningKeys keys(options.folder);
+  SigningKeyFolder keys(options.folder);
   for (const tokens::KeyEntry& entry : keys.entries()) {
     const std::string algorithm(tokens::name_of(entry.key.algorithm()));
     std::printf("%s %s %s %s\n", entry.kid.c_str(), algorithm.c_str(), name_of(state_of(entry)),
@@ -175,44 +188,48 @@
 }
 
 void retire_key(const KeysOptions& options) {
-  SigningKeys keys(options.folder);
+  SigningKeyFolder keys(options.folder);
   tokens::KeyEntry& entry = keys.get(options.kid);
   if (entry.retired_at_unix_s == 0) entry.retired_at_unix_s = std::ceil(unix_now_s());
   keys.save();
 }
 
 void revoke_key(const KeysOptions& options) {
-  SigningKeys keys(options.folder);
+  SigningKeyFolder keys(options.folder);
   keys.get(options.kid).revoked = true;
   keys.save();
 }
 
-// x5t#S256 (RFC 8705, section 3.1) of a PEM file.
+// Returns the SHA-256 thumbprint of the certificate in a PEM file, as the claim "x5t#S256" has it (RFC 8705,
+// section 3.1).
 std::string certificate_thumbprint(const std::string& path) {
   const std::unique_ptr<std::FILE, int (*)(std::FILE*)> file(std::fopen(path.c_str(), "r"), std::fclose);
-  if (!file) throw FileError(path, "can't be read");
+  if (!file) throw FileError(path, "cannot be opened");
   const tokens::OpensslPtr<X509> certificate(PEM_read_X509(file.get(), nullptr, nullptr, nullptr));
-  if (!certificate) throw FileError(path, "no PEM certificate");
+  if (!certificate) throw FileError(path, "contains no PEM certificate");
   tokens::Digest digest{};
   auto size = static_cast<unsigned>(digest.size());
   X509_digest(certificate.get(), EVP_sha256(), digest.data(), &size);
   return tokens::encode_base64url({reinterpret_cast<const char*>(digest.data()), size});
 }
 
-// The last key of that name; where no name is given, the last that signs now.
-const tokens::KeyEntry& signing_key(SigningKeys& keys, const std::string& kid) {
+// Returns the last key of the name `kid` in the key set, or the last current key if `kid` is empty. Throws
+// std::runtime_error if there is none.
+const tokens::KeyEntry& signing_key(SigningKeyFolder& keys, const std::string& kid) {
   const tokens::KeyEntry* chosen = nullptr;
   for (const tokens::KeyEntry& entry : keys.entries()) {
-    const bool fits = kid.empty() ? state_of(entry) == ListedState::kCurrent : entry.kid == kid;
-    if (fits) chosen = &entry;
+    const bool matches = kid.empty() ? state_of(entry) == ListedState::kCurrent : entry.kid == kid;
+    if (matches) chosen = &entry;
   }
-  if (!chosen) throw std::runtime_error(kid.empty() ? "no key signs now" : "no key is called " + kid);
+  if (!chosen)
+    throw std::runtime_error(kid.empty() ? "key set has no current key"
+                                         : "key '" + kid + "' is not in the key set");
   return *chosen;
 }
 
-std::string claims_text(const KeysOptions& options) {
+std::string make_claims(const KeysOptions& options) {
   const auto issued_unix_s = static_cast<long long>(unix_now_s());
-  const auto lifetime_s = static_cast<long long>(std::ceil(parse_span(options.life).s()));
+  const auto lifetime_s = static_cast<long long>(std::ceil(parse_duration(options.lifetime).s()));
   std::string claims =
       "{\"sub\":" + json_quoted(options.subject) + ",\"tenant\":" + json_quoted(options.tenant) +
       ",\"iat\":" + std::to_string(issued_unix_s) + ",\"exp\":" + std::to_string(issued_unix_s + lifetime_s);
@@ -224,13 +241,14 @@
 }
 
 void print_token(const KeysOptions& options) {
-  SigningKeys keys(options.folder);
+  SigningKeyFolder keys(options.folder);
   const tokens::KeyEntry& entry = signing_key(keys, options.kid);
-  const tokens::Key private_key = keys.load_private(entry.kid);
-  std::printf("%s\n", tokens::sign_token(private_key, entry.kid, claims_text(options)).c_str());
+  const tokens::Key private_key = keys.load_private_key(entry.kid);
+  std::printf("%s\n", tokens::sign_token(private_key, entry.kid, make_claims(options)).c_str());
 }
 
-int exit_code_of(void (*command)(const KeysOptions&), const KeysOptions& options) {
+// Returns the exit code of `command`: 1, with a line on standard error, if it throws.
+int run_command(void (*command)(const KeysOptions&), const KeysOptions& options) {
   try {
     command(options);
     return 0;
@@ -242,10 +260,10 @@
 
 }  // namespace
 
-int keys_new(const KeysOptions& options) { return exit_code_of(create_key, options); }
-int keys_list(const KeysOptions& options) { return exit_code_of(list_keys, options); }
-int keys_retire(const KeysOptions& options) { return exit_code_of(retire_key, options); }
-int keys_revoke(const KeysOptions& options) { return exit_code_of(revoke_key, options); }
-int keys_token(const KeysOptions& options) { return exit_code_of(print_token, options); }
+int keys_new(const KeysOptions& options) { return run_command(create_key, options); }
+int keys_list(const KeysOptions& options) { return run_command(list_keys, options); }
+int keys_retire(const KeysOptions& options) { return run_command(retire_key, options); }
+int keys_revoke(const KeysOptions& options) { return run_command(revoke_key, options); }
+int keys_token(const KeysOptions& options) { return run_command(print_token, options); }
 
 }  // namespace ashbeam
--- a/src/program/metadata_command.cpp
+++ b/src/program/metadata_command.cpp
@@ -1,4 +1,5 @@
-// `ashbeam metadata`: shows a metadata file, and checks a repository's folder as a TUF client would.
+// Implements `ashbeam metadata`: shows a metadata file, or checks the files of a repository like a TUF
+// client.
 #include <chrono>
 #include <cstdio>
 #include <filesystem>
@@ -22,36 +23,38 @@
   return Instant::at_us(std::chrono::duration_cast<std::chrono::microseconds>(since_epoch).count());
 }
 
-// Follows a repository's files in a folder, from a pinned root to the last delegated role. Prints a line for
-// each file that is accepted, and throws at the first that is not.
-class RepositoryCheck {
+// Checks the files of a repository in a folder, from a pinned root to the last delegated role. Prints a line
+// for each accepted file, and throws std::runtime_error or FileError at the first rejected one.
+class RepositoryChecker {
  public:
-  explicit RepositoryCheck(std::string folder) : folder_(std::move(folder)), now_(wall_clock_now()) {}
+  explicit RepositoryChecker(std::string folder) : folder_(std::move(folder)), now_(wall_clock_now()) {}
 
   void run(const std::string& pinned_root) {
     accept(pinned_root, pin_root(read_file(pinned_root, max_file_bytes("root"))));
     update_roots();
-    accept("timestamp.json", update_timestamp(trust_, bytes_of("timestamp.json"), now_));
+    accept("timestamp.json", update_timestamp(trust_, read_bytes("timestamp.json"), now_));
     const std::string snapshot = file_name("snapshot", trust_.timestamp->snapshot.version);
-    accept(snapshot, update_snapshot(trust_, bytes_of(snapshot), now_));
+    accept(snapshot, update_snapshot(trust_, read_bytes(snapshot), now_));
     const std::string targets = file_name("targets", trust_.snapshot->meta.at("targets.json").version);
-    accept(targets, update_targets(trust_, bytes_of(targets), now_));
+    accept(targets, update_targets(trust_, read_bytes(targets), now_));
     check_delegated_by("targets", 0);
     if (const Refusal refusal = check_unexpired(trust_, now_)) throw std::runtime_error(refusal.line());
   }
 
  private:
-  // Until there is no next root (TUF 1.0, section 5.3).
+  // Accepts each root in turn until the folder holds no next one (TUF 1.0, section 5.3).
   void update_roots() {
     for (;;) {
       const std::string next = std::to_string(trust_.root->version + 1) + ".root.json";
       if (!std::filesystem::exists(path_of(next))) return;
-      accept(next, update_root(trust_, bytes_of(next)));
+      accept(next, update_root(trust_, read_bytes(next)));
     }
   }
 
   void check_delegated_by(const std::string& delegator, unsigned depth) {
-    if (depth > kMaxDelegationVisits) throw std::runtime_error(delegator + ": delegations go on and on");
+    if (depth > kMaxDelegationVisits)
+      throw std::runtime_error(delegator + ": delegations are nested more than " +
+                               std::to_string(kMaxDelegationVisits) + " roles deep");
     const auto targets = trust_.targets.at(delegator);
     for (const Delegation& delegation : targets->delegations) {
       for (const DelegatedRole& delegated : delegation.roles)
@@ -60,23 +63,24 @@
   }
 
   void check_delegated(const std::string& delegator, const std::string& role, unsigned depth) {
-    const bool known = trust_.targets.contains(role);
+    const bool was_checked = trust_.targets.contains(role);
     const auto listed = trust_.snapshot->meta.find(role + ".json");
     if (listed == trust_.snapshot->meta.end())
-      throw std::runtime_error(role + ": the snapshot does not list it");
+      throw std::runtime_error(role + ": delegated role is not listed in the snapshot");
     const std::string name = file_name(role, listed->second.version);
-    accept(name, update_delegated_targets(trust_, delegator, role, bytes_of(name), now_));
-    if (!known) check_delegated_by(role, depth + 1);
+    accept(name, update_delegated_targets(trust_, delegator, role, read_bytes(name), now_));
+    if (!was_checked) check_delegated_by(role, depth + 1);
   }
 
   void accept(const std::string& name, TrustUpdate update) {
     if (update.refusal) throw std::runtime_error(name + ": " + update.refusal.line());
     trust_ = std::move(update.trust);
-    std::printf("%s: good\n", name.c_str());
+    std::printf("%s: valid\n", name.c_str());
   }
 
   std::string path_of(const std::string& name) const { return folder_ + "/" + name; }
-  std::string bytes_of(const std::string& name) const { return read_file(path_of(name), kMaxFileBytes); }
+  std::string read_bytes(const std::string& name) const { return read_file(path_of(name), kMaxFileBytes); }
+  // With `consistent_snapshot` a file name begins with the version.
   std::string file_name(const std::string& role, std::int64_t version) const {
     const std::string prefix = trust_.root->consistent_snapshot ? std::to_string(version) + "." : "";
     return prefix + role + ".json";
@@ -87,21 +91,24 @@
   TrustedMetadata trust_;
 };
 
-// The type that a metadata file says it is of. Throws where it is none.
+// Returns the value of `_type` in a metadata file. Throws std::runtime_error if the file is not TUF metadata.
 std::string type_of(const std::string& path, const std::string& bytes) {
   std::string problem;
   const auto node = parse_json(bytes, {}, problem);
   const JsonNode* const signed_part = node ? node->find("signed", JsonNode::Kind::kObject) : nullptr;
   const JsonNode* const type = signed_part ? signed_part->find("_type", JsonNode::Kind::kString) : nullptr;
-  if (!type) throw std::runtime_error(path + ": " + (problem.empty() ? "no metadata" : problem));
+  if (!type)
+    throw std::runtime_error(
+        path + ": " + (problem.empty() ? "not TUF metadata, 'signed' with '_type' is missing" : problem));
   return type->text;
 }
 
+// Prints the threshold and the number of keys of each role that a root lists.
 void print_roles(const MetadataFile& file) {
   Root root;
   if (read_root(file, root)) return;
   for (const auto& [name, role] : root.roles)
-    std::printf("  %s: %lld of %zu keys\n", name.c_str(), static_cast<long long>(role.threshold),
+    std::printf("  %s: threshold %lld of %zu keys\n", name.c_str(), static_cast<long long>(role.threshold),
                 role.keyids.size());
 }
 
@@ -117,7 +124,7 @@
   if (type == "root") print_roles(file);
 }
 
-// The command's exit code: 1 with a line on standard error where it throws.
+// Returns the exit code of `command`: 1, with a line on standard error, if it throws.
 template <class Command>
 int run_command(const Command& command) {
   try {
@@ -136,7 +143,7 @@
 }
 
 int metadata_check(const std::string& root, const std::string& folder) {
-  return run_command([&] { RepositoryCheck(folder).run(root); });
+  return run_command([&] { RepositoryChecker(folder).run(root); });
 }
 
 }  // namespace ashbeam
--- a/src/program/operator_config.cpp
+++ b/src/program/operator_config.cpp
@@ -21,7 +21,7 @@
 constexpr std::size_t kMaxPemBytes = std::size_t{1024} * 1024;
 constexpr std::size_t kMaxRevocationListBytes = 16 * kMaxPemBytes;
 
-calling::Limit limit_of(const Value& value) {
+calling::Limit read_limit(const Value& value) {
   calling::Limit limit;
   if (!value.given()) return limit;
   limit.requests_per_s = value["per_s"].number;
@@ -30,42 +30,43 @@
   return limit;
 }
 
-std::vector<std::string> names_of(const Value& list) {
+std::vector<std::string> read_names(const Value& list) {
   std::vector<std::string> names;
   for (const Value& item : list.items) names.push_back(item.text);
   return names;
 }
 
-calling::SubjectSettings subject_of(const Value& value) {
+calling::SubjectSettings read_subject(const Value& value) {
   calling::SubjectSettings subject;
   subject.name = value["name"].text;
   subject.any_class = !value["path_groups"].given();
-  subject.allowed_classes = names_of(value["path_groups"]);
-  if (value["limit"].given()) subject.limit = limit_of(value["limit"]);
+  subject.allowed_classes = read_names(value["path_groups"]);
+  if (value["limit"].given()) subject.limit = read_limit(value["limit"]);
   return subject;
 }
 
-calling::TenantSettings tenant_of(const Value& value) {
+calling::TenantSettings read_tenant(const Value& value) {
   calling::TenantSettings tenant;
   tenant.name = value["name"].text;
   tenant.issuer = value["issuer"].text;
   tenant.organisation = value["organisation"].text;
   tenant.any_class = !value["path_groups"].given();
-  tenant.allowed_classes = names_of(value["path_groups"]);
-  tenant.tenant_limit = limit_of(value["limit"]);
-  tenant.subject_limit = limit_of(value["each"]);
+  tenant.allowed_classes = read_names(value["path_groups"]);
+  tenant.tenant_limit = read_limit(value["limit"]);
+  tenant.subject_limit = read_limit(value["each"]);
   tenant.only_listed = value["only_listed"].boolean;
-  for (const Value& subject : value["subjects"].items) tenant.subjects.push_back(subject_of(subject));
+  for (const Value& subject : value["subjects"].items) tenant.subjects.push_back(read_subject(subject));
   return tenant;
 }
 
-TlsSettings::ClientCertificates client_certificates_of(const std::string& word) {
-  if (word == "off") return TlsSettings::ClientCertificates::kOff;
-  if (word == "optional") return TlsSettings::ClientCertificates::kOptional;
+TlsSettings::ClientCertificates read_client_certificates(const std::string& mode) {
+  if (mode == "off") return TlsSettings::ClientCertificates::kOff;
+  if (mode == "optional") return TlsSettings::ClientCertificates::kOptional;
   return TlsSettings::ClientCertificates::kRequired;
 }
 
-// The names that the deployment has; without one, whatever the tenants name.
+// Sets the request classes and tenants that the file may name: those of the deployment. Without a deployment,
+// all request classes that the file names are accepted.
 void set_known_names(calling::CallingSettings& settings, const Deployment* deployment) {
   if (deployment) {
     settings.request_classes = deployment->wire.request_classes;
@@ -81,7 +82,8 @@
   }
 }
 
-// Turns one checked file into settings, and gathers what the schema can't say.
+// Converts a file to OperatorConfig. Collects the problems that the schema finds; if there are none, those of
+// the rules that the schema cannot express.
 class ConfigReader {
  public:
   ConfigReader(const std::string& path, const Deployment* deployment)
@@ -108,7 +110,8 @@
     const bool has_certificates = tls.given() && tls["clients"].text != "off";
     if (calling.given() && calling["prove"].text == "required" && !calling["tokens"].given() &&
         !has_certificates) {
-      add_problem(calling, "calling.prove", "tokens or tls.clients, or nobody can prove anything", "neither");
+      add_problem(calling, "calling.prove",
+                  "tokens or tls.clients, because clients could not authenticate otherwise", "neither");
     }
     return config;
   }
@@ -122,7 +125,7 @@
     settings.routers_per_subject = static_cast<std::uint32_t>(value["reach"].number);
     settings.bank = value["bank"].span();
     settings.peak_factor = value["lend"].number;
-    for (const Value& tenant : value["tenants"].items) settings.tenants.push_back(tenant_of(tenant));
+    for (const Value& tenant : value["tenants"].items) settings.tenants.push_back(read_tenant(tenant));
     if (deployment_) {
       settings.router_count = deployment_->router.router_count;
       for (const RequestClass& request_class : deployment_->router.request_classes) {
@@ -131,7 +134,7 @@
     }
     set_known_names(settings, deployment_);
     for (const std::string& problem : calling::find_problems(settings)) {
-      add_problem(value["tenants"], "calling.tenants", "names that fit", problem);
+      add_problem(value["tenants"], "calling.tenants", "valid tenants", problem);
     }
     return config;
   }
@@ -162,20 +165,22 @@
     return config;
   }
 
-  // A prefix is a request class of the deployment, and a path within it.
+  // A prefix consists of a request class of the deployment and a path below it.
   void check_prefix(const Value& value) {
     const std::string& prefix = value.text;
     const std::size_t second_slash = prefix.find('/', 1);
     const bool well_formed = prefix[0] == '/' && second_slash != std::string::npos && prefix.ends_with('/');
     if (!well_formed) {
-      add_problem(value, "metadata.repositories", "a prefix like /look/updates/", records::quoted(prefix));
+      add_problem(value, "metadata.repositories", "a path group and a path below it, like /look/updates/",
+                  records::quoted(prefix));
       return;
     }
     if (!deployment_) return;
     const std::vector<std::string>& known = deployment_->wire.request_classes;
     const std::string request_class = prefix.substr(1, second_slash - 1);
     if (std::find(known.begin(), known.end(), request_class) != known.end()) return;
-    add_problem(value, "metadata.repositories", "a path group at the prefix's head", records::quoted(prefix));
+    add_problem(value, "metadata.repositories", "a path that begins with a path group of the deployment",
+                records::quoted(prefix));
   }
 
   TlsSettings read_tls(const Value& value) {
@@ -190,9 +195,10 @@
     settings.trust = resolve_path(value["trust"]);
     settings.crl = resolve_path(value["crl"]);
     settings.revoked = resolve_path(value["revoked"]);
-    settings.client_certificates = client_certificates_of(value["clients"].text);
+    settings.client_certificates = read_client_certificates(value["clients"].text);
     if (settings.client_certificates != TlsSettings::ClientCertificates::kOff && settings.trust.empty()) {
-      add_problem(value["clients"], "tls.trust", "who signs clients' certificates", "nothing");
+      add_problem(value["clients"], "tls.trust", "the CA certificates that sign client certificates",
+                  "nothing");
     }
     settings.tls13_only = value["oldest"].text == "1.3";
     settings.max_handshakes = static_cast<std::size_t>(value["handshakes"].number);
@@ -202,6 +208,7 @@
     return settings;
   }
 
+  // Returns the path in `value` as resolved against the folder of the file; empty if no path is given.
   std::string resolve_path(const Value& value) const {
     if (value.text.empty()) return {};
     const std::filesystem::path given(value.text);
--- a/src/program/router_limits.cpp
+++ b/src/program/router_limits.cpp
@@ -6,36 +6,43 @@
 
 namespace {
 
-constexpr std::size_t kOwnSockets = 32;  // listeners, discovery, release platform, log, wakeups
+// Reserved for listeners, discovery, the release platform, the log and wakeups.
+constexpr std::size_t kReservedSockets = 32;
 
-// A connection to an endpoint is given up before the endpoint closes it as idle.
+// The router closes an idle connection to an endpoint before the endpoint does: after this fraction of the
+// endpoint's idle timeout.
 constexpr double kEndpointIdleFraction = 0.8;
 
+// Added to the longest client timeout and the accept period, for the shutdown timeout.
 constexpr Duration kShutdownMargin = Duration::ms(250);
 
-// The platform kills a process so long after the stop signal at the earliest.
+// The orchestrator kills the process after the stop signal no earlier than the longest client timeout, but at
+// most kMaxKillWait, plus kKillMargin.
 constexpr Duration kMaxKillWait = Duration::s(3);
 constexpr Duration kKillMargin = Duration::ms(700);
 
-// The first poll of the endpoint list is delayed by a random part of this, so that routers that start
-// together do not fill discovery's queue; a router that is the only one is not delayed.
-constexpr double kInitialPollFraction = 0.4;  // of the interval in which each router polls once
+// The maximum delay of the first poll, as a fraction of the interval in which each router polls once.
+constexpr double kInitialPollFraction = 0.4;
 constexpr Duration kMaxInitialPollDelay = Duration::s(4);
-constexpr double kManyRouters = 10;  // from so many on the delay is full
+// Among this many other routers or more, the delay is not reduced.
+constexpr double kFullDelayRouterCount = 10;
 
+// Returns the maximum of the random delay before the first poll of the endpoint list. The delay keeps routers
+// that start together from filling discovery's queue; the only router of a fleet has no delay.
 Duration max_initial_poll_delay(const RouterSettings& router) {
-  const Duration full = std::min(router.endpoint_poll_interval * kInitialPollFraction, kMaxInitialPollDelay);
-  return full * std::min(1.0, (router.router_count - 1) / kManyRouters);
+  const Duration full_delay =
+      std::min(router.endpoint_poll_interval * kInitialPollFraction, kMaxInitialPollDelay);
+  return full_delay * std::min(1.0, (router.router_count - 1) / kFullDelayRouterCount);
 }
 
 }  // namespace
 
 Limits make_limits(std::size_t max_sockets, const WireSettings& wire, const RouterSettings& router) {
   Limits limits;
-  // A request in flight holds a connection of either kind.
-  const std::size_t connections_of_each_kind = (max_sockets - kOwnSockets) / 2;
-  limits.max_client_connections = connections_of_each_kind;
-  limits.max_endpoint_connections = connections_of_each_kind;
+  // A request in flight uses one client connection and one endpoint connection.
+  const std::size_t connections_per_kind = (max_sockets - kReservedSockets) / 2;
+  limits.max_client_connections = connections_per_kind;
+  limits.max_endpoint_connections = connections_per_kind;
   limits.max_idle_client_connections = max_sockets / 8;
   limits.connect_timeout = wire.connect_timeout;
   limits.endpoint_idle_timeout =
--- a/src/program/router_limits.hpp
+++ b/src/program/router_limits.hpp
@@ -1,4 +1,4 @@
-// The program's limits, as far as they follow from the machine and the deployment's settings.
+// Derives the router's limits and timeouts from the available sockets and the deployment's settings.
 #pragma once
 #include <cstddef>
 
@@ -8,7 +8,8 @@
 
 namespace ashbeam {
 
-// `max_sockets`: what the process may have open, at least 64.
+// Returns the defaults of Limits with the values that the parameters determine. `max_sockets` is the number
+// of sockets that the process may have open; it must be at least 64.
 Limits make_limits(std::size_t max_sockets, const WireSettings& wire, const RouterSettings& router);
 
 }  // namespace ashbeam
--- a/src/program/serve.cpp
+++ b/src/program/serve.cpp
@@ -1,4 +1,5 @@
-// `ashbeam serve`: one router, from its configuration to the signal that stops it.
+// Implements `ashbeam serve`: runs one router until SIGTERM or SIGINT. SIGHUP reloads the configuration and
+// the operator file, SIGUSR1 enables or disables the detail log.
 #include <Poco/ErrorHandler.h>
 #include <Poco/Exception.h>
 #include <spdlog/spdlog.h>
@@ -25,38 +26,43 @@
 
 namespace {
 
-// Topics of detailed log lines from the start, see DetailLog; SIGUSR1 switches all of them on and off in
-// service.
+// The environment variable with the topics of the detail log that are enabled at startup, see DetailLog.
+// SIGUSR1 enables all topics, or disables them, while the router runs.
 constexpr const char* kDetailLogVariable = "ASHBEAM_LOG";
 constexpr Duration kSignalPollInterval = Duration::ms(20);
 constexpr std::size_t kMinSockets = 64;
 
-// Set by signal handlers, cleared by the event loop.
+// Set by the signal handlers and cleared on the event loop.
 volatile std::sig_atomic_t stop_requested = 0;
 volatile std::sig_atomic_t reload_requested = 0;
-volatile std::sig_atomic_t detail_log_requested = 0;
+volatile std::sig_atomic_t detail_log_toggle_requested = 0;
 
-bool take_request(volatile std::sig_atomic_t& request) {
-  const bool requested = request != 0;
-  if (requested) request = 0;
-  return requested;
+// Returns whether `flag` is set, and clears it.
+bool consume_flag(volatile std::sig_atomic_t& flag) {
+  const bool is_set = flag != 0;
+  if (is_set) flag = 0;
+  return is_set;
 }
 
 void install_signal_handlers() {
   std::signal(SIGPIPE, SIG_IGN);
   for (const int signal : {SIGTERM, SIGINT}) std::signal(signal, [](int) { stop_requested = 1; });
-  std::signal(SIGUSR1, [](int) { detail_log_requested = 1; });
+  std::signal(SIGUSR1, [](int) { detail_log_toggle_requested = 1; });
   std::signal(SIGHUP, [](int) { reload_requested = 1; });
 }
 
-// Logs what callbacks of the event loop throw, so that no exception ends the loop.
+// Logs exceptions that callbacks of the event loop throw, so that they do not end the loop.
 class LoopErrorLog : public Poco::ErrorHandler {
  public:
   void exception(const Poco::Exception& error) override {
-    spdlog::error("exception: {}", error.displayText());
+    spdlog::error("event loop: exception in a callback, event loop continues: {}", error.displayText());
+  }
+  void exception(const std::exception& error) override {
+    spdlog::error("event loop: exception in a callback, event loop continues: {}", error.what());
+  }
+  void exception() override {
+    spdlog::error("event loop: exception of unknown type in a callback, event loop continues");
   }
-  void exception(const std::exception& error) override { spdlog::error("exception: {}", error.what()); }
-  void exception() override { spdlog::error("exception of an unknown kind"); }
 };
 
 void log_line(std::string_view line) { spdlog::info("{}", line); }
@@ -65,13 +71,15 @@
   return read_startup_configuration([](const char* name) -> const char* { return std::getenv(name); });
 }
 
-// The machine may grant fewer descriptors than the configuration says.
+// Returns the number of sockets that the process may use: the configured number, but no more than its limit
+// of file descriptors. That limit counts as kMinSockets if it is lower.
 std::size_t available_sockets(std::size_t configured) {
   rlimit descriptors{};
   if (::getrlimit(RLIMIT_NOFILE, &descriptors) != 0) return configured;
   return std::min<std::size_t>(configured, std::max<rlim_t>(descriptors.rlim_cur, kMinSockets));
 }
 
+// Reads the settings, and logs a warning for each value that was replaced.
 RouterSettings read_settings_and_log_warnings(const SettingsMap& settings) {
   std::vector<std::string> warnings;
   RouterSettings router = read_router_settings(settings, &warnings);
@@ -79,10 +87,10 @@
   return router;
 }
 
-// A router's process between its start and its end.
-class Process {
+// A router with its configuration, event loop and signal handling.
+class RouterProcess {
  public:
-  explicit Process(const ServeOptions& options)
+  explicit RouterProcess(const ServeOptions& options)
       : configuration_(read_configuration()),
         router_settings_(read_settings_and_log_warnings(configuration_.settings)),
         wire_settings_(read_wire_settings(configuration_.settings)),
@@ -95,60 +103,62 @@
                                              options.operator_file, configuration_.instance.seed, log_line);
   }
 
+  // Serves until a stop signal, and then until the shutdown is complete.
   void run() {
     const char* const topics = std::getenv(kDetailLogVariable);
     service_.detail_log().enable(topics ? topics : "");
     service_.start();
-    spdlog::info("{} serves at {}: {} request classes, router {} of {}", configuration_.instance.name,
-                 configuration_.instance.listen_address, router_settings_.request_classes.size(),
-                 router_settings_.router_index, router_settings_.router_count);
+    spdlog::info("router {}: started, listening at {}; {} request classes, router index {} of {} routers",
+                 configuration_.instance.name, configuration_.instance.listen_address,
+                 router_settings_.request_classes.size(), router_settings_.router_index,
+                 router_settings_.router_count);
     signal_timer_.schedule_after(Duration());
     loop_.run();
-    spdlog::info("stopped");
+    spdlog::info("router {}: stopped", configuration_.instance.name);
   }
 
  private:
   void handle_signals() {
-    signal_timer_.schedule_after(
-        kSignalPollInterval);  // first: what follows may throw, and the next signal still counts
-    if (take_request(stop_requested)) stop();
-    if (take_request(detail_log_requested)) toggle_detail_log();
-    if (take_request(reload_requested)) reload();
+    // Scheduled first, because the following calls may throw and later signals must still be handled.
+    signal_timer_.schedule_after(kSignalPollInterval);
+    if (consume_flag(stop_requested)) stop();
+    if (consume_flag(detail_log_toggle_requested)) toggle_detail_log();
+    if (consume_flag(reload_requested)) reload();
   }
 
   void stop() {
-    spdlog::info("stop signal received");
+    spdlog::info("router {}: stop signal received, shutting down", configuration_.instance.name);
     service_.shut_down([this] { loop_.stop(); });
   }
 
   void toggle_detail_log() {
     DetailLog& detail = service_.detail_log();
     detail.enable(detail.is_enabled() ? "" : "all");
-    spdlog::info("detailed lines {}", detail.is_enabled() ? "on" : "off");
+    spdlog::info("detail log: all topics {}", detail.is_enabled() ? "enabled" : "disabled");
   }
 
   void reload() {
     if (service_.shutting_down()) {
-      spdlog::info("configuration not read again: shutting down");
+      spdlog::info("configuration: reload skipped, router is shutting down");
       return;
     }
     reload_configuration();
     if (access_loader_) access_loader_->reload();
   }
 
-  // The configuration is read and checked as a whole before anything of it counts.
+  // Reads and checks the whole configuration before it applies the addresses. Other changes need a restart.
   void reload_configuration() {
     try {
       const StartupConfiguration next = read_configuration();
       read_router_settings(next.settings);
       read_wire_settings(next.settings);
       service_.change_addresses(next.instance.discovery_address, next.instance.release_platform_address);
-      const bool same_settings = next.settings == configuration_.settings;
-      spdlog::info("configuration read again: discovery {}, release platform {}{}",
+      const bool settings_unchanged = next.settings == configuration_.settings;
+      spdlog::info("configuration: reloaded, discovery {}, release platform {}{}",
                    next.instance.discovery_address, next.instance.release_platform_address,
-                   same_settings ? "" : "; other settings count from the next start");
+                   settings_unchanged ? "" : "; changed settings take effect at the next start");
     } catch (const std::exception& error) {
-      spdlog::error("configuration can't be used, the old one stands: {}", error.what());
+      spdlog::error("configuration: reload failed, former configuration stays in force: {}", error.what());
     }
   }
 
@@ -158,7 +168,7 @@
   Limits limits_;
   EventLoop loop_;
   Service service_;
-  std::unique_ptr<AccessConfigLoader> access_loader_;  // null where no operator's file is named
+  std::unique_ptr<AccessConfigLoader> access_loader_;  // null without an operator file
   Timer signal_timer_;
 };
 
@@ -172,7 +182,7 @@
   if (options.json_log) spdlog::set_formatter(std::make_unique<JsonLineFormatter>());
   else spdlog::set_pattern("%Y-%m-%dT%H:%M:%S.%e %l %v");
   try {
-    Process(options).run();
+    RouterProcess(options).run();
     return 0;
   } catch (const Poco::Exception& error) {
     std::fprintf(stderr, "ashbeam: %s\n", error.displayText().c_str());
--- a/src/program/startup_configuration.cpp
+++ b/src/program/startup_configuration.cpp
@@ -20,9 +20,10 @@
 constexpr double kMaxSockets = 1e6;
 constexpr int kSeedBase = 16;
 
-// A plain value, as text.
-std::string plain_text(const Json& value) { return value.text().value_or(std::string(value.raw())); }
+// Returns a string without its quotes, and any other value as it stands in the JSON text.
+std::string scalar_text(const Json& value) { return value.text().value_or(std::string(value.raw())); }
 
+// Adds `value` to `settings` under `key`; members and items of `value` get keys below it.
 void flatten(SettingsMap& settings, const std::string& key, const Json& value);
 
 void flatten_list(SettingsMap& settings, const std::string& key, const std::string& prefix,
@@ -35,7 +36,7 @@
       has_objects = true;
       flatten(settings, prefix + std::to_string(count), item);
     } else {
-      joined.append(count > 0 ? "," : "").append(sanitize_name(plain_text(item)));
+      joined.append(count > 0 ? "," : "").append(sanitize_name(scalar_text(item)));
     }
     ++count;
   });
@@ -51,29 +52,33 @@
   } else if (value.is_array()) {
     flatten_list(settings, key, prefix, value);
   } else {
-    settings.put(key, sanitize_name(plain_text(value)));
+    settings.put(key, sanitize_name(scalar_text(value)));
   }
 }
 
-std::uint64_t parse_seed(const std::optional<Json>& given) {
-  const std::string text = given ? plain_text(*given) : "";
+std::uint64_t parse_seed(const std::optional<Json>& value) {
+  const std::string text = value ? scalar_text(*value) : "";
   const char* const last = text.data() + text.size();
   std::uint64_t seed = 0;
   const auto [end, error] = std::from_chars(text.data(), last, seed, kSeedBase);
-  if (error != std::errc() || end != last) throw ConfigurationError("configuration: 'seed' is no seed");
+  if (error != std::errc() || end != last)
+    throw ConfigurationError(
+        "configuration: 'seed' is missing or not a hexadecimal number of at most 64 bits");
   return seed;
 }
 
+// Throws ConfigurationError if `address` is neither empty nor a numeric address and port.
 void check_address(const char* key, const std::string& address) {
   if (address.empty() || is_numeric_address(address)) return;
-  throw ConfigurationError(std::string("configuration: '") + key + "' is no numeric address");
+  throw ConfigurationError(std::string("configuration: '") + key + "' is '" + address +
+                           "', expected a numeric address and port");
 }
 
 std::string read_whole_file(const std::string& path) {
   std::ifstream file(path, std::ios::binary);
   std::ostringstream text;
   if (!file || !(text << file.rdbuf())) {
-    throw ConfigurationError("PROXY_CONFIG: '" + path + "' can't be read");
+    throw ConfigurationError("PROXY_CONFIG: file '" + path + "' cannot be read");
   }
   return text.str();
 }
@@ -90,10 +95,11 @@
   const auto file = Json::parse(text);
   if (!file || !file->is_object()) throw ConfigurationError("configuration: not a JSON object");
   const auto settings = file->member("settings");
-  if (!settings || !settings->is_object()) throw ConfigurationError("configuration: 'settings' is missing");
+  if (!settings || !settings->is_object())
+    throw ConfigurationError("configuration: 'settings' is missing or not an object");
   const auto platform = file->member("release_api");
   if (!platform || platform->text("address").empty()) {
-    throw ConfigurationError("configuration: 'release_api.address' is missing");
+    throw ConfigurationError("configuration: 'release_api.address' is missing or empty");
   }
   instance.seed = parse_seed(file->member("seed"));
   instance.release_platform_address = platform->text("address");
@@ -114,10 +120,11 @@
   return configuration;
 }
 
-StartupConfiguration read_startup_configuration(const char* (*variable)(const char*)) {
-  const auto required = [variable](const char* name) {
-    const char* const value = variable(name);
-    if (!value || !*value) throw ConfigurationError(std::string(name) + " is not set");
+StartupConfiguration read_startup_configuration(const char* (*get_variable)(const char*)) {
+  const auto required = [get_variable](const char* name) {
+    const char* const value = get_variable(name);
+    if (!value || !*value)
+      throw ConfigurationError("environment variable " + std::string(name) + " is not set or empty");
     return std::string(value);
   };
   InstanceSettings instance;
--- a/src/program/startup_configuration.hpp
+++ b/src/program/startup_configuration.hpp
@@ -1,5 +1,5 @@
-// What the machine gives the program at its start: environment variables, and the configuration file (JSON)
-// that one of them names. The keys of both are wire names and stand in the implementation alone.
+// Reads the configuration of a router at startup: environment variables, and the JSON file whose path is in
+// one of them. The deployment platform defines the names of both; only startup_configuration.cpp uses them.
 #pragma once
 #include <cstddef>
 #include <stdexcept>
@@ -11,25 +11,27 @@
 
 namespace ashbeam {
 
-// One plain line that says what is missing or malformed.
+// Thrown when the configuration is invalid. The message is one line that names the missing or malformed item.
 struct ConfigurationError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
 struct StartupConfiguration {
   InstanceSettings instance;
-  SettingsMap settings;
+  SettingsMap settings;  // of the deployment
+  // Maximum number of sockets that the process may have open.
   std::size_t max_sockets = 1024;
 };
 
-// Reads the variables by `variable`, which is null for one that is not set, and the file. Throws
-// ConfigurationError.
-StartupConfiguration read_startup_configuration(const char* (*variable)(const char*));
-// Reads the file's text; what it says of the instance goes over what `instance` says. Throws
+// Reads the environment variables and the configuration file. `get_variable` returns the value of the
+// variable with the given name, or null if it is not set. Throws ConfigurationError.
+StartupConfiguration read_startup_configuration(const char* (*get_variable)(const char*));
+// Parses the text of a configuration file. Values of the file replace those of `instance`. Throws
 // ConfigurationError.
 StartupConfiguration parse_startup_configuration(std::string_view text, InstanceSettings instance);
 
-// The settings of an object as a flat map, see SettingsMap.
+// Converts a JSON object to a flat map with dotted keys, see SettingsMap. Spaces and commas in texts are
+// replaced by underscores (see sanitize_name).
 SettingsMap flatten_settings(const Json& settings);
 
 }  // namespace ashbeam
--- a/src/terms/router_settings_reader.cpp
+++ b/src/terms/router_settings_reader.cpp
@@ -15,18 +15,20 @@
 namespace keys = setting_keys;
 namespace values = setting_values;
 
-constexpr double kMaxRouters = 1 << 20;
-constexpr double kNeverPolledMs = 1e9;
+constexpr double kMaxRouterCount = 1 << 20;
+// 11.6 days: if the interval is not set, the endpoint list is in practice never polled.
+constexpr double kDefaultEndpointPollIntervalMs = 1e9;
 constexpr double kDefaultBakeTimeMs = 2000;
 constexpr double kDefaultVoteAnswerTimeoutMs = 2000;
 constexpr double kDefaultPlatformCallsPerS = 10;
 
 Idempotency read_idempotency(const SettingsMap& settings, const std::string& key) {
-  const std::string effect = settings.text(key);
-  if (effect == values::kIdempotent) return Idempotency::kIdempotent;
-  if (effect == values::kKeyed) return Idempotency::kKeyed;
-  if (effect == values::kUnsafe) return Idempotency::kUnsafe;
-  throw SettingsError("settings: '" + key + "' is unknown: '" + effect + "'");
+  const std::string idempotency = settings.text(key);
+  if (idempotency == values::kIdempotent) return Idempotency::kIdempotent;
+  if (idempotency == values::kKeyed) return Idempotency::kKeyed;
+  if (idempotency == values::kUnsafe) return Idempotency::kUnsafe;
+  throw SettingsError("settings: '" + key + "' is '" + idempotency + "', expected '" + values::kIdempotent +
+                      "', '" + values::kKeyed + "' or '" + values::kUnsafe + "'");
 }
 
 IdempotencyScope read_scope(const SettingsMap& settings, const std::string& key) {
@@ -55,7 +57,7 @@
   for (std::uint32_t index = 0; index < count; ++index) {
     router.request_classes.push_back(read_request_class(settings, index));
   }
-  if (count == 0) throw SettingsError("settings: '" + count_key + "' is 0");
+  if (count == 0) throw SettingsError("settings: '" + count_key + "' is 0, expected at least 1");
 }
 
 void read_tenants(const SettingsMap& settings, RouterSettings& router) {
@@ -64,35 +66,40 @@
     const std::string key = list_item_key(keys::kTenants, index, keys::kTenantQuotaPerS);
     router.tenant_quota_per_s.push_back(settings.number(key, 0));
   }
-  // One more, without a quota, for whoever is none of them: no name may bring more than its settings give.
+  // The last entry is a quota of 0 for requests of tenants that are not in the list: sending an unknown
+  // tenant name must not yield a larger quota than the settings grant.
   if (count > 0) router.tenant_quota_per_s.push_back(0);
   router.over_quota_weight = settings.number(keys::kOverQuotaWeight, 1);
 }
 
-// A number of routers that can't be is read as the most that the rest of the settings speak of: each router
-// divides by it what all together may send to an endpoint that warms up, and one that takes itself for the
-// only one would send it all.
+// Returns the number of routers. An implausible number is replaced by the largest number of routers that the
+// other settings imply, with a warning. The reason: all routers together may send a limited load to an
+// endpoint in slow start, and each router divides this load by the number of routers. A router that takes
+// itself for the only one would send the full load.
 std::uint32_t read_router_count(const SettingsMap& settings, std::vector<std::string>& warnings) {
-  const double given = settings.number(keys::kRouterCount, 0);
-  const double at_least =
+  const double configured = settings.number(keys::kRouterCount, 0);
+  const double min_count =
       std::max({settings.number(keys::kRouterIndex, 0) + 1, settings.number(keys::kPromoteVotesNeeded, 1),
                 settings.number(keys::kAbortVotesNeeded, 1), 1.0});
-  const bool plausible = given >= at_least && given <= kMaxRouters;  // false for a NaN
-  if (plausible) return static_cast<std::uint32_t>(given);
-  const double assumed = std::min(std::max(at_least, given > 0 ? given : 0), kMaxRouters);
-  const auto count = static_cast<std::uint32_t>(assumed);
-  warnings.push_back("settings: '" + std::string(keys::kRouterCount) + "' is " +
-                     settings.text(keys::kRouterCount, "missing") + ", read as " + std::to_string(count) +
-                     ": by own number and votes needed there are so many");
+  // A NaN is not plausible, because each comparison with it is false.
+  const bool is_plausible = configured >= min_count && configured <= kMaxRouterCount;
+  if (is_plausible) return static_cast<std::uint32_t>(configured);
+  const double replacement = std::min(std::max(min_count, configured > 0 ? configured : 0), kMaxRouterCount);
+  const auto count = static_cast<std::uint32_t>(replacement);
+  warnings.push_back(
+      "settings: '" + std::string(keys::kRouterCount) + "' is " +
+      settings.text(keys::kRouterCount, "missing") + ", expected at least '" + keys::kRouterIndex +
+      "' + 1, '" + keys::kPromoteVotesNeeded + "' and '" + keys::kAbortVotesNeeded + "', and at most " +
+      std::to_string(static_cast<std::uint32_t>(kMaxRouterCount)) + "; using " + std::to_string(count));
   return count;
 }
 
 void read_fleet(const SettingsMap& settings, RouterSettings& router, std::vector<std::string>& warnings) {
-  const auto length_of = [&settings](const char* key) {
+  const auto count_items = [&settings](const char* key) {
     return std::max<std::uint32_t>(1, static_cast<std::uint32_t>(settings.text_list(key).size()));
   };
-  router.zone_count = length_of(keys::kZones);
-  router.machine_type_count = length_of(keys::kMachineTypes);
+  router.zone_count = count_items(keys::kZones);
+  router.machine_type_count = count_items(keys::kMachineTypes);
   router.zone = settings.count(keys::kZone, 0);
   router.router_count = read_router_count(settings, warnings);
   router.router_index = settings.count(keys::kRouterIndex, 0);
@@ -110,7 +117,8 @@
 
 void read_endpoint_rules(const SettingsMap& settings, RouterSettings& router) {
   router.drain_grace = settings.duration(keys::kDrainGraceMs);
-  router.endpoint_poll_interval = settings.duration(keys::kEndpointPollIntervalMs, kNeverPolledMs);
+  router.endpoint_poll_interval =
+      settings.duration(keys::kEndpointPollIntervalMs, kDefaultEndpointPollIntervalMs);
   router.slow_start_window = settings.duration(keys::kSlowStartWindowMs);
   router.overload_multiple = settings.number(keys::kOverloadMultiple);
   router.initial_capacity = settings.number(keys::kInitialCapacity);
@@ -123,7 +131,8 @@
 void read_release_rules(const SettingsMap& settings, RouterSettings& router) {
   router.exposure_caps = settings.number_list(keys::kExposureCaps);
   if (router.exposure_caps.empty()) {
-    throw SettingsError("settings: '" + std::string(keys::kExposureCaps) + "' is missing");
+    throw SettingsError("settings: '" + std::string(keys::kExposureCaps) +
+                        "' is missing or empty, expected one exposure cap per stage");
   }
   router.stage_fractions = settings.number_list(keys::kStageFractions);
   router.exposure_per_class =
@@ -138,10 +147,11 @@
 }
 
 double read_platform_calls_per_s(const SettingsMap& settings, std::vector<std::string>& warnings) {
-  const double given = settings.number(keys::kPlatformCallsPerS, kDefaultPlatformCallsPerS);
-  if (given > 0) return given;
+  const double configured = settings.number(keys::kPlatformCallsPerS, kDefaultPlatformCallsPerS);
+  if (configured > 0) return configured;
   warnings.push_back("settings: '" + std::string(keys::kPlatformCallsPerS) + "' is " +
-                     settings.text(keys::kPlatformCallsPerS) + ", read as 1");
+                     settings.text(keys::kPlatformCallsPerS) +
+                     ", expected more than 0 calls per second; using 1");
   return 1;
 }
 
--- a/src/terms/setting_keys.hpp
+++ b/src/terms/setting_keys.hpp
@@ -1,10 +1,12 @@
-// The keys of the deployment's settings, and the words that some of their values are. They are wire names,
-// which stand in src/terms/ alone; the rest of the program uses the terms on their left.
+// The keys of the deployment's settings, and the values of the settings that are enumerations. The deployment
+// platform defines these texts, so they must not change. Only src/terms/ uses them; the rest of the program
+// uses the fields of RouterSettings and WireSettings, where each setting is documented. A suffix gives the
+// unit: Ms for milliseconds, PerS for a rate per second.
 #pragma once
 
 namespace ashbeam::setting_keys {
 
-// Request classes: a list of objects, keys of each below.
+// Request classes: a list of objects, followed by the fields of each object.
 constexpr const char* kRequestClasses = "grades";
 constexpr const char* kClassIdempotency = "effect";
 constexpr const char* kClassScope = "group";
@@ -14,16 +16,17 @@
 constexpr const char* kClassPriorityWeight = "worth";
 constexpr const char* kClassLatePriorityWeight = "lateWorth";
 
-// Tenants: a list of objects, keys of each below.
+// Tenants: a list of objects, followed by the field of each object.
 constexpr const char* kTenants = "parties";
 constexpr const char* kTenantQuotaPerS = "allowancePerS";
+// A setting of the deployment, not of one tenant.
 constexpr const char* kOverQuotaWeight = "overShareWorth";
 
-// Of an item of a list of objects: its name; of the list: the number of its items.
+// The field with the name of an object in a list, and the suffix of the key with the length of a list.
 constexpr const char* kName = "name";
 constexpr const char* kCount = "count";
 
-// The fleet and this router's place in it.
+// The fleet of routers, and the zone and index of this router.
 constexpr const char* kZones = "zones";
 constexpr const char* kMachineTypes = "kinds";
 constexpr const char* kZone = "zone";
@@ -31,7 +34,7 @@
 constexpr const char* kRouterIndex = "myNumber";
 constexpr const char* kLoadReportColumns = "stats.columns";
 
-// What the platform allows.
+// What the deployment platform permits the router to do.
 constexpr const char* kDiscoveryMode = "discovery";
 constexpr const char* kMayCancel = "allowed.cancel";
 constexpr const char* kMayHedge = "allowed.secondCopies";
@@ -63,7 +66,7 @@
 constexpr const char* kExposureAllowance = "familyInfo.spareTries";
 constexpr const char* kExposureWindowMs = "familyInfo.spanMs";
 
-// Votes and evidence.
+// Votes of the routers on releases, and the outcome samples that the votes are based on.
 constexpr const char* kVoteTtlMs = "familyInfo.ballotTtlMs";
 constexpr const char* kBakeTimeMs = "familyInfo.bakeMs";
 constexpr const char* kSampleIntervalMs = "familyInfo.tallyEveryMs";
@@ -78,24 +81,24 @@
 
 namespace ashbeam::setting_values {
 
-// kClassIdempotency
+// Values of kClassIdempotency.
 constexpr const char* kIdempotent = "idempotent";
 constexpr const char* kKeyed = "deduplicated";
 constexpr const char* kUnsafe = "at_most_once";
-// kClassScope
+// Values of kClassScope.
 constexpr const char* kScopeAll = "all";
 constexpr const char* kScopeZone = "zone";
 constexpr const char* kScopeCell = "cell";
-// kDiscoveryMode
+// Values of kDiscoveryMode.
 constexpr const char* kDiscoveryAutomatic = "automatic";
 constexpr const char* kDiscoverySubscribe = "subscribe";
-// kExposureCounting
+// Values of kExposureCounting.
 constexpr const char* kCountedTogether = "all";
 constexpr const char* kCountedPerClass = "per_lane";
-// kPromotedBy
+// Values of kPromotedBy. Each value but kPromotedByClock means that the routers' votes promote a release.
 constexpr const char* kPromotedBySingleVote = "single";
 constexpr const char* kPromotedByClock = "clocked";
-// kReleaseStyle
+// Values of kReleaseStyle.
 constexpr const char* kSideBySide = "side_by_side";
 constexpr const char* kRolling = "rolling";
 
--- a/tests/records_test.cpp
+++ b/tests/records_test.cpp
@@ -162,12 +162,11 @@
 }
 
 TEST(OperatorsFile, WhatContradictsItselfIsRefused) {
-  EXPECT_EQ(
-      operator_file_problems("calling: {prove: \"required\"}"),
-      "o.cue:1:10: calling.prove: wanted tokens or tls.clients, or nobody can prove anything, found neither");
-  EXPECT_EQ(
-      operator_file_problems("calling: {tenants: [{name: \"a\", path_groups: [\"lok\"]}]}"),
-      "o.cue:1:20: calling.tenants: wanted names that fit, found tenant a: no path group is called lok");
+  EXPECT_EQ(operator_file_problems("calling: {prove: \"required\"}"),
+            "o.cue:1:10: calling.prove: wanted tokens or tls.clients, because clients could not authenticate "
+            "otherwise, found neither");
+  EXPECT_EQ(operator_file_problems("calling: {tenants: [{name: \"a\", path_groups: [\"lok\"]}]}"),
+            "o.cue:1:20: calling.tenants: wanted valid tenants, found tenant a: no path group is called lok");
   EXPECT_NE(operator_file_problems("calling: {tenants: [{name: \"a\"}, {name: \"a\"}]}").find("stands twice"),
             std::string::npos);
   EXPECT_NE(operator_file_problems(
--- a/tests/router_settings_reader_test.cpp
+++ b/tests/router_settings_reader_test.cpp
@@ -1,4 +1,4 @@
-// How the deployment's settings are read: counts that can't be right, and tenants.
+// Converting the deployment's settings to RouterSettings: implausible counts, and quotas of tenants.
 #include "terms/router_settings_reader.hpp"
 
 #include <gtest/gtest.h>
@@ -15,12 +15,13 @@
     "rules.warmAfterMs=4000.0\nfamilyInfo.mostShares=0.1,1.0\nfamilyInfo.spanMs=2000.0\n"
     "familyInfo.ballotTtlMs=6000.0\n";
 
-// A router that wrongly takes itself for one of few would send endpoints that warm up what all together may.
-TEST(RouterSettingsReader, ImplausibleCountsAreReadSafelyAndReportedOnce) {
-  const auto read = [](const std::string& more, std::size_t warning_count) {
+// Each router sends an endpoint in slow start its part of the load that all routers together may send. A
+// router with too small a number of routers would overload the endpoint.
+TEST(RouterSettingsReader, ReplacesImplausibleCountsBySafeValuesWithOneWarningEach) {
+  const auto read = [](const std::string& lines, std::size_t warning_count) {
     std::vector<std::string> warnings;
-    RouterSettings settings = read_router_settings(SettingsMap(kSettings + more), &warnings);
-    EXPECT_EQ(warnings.size(), warning_count) << more;
+    RouterSettings settings = read_router_settings(SettingsMap(kSettings + lines), &warnings);
+    EXPECT_EQ(warnings.size(), warning_count) << lines;
     return settings;
   };
   EXPECT_EQ(read("replicasOfMe=300\nmyNumber=299\nfamilyInfo.onVotes=118\n", 0).router_count, 300u);
@@ -32,10 +33,12 @@
   EXPECT_EQ(read("replicasOfMe=2\nfamilyInfo.callsPerS=0\n", 1).platform_calls_per_s, 1);
 }
 
-// Whoever is no tenant of the settings has no quota, and no other tenant's.
-TEST(RouterSettingsReader, ThereIsAnEntryWithoutAQuotaForWhoeverIsNoTenant) {
-  const std::string two = "parties.count=2\nparties.0.name=x\nparties.0.allowancePerS=9\nparties.1.name=y\n";
-  EXPECT_EQ(read_router_settings(SettingsMap(kSettings + two)).tenant_quota_per_s,
+// A request of a tenant that the settings do not list must not get a quota, in particular not another
+// tenant's.
+TEST(RouterSettingsReader, AppendsQuotaOfZeroForUnknownTenants) {
+  const std::string two_tenants =
+      "parties.count=2\nparties.0.name=x\nparties.0.allowancePerS=9\nparties.1.name=y\n";
+  EXPECT_EQ(read_router_settings(SettingsMap(kSettings + two_tenants)).tenant_quota_per_s,
             (std::vector<double>{9, 0, 0}));
   EXPECT_TRUE(read_router_settings(SettingsMap(kSettings + std::string("parties.count=0\n")))
                   .tenant_quota_per_s.empty());
--- a/tests/signals_test.cpp
+++ b/tests/signals_test.cpp
@@ -1,5 +1,6 @@
-// The program itself, and its signals: which come between two of its looks at them is forced by
-// stopping it.
+// The program as a child process, and how it handles SIGHUP, SIGTERM and SIGINT. The program polls for
+// signals. A test stops the process (SIGSTOP) while it sends several signals, so that they all arrive between
+// two polls.
 #include <sys/wait.h>
 
 #include <csignal>
@@ -12,10 +13,10 @@
 
 class SignalsTest : public testing::Test {
  protected:
-  std::string at_ = FakeListener().address();
-  int log_ = -1;
+  std::string listen_address_ = FakeListener().address();
+  int output_ = -1;  // the read end of a pipe from the child's standard output
   pid_t pid_ = -1;
-  std::string text_;
+  std::string log_;  // read from output_ so far
 
   void SetUp() override {
     int pipe[2];
@@ -26,67 +27,70 @@
       ::dup2(pipe[1], STDOUT_FILENO);
       ::close(pipe[0]);
       ::setenv("PROXY_NAME", "n0", 1);
-      ::setenv("PROXY_LISTEN", at_.c_str(), 1);
+      ::setenv("PROXY_LISTEN", listen_address_.c_str(), 1);
       ::setenv("PROXY_DISCOVERY", "127.0.0.1:1", 1);
       ::setenv("PROXY_CONFIG", ASHBEAM_EXAMPLE, 1);
       ::execl(ASHBEAM_PROGRAM, ASHBEAM_PROGRAM, nullptr);
       ::_exit(127);
     }
     ::close(pipe[1]);
-    log_ = pipe[0];
-    ASSERT_TRUE(says("serves at"));
+    output_ = pipe[0];
+    ASSERT_TRUE(wait_for_log("started, listening at"));
   }
   void TearDown() override {
     if (pid_ > 0) ::kill(pid_, SIGKILL), ::waitpid(pid_, nullptr, 0);
-    ::close(log_);
+    ::close(output_);
   }
-  bool says(const std::string& words) {  // in the log, within a while
-    for (int i = 0; i < 100 && text_.find(words) == std::string::npos; ++i) {
-      pollfd in{log_, POLLIN, 0};
-      char some[4096];
-      const auto n = ::poll(&in, 1, 50) == 1 ? ::read(log_, some, sizeof some) : -1;
-      if (n > 0) text_.append(some, static_cast<std::size_t>(n));
-      if (n == 0) break;
+  // Returns whether `text` appears in the log within 5 s.
+  bool wait_for_log(const std::string& text) {
+    for (int i = 0; i < 100 && log_.find(text) == std::string::npos; ++i) {
+      pollfd in{output_, POLLIN, 0};
+      char buffer[4096];
+      const auto length = ::poll(&in, 1, 50) == 1 ? ::read(output_, buffer, sizeof buffer) : -1;
+      if (length > 0) log_.append(buffer, static_cast<std::size_t>(length));
+      if (length == 0) break;
     }
-    return text_.find(words) != std::string::npos;
+    return log_.find(text) != std::string::npos;
   }
-  bool ends() {  // by itself and well
-    EXPECT_TRUE(says("stopped"));
+  // Returns whether the program exits with code 0, after it has logged its end.
+  bool exits_with_success() {
+    EXPECT_TRUE(wait_for_log("stopped"));
     int status = -1;
-    const bool ended = ::waitpid(std::exchange(pid_, -1), &status, 0) > 0;
-    return ended && WIFEXITED(status) && WEXITSTATUS(status) == 0;
+    const bool has_exited = ::waitpid(std::exchange(pid_, -1), &status, 0) > 0;
+    return has_exited && WIFEXITED(status) && WEXITSTATUS(status) == 0;
   }
-  void together(std::initializer_list<int> signals) {  // before it looks again
+  // Sends all signals between two polls of the program.
+  void send_at_once(std::initializer_list<int> signals) {
     ::kill(pid_, SIGSTOP);
     ::waitpid(pid_, nullptr, WUNTRACED);
-    for (const int one : signals) ::kill(pid_, one);
+    for (const int signal : signals) ::kill(pid_, signal);
     ::kill(pid_, SIGCONT);
   }
 };
 
-TEST_F(SignalsTest, ToReadAgainAndToStopAtOnceItStops) {
-  together({SIGHUP, SIGTERM});
-  EXPECT_TRUE(ends());
-  EXPECT_NE(text_.find("configuration not read again: shutting down"), std::string::npos) << text_;
-  EXPECT_EQ(text_.find("configuration read again"), std::string::npos);
+TEST_F(SignalsTest, SkipsReloadIfSighupArrivesWithSigterm) {
+  send_at_once({SIGHUP, SIGTERM});
+  EXPECT_TRUE(exits_with_success());
+  EXPECT_NE(log_.find("configuration: reload skipped, router is shutting down"), std::string::npos) << log_;
+  EXPECT_EQ(log_.find("configuration: reloaded"), std::string::npos);
 }
 
-TEST_F(SignalsTest, WhileStoppingNothingIsReadAgain) {
-  together({SIGTERM});
-  ASSERT_TRUE(says("stop signal received"));
-  together({SIGHUP, SIGTERM, SIGINT});
-  EXPECT_TRUE(ends());
-  EXPECT_NE(text_.find("configuration not read again: shutting down"), std::string::npos) << text_;
+TEST_F(SignalsTest, SkipsReloadWhileShuttingDown) {
+  send_at_once({SIGTERM});
+  ASSERT_TRUE(wait_for_log("stop signal received"));
+  send_at_once({SIGHUP, SIGTERM, SIGINT});
+  EXPECT_TRUE(exits_with_success());
+  EXPECT_NE(log_.find("configuration: reload skipped, router is shutting down"), std::string::npos) << log_;
 }
 
-TEST_F(SignalsTest, ReadAgainManyTimesItGoesOnAndEnds) {
+TEST_F(SignalsTest, KeepsRunningAfterRepeatedReloadsUntilSigterm) {
   for (int i = 0; i < 5; ++i) {
-    text_.clear();
-    together({SIGHUP, SIGHUP});
-    EXPECT_TRUE(says("configuration read again")) << i;
+    log_.clear();
+    send_at_once({SIGHUP, SIGHUP});
+    EXPECT_TRUE(wait_for_log("configuration: reloaded")) << i;
   }
-  together({SIGTERM});
-  EXPECT_TRUE(ends());
+  send_at_once({SIGTERM});
+  EXPECT_TRUE(exits_with_success());
 }
 
 }  // namespace
