--- a/src/calling/principal.cpp
+++ b/src/calling/principal.cpp
@@ -38,7 +38,7 @@
 std::optional<std::string_view> bearer_token(std::string_view authorization) {
   constexpr std::string_view kScheme = "Bearer";
   if (authorization.size() < kScheme.size()) return std::nullopt;
-  if (!http::field_names_equal(authorization.substr(0, kScheme.size()), kScheme)) return std::nullopt;
+  if (!http::equals_ignoring_case(authorization.substr(0, kScheme.size()), kScheme)) return std::nullopt;
   authorization.remove_prefix(kScheme.size());
   if (!authorization.empty() && authorization.front() != ' ') return std::nullopt;
   return http::trimmed(authorization);
--- a/src/fakes/client.cpp
+++ b/src/fakes/client.cpp
@@ -4,7 +4,7 @@
 
 void Client::send(const std::string& request, OnAnswer on_answer) {
   on_answer_ = std::move(on_answer);
-  answers_.start_next();
+  answers_.start_next_message();
   if (connection_ && !connection_->is_idle()) disconnect();  // a router may close between requests
   if (!connection_) {
     Connection::TlsStreamFactory make_stream;
--- a/src/fakes/client.hpp
+++ b/src/fakes/client.hpp
@@ -26,7 +26,7 @@
   // `limits` has to outlive the client. Connects with its first request.
   Client(EventLoop& loop, const Limits& limits, std::string address, std::shared_ptr<ClientTls> tls = nullptr)
       : loop_(loop), limits_(limits), address_(std::move(address)), tls_(std::move(tls)),
-        answers_(http::Side::kAnswers, limits.max_head_bytes, limits.max_body_bytes) {}
+        answers_(http::MessageType::kResponse, limits.max_head_bytes, limits.max_body_bytes) {}
 
   // Only once the request before has its answer. `on_answer` is called once, never before this returns.
   void send(const std::string& request, OnAnswer on_answer);
--- a/src/fakes/endpoint.cpp
+++ b/src/fakes/endpoint.cpp
@@ -21,7 +21,8 @@
  public:
   ServerConnection(Endpoint& endpoint, int fd)
       : endpoint_(endpoint), connection_(endpoint.loop_, endpoint.limits_, *this, fd),
-        requests_(http::Side::kRequests, endpoint.limits_.max_head_bytes, endpoint.limits_.max_body_bytes),
+        requests_(http::MessageType::kRequest, endpoint.limits_.max_head_bytes,
+                  endpoint.limits_.max_body_bytes),
         answer_timer_(endpoint.loop_, [this] { write_answer(); }) {}
 
  private:
@@ -40,7 +41,7 @@
   void write_answer() {
     if (answer_.drops_connection) return endpoint_.remove(this);
     connection_.write(answer_text(answer_));
-    requests_.start_next();
+    requests_.start_next_message();
     if (!connection_.unread().empty()) endpoint_.loop_.post([this] { on_data(); });
   }
   void on_closed() override { endpoint_.remove(this); }
--- a/src/program/keys_command.cpp
+++ b/src/program/keys_command.cpp
@@ -108,7 +108,7 @@
 };
 
 Duration parse_span(const std::string& text) {
-  const auto span = records::parse_span(text);
+  const auto span = records::parse_duration(text);
   if (!span) throw std::runtime_error("wanted a span like 10m, found " + records::quoted(text));
   return *span;
 }
--- a/src/program/operator_config.cpp
+++ b/src/program/operator_config.cpp
@@ -23,7 +23,7 @@
 
 calling::Limit limit_of(const Value& value) {
   calling::Limit limit;
-  if (!value.given()) return limit;
+  if (!value.is_given()) return limit;
   limit.requests_per_s = value["per_s"].number;
   limit.burst_requests = value["burst"].number;
   limit.in_flight = static_cast<std::uint32_t>(value["in_hand"].number);
@@ -39,9 +39,9 @@
 calling::SubjectSettings subject_of(const Value& value) {
   calling::SubjectSettings subject;
   subject.name = value["name"].text;
-  subject.any_class = !value["path_groups"].given();
+  subject.any_class = !value["path_groups"].is_given();
   subject.allowed_classes = names_of(value["path_groups"]);
-  if (value["limit"].given()) subject.limit = limit_of(value["limit"]);
+  if (value["limit"].is_given()) subject.limit = limit_of(value["limit"]);
   return subject;
 }
 
@@ -50,7 +50,7 @@
   tenant.name = value["name"].text;
   tenant.issuer = value["issuer"].text;
   tenant.organisation = value["organisation"].text;
-  tenant.any_class = !value["path_groups"].given();
+  tenant.any_class = !value["path_groups"].is_given();
   tenant.allowed_classes = names_of(value["path_groups"]);
   tenant.tenant_limit = limit_of(value["limit"]);
   tenant.subject_limit = limit_of(value["each"]);
@@ -88,11 +88,12 @@
       : path_(path), deployment_(deployment) {}
 
   OperatorConfig read(std::string_view text) {
-    records::CheckedFile checked = records::check(operator_schema(), kOperatorFileDefinition, text);
+    records::CheckedFile checked =
+        records::check_against_schema(operator_schema(), kOperatorFileDefinition, text);
     problems_ = std::move(checked.problems);
     OperatorConfig config;
     if (problems_.empty()) config = read_sections(checked.value);
-    if (!problems_.empty()) throw OperatorConfigError(records::problem_report(path_, problems_));
+    if (!problems_.empty()) throw OperatorConfigError(records::format_problems(path_, problems_));
     return config;
   }
 
@@ -102,11 +103,11 @@
     const Value& tls = file["tls"];
     const Value& metadata = file["metadata"];
     OperatorConfig config;
-    if (calling.given()) config.calling = read_calling(calling);
-    if (tls.given()) config.tls = read_tls(tls);
-    if (metadata.given()) config.metadata = read_metadata(metadata);
-    const bool has_certificates = tls.given() && tls["clients"].text != "off";
-    if (calling.given() && calling["prove"].text == "required" && !calling["tokens"].given() &&
+    if (calling.is_given()) config.calling = read_calling(calling);
+    if (tls.is_given()) config.tls = read_tls(tls);
+    if (metadata.is_given()) config.metadata = read_metadata(metadata);
+    const bool has_certificates = tls.is_given() && tls["clients"].text != "off";
+    if (calling.is_given() && calling["prove"].text == "required" && !calling["tokens"].is_given() &&
         !has_certificates) {
       add_problem(calling, "calling.prove", "tokens or tls.clients, or nobody can prove anything", "neither");
     }
@@ -117,10 +118,10 @@
     CallingConfig config;
     calling::CallingSettings& settings = config.settings;
     settings.required = value["prove"].text == "required";
-    if (value["tokens"].given()) read_tokens(value["tokens"], config);
+    if (value["tokens"].is_given()) read_tokens(value["tokens"], config);
     settings.max_subjects = static_cast<std::size_t>(value["subjects"].number);
     settings.routers_per_subject = static_cast<std::uint32_t>(value["reach"].number);
-    settings.bank = value["bank"].span();
+    settings.bank = value["bank"].duration();
     settings.peak_factor = value["lend"].number;
     for (const Value& tenant : value["tenants"].items) settings.tenants.push_back(tenant_of(tenant));
     if (deployment_) {
@@ -138,15 +139,15 @@
 
   void read_tokens(const Value& value, CallingConfig& config) {
     config.key_folder = resolve_path(value["keys"]);
-    config.key_poll_interval = value["reread"].span();
+    config.key_poll_interval = value["reread"].duration();
     config.forward_tokens = value["go_on"].boolean;
     calling::CallingSettings& settings = config.settings;
     settings.issuer = value["issuer"].text;
     settings.audience = value["audience"].text;
     settings.tenant_claim = value["tenant_claim"].text;
-    settings.leeway = value["leeway"].span();
-    settings.overlap = value["overlap"].span();
-    settings.max_token_lifetime = value["longest"].span();
+    settings.leeway = value["leeway"].duration();
+    settings.overlap = value["overlap"].duration();
+    settings.max_token_lifetime = value["longest"].duration();
     settings.max_cached_tokens = static_cast<std::size_t>(value["cached"].number);
     settings.verifications_per_s = value["verifications_per_s"].number;
   }
@@ -157,7 +158,7 @@
     for (const Value& repository : value["repositories"].items) {
       check_prefix(repository["prefix"]);
       config.repositories.push_back(
-          {repository["prefix"].text, resolve_path(repository["root"]), repository["lag"].span()});
+          {repository["prefix"].text, resolve_path(repository["root"]), repository["lag"].duration()});
     }
     return config;
   }
@@ -196,9 +197,9 @@
     }
     settings.tls13_only = value["oldest"].text == "1.3";
     settings.max_handshakes = static_cast<std::size_t>(value["handshakes"].number);
-    settings.handshake_timeout = value["handshake"].span();
+    settings.handshake_timeout = value["handshake"].duration();
     settings.handshake_cpu_per_second = value["handshake_cpu"].number;
-    settings.ticket_key_lifetime = value["ticket_turn"].span();
+    settings.ticket_key_lifetime = value["ticket_turn"].duration();
     return settings;
   }
 
--- a/src/protocol/header_names.hpp
+++ b/src/protocol/header_names.hpp
@@ -26,7 +26,7 @@
 inline constexpr std::string_view kRefusalReason = "X-Refused";    // from the router
 
 // A complete header line.
-inline std::string line(std::string_view name, std::string_view value) {
+inline std::string field_line(std::string_view name, std::string_view value) {
   std::string text(name);
   text.append(": ").append(value).append("\r\n");
   return text;
--- a/src/protocol/http.cpp
+++ b/src/protocol/http.cpp
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-ParseResult MessageParser::fail(unsigned error_status) {
+ParseResult MessageParser::set_error(unsigned error_status) {
   error_status_ = error_status;
   return ParseResult::kInvalid;
 }
@@ -43,16 +43,16 @@
     case ParseResult::kIncomplete:
       return ParseResult::kIncomplete;
     case ParseResult::kTooLong:
-      return fail(kHeaderFieldsTooLarge);
+      return set_error(kHeaderFieldsTooLarge);
     case ParseResult::kInvalid:
-      return fail(kBadRequest);
+      return set_error(kBadRequest);
     case ParseResult::kComplete:
       break;
   }
-  unsigned error = side_ == Side::kRequests ? check_request_line() : read_status();
+  unsigned error = type_ == MessageType::kRequest ? check_request_line() : parse_status();
   if (error == kNoError) error = choose_framing();
-  if (error != kNoError) return fail(error);
-  if (is_interim_answer()) start_next();
+  if (error != kNoError) return set_error(error);
+  if (is_interim_response()) start_next_message();
   else in_body_ = true;
   return ParseResult::kComplete;
 }
@@ -62,9 +62,9 @@
     case ParseResult::kIncomplete:
       return ParseResult::kIncomplete;
     case ParseResult::kTooLong:
-      return fail(kContentTooLarge);
+      return set_error(kContentTooLarge);
     case ParseResult::kInvalid:
-      return fail(kBadRequest);
+      return set_error(kBadRequest);
     case ParseResult::kComplete:
       break;
   }
@@ -80,7 +80,7 @@
   return head_.version().starts_with("HTTP/") ? kVersionNotSupported : kBadRequest;
 }
 
-unsigned MessageParser::read_status() {
+unsigned MessageParser::parse_status() {
   const auto status = parse_decimal(head_.status_code());
   if (!status || head_.status_code().size() != kStatusDigits) return kBadRequest;
   status_ = static_cast<unsigned>(*status);
@@ -94,9 +94,9 @@
   const auto coding = head_.find(header::kTransferEncoding);
   if (head_.count(header::kContentLength) + head_.count(header::kTransferEncoding) > 1) return kBadRequest;
   if (coding) {
-    if (!field_names_equal(*coding, "chunked"))
-      return side_ == Side::kRequests ? kNotImplemented : kBadRequest;
-    body_.expect_chunks();
+    if (!equals_ignoring_case(*coding, "chunked"))
+      return type_ == MessageType::kRequest ? kNotImplemented : kBadRequest;
+    body_.expect_chunked();
     return kNoError;
   }
   if (length_value) {
@@ -106,18 +106,18 @@
     return kNoError;
   }
   const bool has_no_body =
-      side_ == Side::kRequests || status_ < 200 || status_ == kNoContent || status_ == kNotModified;
+      type_ == MessageType::kRequest || status_ < 200 || status_ == kNoContent || status_ == kNotModified;
   if (has_no_body) body_.expect_none();
-  else body_.expect_until_stream_ends();
+  else body_.expect_until_close();
   return kNoError;
 }
 
-ParseResult MessageParser::end_of_stream() {
-  if (error_status_ == kNoError && in_body_ && body_.ends_with_stream()) complete_ = true;
+ParseResult MessageParser::on_end_of_stream() {
+  if (error_status_ == kNoError && in_body_ && body_.is_close_delimited()) complete_ = true;
   return complete_ ? ParseResult::kComplete : ParseResult::kInvalid;
 }
 
-void MessageParser::start_next() {
+void MessageParser::start_next_message() {
   head_.clear();
   std::string().swap(raw_body_);  // an idle connection must not hold the memory of its largest body
   in_body_ = false;
@@ -127,8 +127,8 @@
 }
 
 bool MessageParser::closes_connection() const {
-  if (body_.ends_with_stream() || head_.has_token(header::kConnection, "close")) return true;
-  return side_ == Side::kAnswers && head_.version() == "HTTP/1.0" &&
+  if (body_.is_close_delimited() || head_.has_token(header::kConnection, "close")) return true;
+  return type_ == MessageType::kResponse && head_.version() == "HTTP/1.0" &&
          !head_.has_token(header::kConnection, "keep-alive");
 }
 
--- a/src/protocol/http.hpp
+++ b/src/protocol/http.hpp
@@ -13,30 +13,30 @@
 
 namespace ashbeam::http {
 
-// Order of calls: `feed` until the message is complete, read it, `start_next`. A message whose end could be
-// read in two ways is invalid (RFC 9112, section 6.3).
+// Order of calls: `feed` until the message is complete, read it, `start_next_message`. A message whose end
+// could be read in two ways is invalid (RFC 9112, section 6.3).
 class MessageParser {
  public:
-  using Side = http::Side;
-  MessageParser(Side side, std::size_t max_head_bytes, std::size_t max_body_bytes)
-      : side_(side), head_(side, max_head_bytes), body_(max_body_bytes) {}
+  using MessageType = http::MessageType;
+  MessageParser(MessageType type, std::size_t max_head_bytes, std::size_t max_body_bytes)
+      : type_(type), head_(type, max_head_bytes), body_(max_body_bytes) {}
 
   // Removes from the front of `bytes` what belongs to the message at hand. Never kTooLong: that is kInvalid,
   // as error_status() says.
   ParseResult feed(std::string_view& bytes);
-  // The other side has closed: complete where a body may end so, else invalid.
-  ParseResult end_of_stream();
+  // The peer has closed the connection: complete where a body may end so, else invalid.
+  ParseResult on_end_of_stream();
   // The message at hand is done with.
-  void start_next();
+  void start_next_message();
 
   // Has a byte of the message at hand come?
-  bool started() const { return in_body_ || !head_.empty(); }
+  bool has_started() const { return in_body_ || !head_.empty(); }
   // Once invalid: the status that a client gets for such a request.
   unsigned error_status() const { return error_status_; }
   const Head& head() const { return head_; }
   const std::string& raw_body() const { return raw_body_; }
   std::string take_raw_body() { return std::move(raw_body_); }
-  bool body_ends_with_stream() const { return body_.ends_with_stream(); }
+  bool is_body_close_delimited() const { return body_.is_close_delimited(); }
   // Of an answer.
   unsigned status() const { return status_; }
   // Does the connection end after this message (RFC 9112, section 9.3)?
@@ -45,14 +45,14 @@
  private:
   ParseResult feed_head(std::string_view& bytes);
   ParseResult feed_body(std::string_view& bytes);
-  ParseResult fail(unsigned error_status);
+  ParseResult set_error(unsigned error_status);
   // These return 0, or the error status.
   unsigned check_request_line() const;
-  unsigned read_status();
+  unsigned parse_status();
   unsigned choose_framing();
-  bool is_interim_answer() const { return status_ >= 100 && status_ < 200; }
+  bool is_interim_response() const { return status_ >= 100 && status_ < 200; }
 
-  Side side_;
+  MessageType type_;
   Head head_;
   Body body_;
   std::string raw_body_;
--- a/src/protocol/http_body.cpp
+++ b/src/protocol/http_body.cpp
@@ -4,11 +4,11 @@
 
 namespace ashbeam::http {
 
-bool Body::inside_chunk() const {
-  if (framing_ != Framing::kChunks) return false;
+bool Body::is_inside_chunk() const {
+  if (framing_ != Framing::kChunked) return false;
   switch (chunk_state_) {
     case ChunkState::kSize:
-      return size_digits_ > 0;
+      return chunk_size_digits_ > 0;
     case ChunkState::kExtension:
     case ChunkState::kSizeLineFeed:
     case ChunkState::kData:
@@ -24,16 +24,16 @@
   chunk_state_ = ChunkState::kSize;
   decoded_bytes_ = 0;
   framing_bytes_ = 0;
-  size_digits_ = 0;
+  chunk_size_digits_ = 0;
 }
 
 ParseResult Body::feed(std::string_view& bytes, std::string& raw, std::string* decoded) {
   std::size_t used = bytes.size();
   ParseResult result = ParseResult::kIncomplete;
-  if (framing_ == Framing::kChunks) {
+  if (framing_ == Framing::kChunked) {
     result = feed_chunks(bytes, used, decoded);
   } else {
-    result = framing_ == Framing::kLength ? feed_length(used) : feed_until_stream_ends(used);
+    result = framing_ == Framing::kLength ? feed_length(used) : feed_until_close(used);
     if (result == ParseResult::kTooLong) return result;
     if (decoded) decoded->append(bytes.substr(0, used));
   }
@@ -50,7 +50,7 @@
   return remaining_ == 0 ? ParseResult::kComplete : ParseResult::kIncomplete;
 }
 
-ParseResult Body::feed_until_stream_ends(std::size_t used) {
+ParseResult Body::feed_until_close(std::size_t used) {
   decoded_bytes_ += used;
   return decoded_bytes_ > max_bytes_ ? ParseResult::kTooLong : ParseResult::kIncomplete;
 }
@@ -59,11 +59,11 @@
 
 ParseResult Body::feed_chunk_size(char c) {
   if (const auto digit = parse_hex_digit(c)) {
-    if (++size_digits_ > kMaxSizeDigits) return ParseResult::kTooLong;
+    if (++chunk_size_digits_ > kMaxChunkSizeDigits) return ParseResult::kTooLong;
     remaining_ = remaining_ * 16 + *digit;
     return ParseResult::kIncomplete;
   }
-  if (size_digits_ == 0) return ParseResult::kInvalid;
+  if (chunk_size_digits_ == 0) return ParseResult::kInvalid;
   if (c == '\r') chunk_state_ = ChunkState::kSizeLineFeed;
   else if (c == ';' || c == ' ' || c == '\t') chunk_state_ = ChunkState::kExtension;
   else return ParseResult::kInvalid;
@@ -75,11 +75,11 @@
   decoded_bytes_ += remaining_;
   if (decoded_bytes_ > max_bytes_) return ParseResult::kTooLong;
   chunk_state_ = remaining_ > 0 ? ChunkState::kData : ChunkState::kTrailerStart;
-  size_digits_ = 0;
+  chunk_size_digits_ = 0;
   return ParseResult::kIncomplete;
 }
 
-ParseResult Body::expect(char c, char expected, ChunkState next) {
+ParseResult Body::expect_char(char c, char expected, ChunkState next) {
   if (c != expected) return ParseResult::kInvalid;
   chunk_state_ = next;
   return ParseResult::kIncomplete;
@@ -102,16 +102,16 @@
     case ChunkState::kSizeLineFeed:
       return end_chunk_size_line(c);
     case ChunkState::kDataCarriageReturn:
-      return expect(c, '\r', ChunkState::kDataLineFeed);
+      return expect_char(c, '\r', ChunkState::kDataLineFeed);
     case ChunkState::kDataLineFeed:
-      return expect(c, '\n', ChunkState::kSize);
+      return expect_char(c, '\n', ChunkState::kSize);
     case ChunkState::kTrailerStart:
       chunk_state_ = c == '\r' ? ChunkState::kLastLineFeed : ChunkState::kTrailerLine;
       return c == '\n' ? ParseResult::kInvalid : ParseResult::kIncomplete;
     case ChunkState::kTrailerLine:
       return skip_to_line_end(c, ChunkState::kTrailerLineFeed);
     case ChunkState::kTrailerLineFeed:
-      return expect(c, '\n', ChunkState::kTrailerStart);
+      return expect_char(c, '\n', ChunkState::kTrailerStart);
     case ChunkState::kLastLineFeed:
       return c == '\n' ? ParseResult::kComplete : ParseResult::kInvalid;
     case ChunkState::kData:
@@ -124,7 +124,7 @@
   used = 0;
   while (used < bytes.size()) {
     if (chunk_state_ == ChunkState::kData) {
-      used += take_chunk_data(bytes.substr(used), decoded);
+      used += consume_chunk_data(bytes.substr(used), decoded);
       continue;
     }
     const ParseResult result = feed_chunk_framing(bytes[used]);
@@ -134,7 +134,7 @@
   return ParseResult::kIncomplete;
 }
 
-std::size_t Body::take_chunk_data(std::string_view bytes, std::string* decoded) {
+std::size_t Body::consume_chunk_data(std::string_view bytes, std::string* decoded) {
   const auto count = static_cast<std::size_t>(std::min<std::uint64_t>(remaining_, bytes.size()));
   if (decoded) decoded->append(bytes.substr(0, count));
   remaining_ -= count;
--- a/src/protocol/http_body.hpp
+++ b/src/protocol/http_body.hpp
@@ -18,18 +18,18 @@
   // One of these for each message, before its first byte.
   void expect_none() { begin(Framing::kLength, 0); }
   void expect_length(std::uint64_t length) { begin(Framing::kLength, length); }
-  void expect_chunks() { begin(Framing::kChunks, 0); }
-  void expect_until_stream_ends() { begin(Framing::kUntilStreamEnds, 0); }
+  void expect_chunked() { begin(Framing::kChunked, 0); }
+  void expect_until_close() { begin(Framing::kUntilClose, 0); }
 
   // Removes from the front of `bytes` what belongs to the body and appends it to `raw` as it came, and
   // without its framing to `decoded`, if given.
   ParseResult feed(std::string_view& bytes, std::string& raw, std::string* decoded = nullptr);
-  bool ends_with_stream() const { return framing_ == Framing::kUntilStreamEnds; }
+  bool is_close_delimited() const { return framing_ == Framing::kUntilClose; }
   // Has a chunk begun whose last byte of data has not come yet?
-  bool inside_chunk() const;
+  bool is_inside_chunk() const;
 
  private:
-  enum class Framing : std::uint8_t { kLength, kChunks, kUntilStreamEnds };
+  enum class Framing : std::uint8_t { kLength, kChunked, kUntilClose };
   // What the next byte of a chunked body belongs to.
   enum class ChunkState : std::uint8_t {
     kSize,
@@ -43,18 +43,18 @@
     kTrailerLineFeed,
     kLastLineFeed,
   };
-  static constexpr unsigned kMaxSizeDigits = 8;
+  static constexpr unsigned kMaxChunkSizeDigits = 8;
 
   void begin(Framing framing, std::uint64_t length);
   ParseResult feed_length(std::size_t& used);
-  ParseResult feed_until_stream_ends(std::size_t used);
+  ParseResult feed_until_close(std::size_t used);
   ParseResult feed_chunks(std::string_view bytes, std::size_t& used, std::string* decoded);
-  std::size_t take_chunk_data(std::string_view bytes, std::string* decoded);
+  std::size_t consume_chunk_data(std::string_view bytes, std::string* decoded);
   // Inline: once for each byte of the framing.
   inline ParseResult feed_chunk_framing(char c);
   inline ParseResult feed_chunk_size(char c);
   inline ParseResult end_chunk_size_line(char c);
-  inline ParseResult expect(char c, char expected, ChunkState next);
+  inline ParseResult expect_char(char c, char expected, ChunkState next);
   inline ParseResult skip_to_line_end(char c, ChunkState next);
 
   std::size_t max_bytes_;
@@ -63,7 +63,7 @@
   std::uint64_t remaining_ = 0;  // of the body of a given length, or of the chunk at hand
   std::uint64_t decoded_bytes_ = 0;
   std::uint64_t framing_bytes_ = 0;
-  unsigned size_digits_ = 0;
+  unsigned chunk_size_digits_ = 0;
 };
 
 }  // namespace ashbeam::http
--- a/src/protocol/http_head.cpp
+++ b/src/protocol/http_head.cpp
@@ -15,18 +15,18 @@
 // Within a field line, bytes are copied at once up to the next that needs a look. Returns their number.
 std::size_t Head::append_plain_bytes(std::string_view bytes) {
   if (line_begin_ == 0 || raw_.back() == '\r') return 0;
-  const std::string_view fitting = bytes.substr(0, max_bytes_ - std::min(max_bytes_, raw_.size()));
+  const std::string_view allowed = bytes.substr(0, max_bytes_ - std::min(max_bytes_, raw_.size()));
   std::size_t count = 0;
-  while (count < fitting.size() && fitting[count] != '\r' && fitting[count] != '\n' && fitting[count] != '\0')
+  while (count < allowed.size() && allowed[count] != '\r' && allowed[count] != '\n' && allowed[count] != '\0')
     ++count;
-  raw_.append(fitting.substr(0, count));
+  raw_.append(allowed.substr(0, count));
   return count;
 }
 
 // May `next` follow what has come of the start line? A request begins with its method, an answer with the
 // protocol's version; an empty line may come before a request.
-bool Head::fits_start_line(char next) const {
-  if (side_ == Side::kAnswers)
+bool Head::may_continue_start_line(char next) const {
+  if (type_ == MessageType::kResponse)
     return raw_.size() >= kVersionPrefix.size() || next == kVersionPrefix[raw_.size()];
   if (raw_.find(' ') != std::string::npos) return true;
   if (raw_.size() >= kMaxMethodBytes) return false;
@@ -38,20 +38,20 @@
   if (raw_.size() >= max_bytes_) return ParseResult::kTooLong;
   const bool after_carriage_return = !raw_.empty() && raw_.back() == '\r';
   if ((c == '\n') != after_carriage_return || c == '\0') return ParseResult::kInvalid;
-  if (line_begin_ == 0 && !fits_start_line(c)) return ParseResult::kInvalid;
+  if (line_begin_ == 0 && !may_continue_start_line(c)) return ParseResult::kInvalid;
   raw_.push_back(c);
   return c == '\n' ? end_line() : ParseResult::kIncomplete;
 }
 
 ParseResult Head::end_line() {
   const std::string_view line = std::string_view(raw_).substr(line_begin_);
-  const bool empty_line = line == kLineEnd;
-  if (empty_line && line_begin_ == 0) {  // RFC 9112, section 2.2: passed over before a start line
+  const bool is_empty_line = line == kLineEnd;
+  if (is_empty_line && line_begin_ == 0) {  // RFC 9112, section 2.2: passed over before a start line
     raw_.clear();
     return ParseResult::kIncomplete;
   }
-  if (empty_line) {
-    split();
+  if (is_empty_line) {
+    split_lines();
     return ParseResult::kComplete;
   }
   if (line_begin_ > 0 && !is_field_line(line)) return ParseResult::kInvalid;
@@ -80,7 +80,7 @@
   line_begin_ = 0;
 }
 
-void Head::split() {
+void Head::split_lines() {
   split_start_line();
   std::string_view rest = std::string_view(raw_).substr(start_line_.size());
   while (rest.size() > kLineEnd.size()) {
@@ -98,33 +98,34 @@
 void Head::split_start_line() {
   start_line_ = std::string_view(raw_).substr(0, raw_.find(kLineEnd) + kLineEnd.size());
   std::string_view rest = start_line_.substr(0, start_line_.size() - kLineEnd.size());
-  for (std::size_t i = 0; i < kStartLineWords; ++i) {
-    const bool last = i + 1 == kStartLineWords;
-    const std::size_t end = last ? rest.size() : std::min(rest.find(' '), rest.size());
-    words_[i] = rest.substr(0, end);
+  for (std::size_t i = 0; i < kStartLineParts; ++i) {
+    const bool is_last = i + 1 == kStartLineParts;
+    const std::size_t end = is_last ? rest.size() : std::min(rest.find(' '), rest.size());
+    start_line_parts_[i] = rest.substr(0, end);
     rest.remove_prefix(std::min(end + 1, rest.size()));
   }
 }
 
 std::optional<std::string_view> Head::find(std::string_view name) const {
   for (const Field& field : fields_) {
-    if (field_names_equal(field.name, name)) return field.value;
+    if (equals_ignoring_case(field.name, name)) return field.value;
   }
   return std::nullopt;
 }
 
 unsigned Head::count(std::string_view name) const {
   return static_cast<unsigned>(std::count_if(fields_.begin(), fields_.end(), [&](const Field& field) {
-    return field_names_equal(field.name, name);
+    return equals_ignoring_case(field.name, name);
   }));
 }
 
 bool Head::has_token(std::string_view name, std::string_view token) const {
   bool found = false;
   for (const Field& field : fields_) {
-    if (!field_names_equal(field.name, name)) continue;
-    for_each_list_element(
-        field.value, [&](std::string_view element) { found = found || field_names_equal(element, token); });
+    if (!equals_ignoring_case(field.name, name)) continue;
+    for_each_list_element(field.value, [&](std::string_view element) {
+      found = found || equals_ignoring_case(element, token);
+    });
   }
   return found;
 }
--- a/src/protocol/http_syntax.cpp
+++ b/src/protocol/http_syntax.cpp
@@ -10,15 +10,15 @@
 constexpr std::string_view kLineEnd = "\r\n";
 constexpr char kDelete = 0x7f;
 
-bool is_space(char c) { return c == ' ' || c == '\t'; }
+bool is_space_or_tab(char c) { return c == ' ' || c == '\t'; }
 
 bool is_control_char(char c) { return (static_cast<unsigned char>(c) < ' ' && c != '\t') || c == kDelete; }
 
 }  // namespace
 
 std::string_view trimmed(std::string_view text) {
-  while (!text.empty() && is_space(text.front())) text.remove_prefix(1);
-  while (!text.empty() && is_space(text.back())) text.remove_suffix(1);
+  while (!text.empty() && is_space_or_tab(text.front())) text.remove_prefix(1);
+  while (!text.empty() && is_space_or_tab(text.back())) text.remove_suffix(1);
   return text;
 }
 
--- a/src/protocol/http_syntax.hpp
+++ b/src/protocol/http_syntax.hpp
@@ -11,7 +11,7 @@
 
 inline char to_lower(char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c - 'A' + 'a') : c; }
 // RFC 9110, section 5.1: without regard to case.
-inline bool field_names_equal(std::string_view a, std::string_view b) {
+inline bool equals_ignoring_case(std::string_view a, std::string_view b) {
   return std::equal(a.begin(), a.end(), b.begin(), b.end(),
                     [](char x, char y) { return to_lower(x) == to_lower(y); });
 }
--- a/src/protocol/json.cpp
+++ b/src/protocol/json.cpp
@@ -12,12 +12,12 @@
 constexpr unsigned kReplacementCharacter = 0xfffd;
 constexpr unsigned kFirstHighSurrogate = 0xd800;
 constexpr unsigned kFirstLowSurrogate = 0xdc00;
-constexpr unsigned kAfterSurrogates = 0xe000;
+constexpr unsigned kSurrogateEnd = 0xe000;
 
 // ---- Syntax (RFC 8259): each removes what it is named by from the front of `text`, and is false where
 // something else stands there ----
 
-void skip_blanks(std::string_view& text) {
+void skip_whitespace(std::string_view& text) {
   while (!text.empty() && (text[0] == ' ' || text[0] == '\t' || text[0] == '\n' || text[0] == '\r'))
     text.remove_prefix(1);
 }
@@ -28,9 +28,9 @@
   return true;
 }
 
-bool skip_word(std::string_view& text, std::string_view word) {
-  if (!text.starts_with(word)) return false;
-  text.remove_prefix(word.size());
+bool skip_literal(std::string_view& text, std::string_view literal) {
+  if (!text.starts_with(literal)) return false;
+  text.remove_prefix(literal.size());
   return true;
 }
 
@@ -87,45 +87,45 @@
 }
 
 bool skip_member_name(std::string_view& text) {
-  skip_blanks(text);
+  skip_whitespace(text);
   if (!skip_string(text)) return false;
-  skip_blanks(text);
+  skip_whitespace(text);
   return skip_char(text, ':');
 }
 
 bool skip_value(std::string_view& text, int depth);
 
 // The members of an object or the elements of an array, and the bracket behind them.
-bool skip_contents(std::string_view& text, bool object, int depth) {
-  const char closing = object ? '}' : ']';
-  skip_blanks(text);
+bool skip_contents(std::string_view& text, bool is_object, int depth) {
+  const char closing = is_object ? '}' : ']';
+  skip_whitespace(text);
   if (skip_char(text, closing)) return true;
   for (;;) {
-    if (object && !skip_member_name(text)) return false;
+    if (is_object && !skip_member_name(text)) return false;
     if (!skip_value(text, depth + 1)) return false;
-    skip_blanks(text);
+    skip_whitespace(text);
     if (skip_char(text, closing)) return true;
     if (!skip_char(text, ',')) return false;
   }
 }
 
 bool skip_value(std::string_view& text, int depth) {
-  skip_blanks(text);
+  skip_whitespace(text);
   if (text.empty() || depth > Json::kMaxDepth) return false;
   switch (text[0]) {
     case '"':
       return skip_string(text);
     case 't':
-      return skip_word(text, "true");
+      return skip_literal(text, "true");
     case 'f':
-      return skip_word(text, "false");
+      return skip_literal(text, "false");
     case 'n':
-      return skip_word(text, "null");
+      return skip_literal(text, "null");
     case '{':
     case '[': {
-      const bool object = text[0] == '{';
+      const bool is_object = text[0] == '{';
       text.remove_prefix(1);
-      return skip_contents(text, object, depth);
+      return skip_contents(text, is_object, depth);
     }
     default:
       return skip_number(text);
@@ -134,7 +134,7 @@
 
 // Removes and returns the next value of text that is known to be valid.
 std::string_view take_value(std::string_view& text) {
-  skip_blanks(text);
+  skip_whitespace(text);
   const char* const begin = text.data();
   skip_value(text, 0);
   return {begin, static_cast<std::size_t>(text.data() - begin)};
@@ -168,12 +168,12 @@
 void append_unicode_escape(std::string& out, std::string_view escaped, std::size_t& index) {
   unsigned code = parse_hex4(escaped.substr(index)).value_or(kReplacementCharacter);
   index += kHexDigits;
-  if (code >= kFirstHighSurrogate && code < kAfterSurrogates) {
+  if (code >= kFirstHighSurrogate && code < kSurrogateEnd) {
     const std::string_view rest = escaped.substr(index);
     const auto low = rest.starts_with("\\u") ? parse_hex4(rest.substr(2)) : std::nullopt;
-    const bool pair =
-        code < kFirstLowSurrogate && low && *low >= kFirstLowSurrogate && *low < kAfterSurrogates;
-    if (pair) {
+    const bool is_pair =
+        code < kFirstLowSurrogate && low && *low >= kFirstLowSurrogate && *low < kSurrogateEnd;
+    if (is_pair) {
       code = 0x10000 + ((code - kFirstHighSurrogate) << 10U) + (*low - kFirstLowSurrogate);
       index += 2 + kHexDigits;
     } else {
@@ -184,7 +184,7 @@
 }
 
 // `escaped`: what stands between a string's quotes.
-std::string unescaped(std::string_view escaped) {
+std::string unescape(std::string_view escaped) {
   constexpr std::string_view kControlEscapes = "bfnrt";
   constexpr std::string_view kControlCharacters = "\b\f\n\r\t";
   std::string out;
@@ -234,11 +234,11 @@
 
 std::optional<Json> Json::parse(std::string_view text) {
   if (!is_utf8(text)) return std::nullopt;
-  skip_blanks(text);
+  skip_whitespace(text);
   std::string_view rest = text;
   if (!skip_value(rest, 0)) return std::nullopt;
   const Json value(text.substr(0, text.size() - rest.size()));
-  skip_blanks(rest);
+  skip_whitespace(rest);
   if (!rest.empty()) return std::nullopt;
   return value;
 }
@@ -259,31 +259,31 @@
 
 std::optional<std::string> Json::text() const {
   if (!is_string()) return std::nullopt;
-  return unescaped(without_quotes(text_));
+  return unescape(without_quotes(text_));
 }
 
 void Json::for_each_member(const std::function<void(const std::string&, const Json&)>& visit) const {
   if (!is_object()) return;
   std::string_view rest = text_.substr(1);
-  skip_blanks(rest);
+  skip_whitespace(rest);
   while (!skip_char(rest, '}')) {
     skip_char(rest, ',');
     const std::string_view name = take_value(rest);
-    skip_blanks(rest);
+    skip_whitespace(rest);
     skip_char(rest, ':');
-    visit(unescaped(without_quotes(name)), Json(take_value(rest)));
-    skip_blanks(rest);
+    visit(unescape(without_quotes(name)), Json(take_value(rest)));
+    skip_whitespace(rest);
   }
 }
 
 void Json::for_each_element(const std::function<void(const Json&)>& visit) const {
   if (!is_array()) return;
   std::string_view rest = text_.substr(1);
-  skip_blanks(rest);
+  skip_whitespace(rest);
   while (!skip_char(rest, ']')) {
     skip_char(rest, ',');
     visit(Json(take_value(rest)));
-    skip_blanks(rest);
+    skip_whitespace(rest);
   }
 }
 
@@ -295,9 +295,9 @@
   return found;
 }
 
-double Json::number(std::string_view name, double otherwise) const {
+double Json::number(std::string_view name, double default_value) const {
   const auto found = member(name);
-  return found ? found->number().value_or(otherwise) : otherwise;
+  return found ? found->number().value_or(default_value) : default_value;
 }
 
 std::string Json::text(std::string_view name) const {
--- a/src/protocol/json.hpp
+++ b/src/protocol/json.hpp
@@ -27,7 +27,7 @@
 
   // Of an object: the last member of that name.
   std::optional<Json> member(std::string_view name) const;
-  double number(std::string_view name, double otherwise) const;
+  double number(std::string_view name, double default_value) const;
   std::string text(std::string_view name) const;  // empty where there is none
   // These visit nothing where the value is of another type.
   void for_each_member(const std::function<void(const std::string&, const Json&)>& visit) const;
--- a/src/protocol/json_rpc.hpp
+++ b/src/protocol/json_rpc.hpp
@@ -9,7 +9,7 @@
 namespace ashbeam {
 
 // With its line end; `params` is a JSON object, or empty for none.
-inline std::string json_rpc_request(std::uint64_t id, std::string_view method, std::string_view params) {
+inline std::string make_json_rpc_request(std::uint64_t id, std::string_view method, std::string_view params) {
   std::string line =
       "{\"jsonrpc\":\"2.0\",\"id\":" + std::to_string(id) + ",\"method\":" + json_quoted(method);
   if (!params.empty()) line.append(",\"params\":").append(params);
--- a/src/records/constraint.cpp
+++ b/src/records/constraint.cpp
@@ -13,8 +13,8 @@
       return value.kind == Value::Kind::kString;
     case ScalarType::kBool:
       return value.kind == Value::Kind::kBool;
-    case ScalarType::kSpan:
-      return value.kind == Value::Kind::kString && parse_span(value.text);
+    case ScalarType::kDuration:
+      return value.kind == Value::Kind::kString && parse_duration(value.text);
     case ScalarType::kNumber:
       return value.kind == Value::Kind::kNumber;
     case ScalarType::kInteger:
@@ -24,7 +24,7 @@
 }
 
 template <class Number>
-bool is_within(Number value, BoundOperator bound, Number limit) {
+bool is_within_bound(Number value, BoundOperator bound, Number limit) {
   switch (bound) {
     case BoundOperator::kNotEqual:
       return value != limit;
@@ -44,14 +44,15 @@
 bool satisfies_bound(const Node& constraint, const Value& value) {
   const Node& limit = *constraint.operands[0];
   if (limit.kind != Node::Kind::kString) {
-    return value.kind == Value::Kind::kNumber && is_within(value.number, constraint.bound, limit.number);
+    return value.kind == Value::Kind::kNumber &&
+           is_within_bound(value.number, constraint.bound, limit.number);
   }
   if (value.kind != Value::Kind::kString) return false;
   if (constraint.bound == BoundOperator::kNotEqual) return value.text != limit.text;
-  const auto limit_span = parse_span(limit.text);
-  if (!limit_span) throw std::logic_error("schema: no span: " + limit.text);
-  const auto span = parse_span(value.text);
-  return span && is_within(span->us(), constraint.bound, limit_span->us());
+  const auto limit_duration = parse_duration(limit.text);
+  if (!limit_duration) throw std::logic_error("schema: no span: " + limit.text);
+  const auto duration = parse_duration(value.text);
+  return duration && is_within_bound(duration->us(), constraint.bound, limit_duration->us());
 }
 
 }  // namespace
--- a/src/records/lexer.cpp
+++ b/src/records/lexer.cpp
@@ -8,7 +8,9 @@
 
 bool is_digit(char c) { return c >= '0' && c <= '9'; }
 
-bool starts_word(char c) { return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || c == '_' || c == '#'; }
+bool is_identifier_start(char c) {
+  return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || c == '_' || c == '#';
+}
 
 // A byte of UTF-8 that is not the first of its character.
 bool is_continuation_byte(char c) { return (static_cast<unsigned char>(c) & 0xC0U) == 0x80U; }
@@ -35,13 +37,13 @@
   return true;
 }
 
-void invalidate(Token& token, const char* wanted) {
+void mark_invalid(Token& token, const char* wanted) {
   token.kind = Token::Kind::kInvalid;
   token.text = wanted;
 }
 
 // The character that an escape stands for; 0 where there is no such escape.
-char unescaped(char escape) {
+char unescape(char escape) {
   switch (escape) {
     case 'n':
       return '\n';
@@ -72,57 +74,57 @@
   return c;
 }
 
-void Lexer::skip_blanks_and_comments() {
+void Lexer::skip_whitespace_and_comments() {
   for (;;) {
     while (peek() == ' ' || peek() == '\t' || peek() == '\r') take();
     if (peek() != '/' || peek(1) != '/') return;
-    while (!at_end() && peek() != '\n') take();
+    while (!is_at_end() && peek() != '\n') take();
   }
 }
 
 Token Lexer::next() {
-  skip_blanks_and_comments();
+  skip_whitespace_and_comments();
   Token token;
   token.position = position_;
-  if (at_end()) return token;
+  if (is_at_end()) return token;
   const char c = peek();
   if (c == '\n') {
     token.kind = Token::Kind::kLineEnd;
     take();
   } else if (c == '"') {
     read_string(token);
-  } else if (starts_word(c)) {
-    read_word(token);
+  } else if (is_identifier_start(c)) {
+    read_identifier(token);
   } else if (is_digit(c) || (c == '-' && is_digit(peek(1)))) {
     read_number(token);
   } else {
-    read_sign(token);
+    read_punctuation(token);
   }
   return token;
 }
 
-void Lexer::read_word(Token& token) {
-  token.kind = Token::Kind::kWord;
+void Lexer::read_identifier(Token& token) {
+  token.kind = Token::Kind::kIdentifier;
   do token.text += take();
-  while (starts_word(peek()) || is_digit(peek()));
+  while (is_identifier_start(peek()) || is_digit(peek()));
 }
 
 void Lexer::read_number(Token& token) {
   token.kind = Token::Kind::kNumber;
   do token.text += take();
-  while (continues_number(token.text));
+  while (may_continue_number(token.text));
 }
 
 // Takes more than numbers have, so that a malformed one is a single token; the parser refuses it.
-bool Lexer::continues_number(const std::string& read) const {
+bool Lexer::may_continue_number(const std::string& read) const {
   const char c = peek();
-  if (is_digit(c) || starts_word(c) || c == '.') return true;
+  if (is_digit(c) || is_identifier_start(c) || c == '.') return true;
   const bool after_exponent = read.back() == 'e' || read.back() == 'E';
   return (c == '-' || c == '+') && after_exponent;
 }
 
-void Lexer::read_sign(Token& token) {
-  token.kind = Token::Kind::kSign;
+void Lexer::read_punctuation(Token& token) {
+  token.kind = Token::Kind::kPunctuation;
   token.text = take();
   const std::string pair = token.text + peek();
   if (pair == ">=" || pair == "<=" || pair == "!=" || pair == "=~") token.text += take();
@@ -136,19 +138,19 @@
   token.kind = Token::Kind::kString;
   take();  // the opening quote
   while (peek() != '"') {
-    if (at_end() || peek() == '\n') return invalidate(token, "a string that ends on its line");
+    if (is_at_end() || peek() == '\n') return mark_invalid(token, "a string that ends on its line");
     char c = take();
-    if (static_cast<unsigned char>(c) < ' ') return invalidate(token, "no control characters in a string");
+    if (static_cast<unsigned char>(c) < ' ') return mark_invalid(token, "no control characters in a string");
     if (c == '\\') {
-      c = unescaped(peek());
-      if (c == '\0') return invalidate(token, R"(one of \n \t \" \\)");
+      c = unescape(peek());
+      if (c == '\0') return mark_invalid(token, R"(one of \n \t \" \\)");
       take();
     }
     token.text += c;
-    if (token.text.size() > kMaxStringBytes) return invalidate(token, "a string of at most 4096 bytes");
+    if (token.text.size() > kMaxStringBytes) return mark_invalid(token, "a string of at most 4096 bytes");
   }
   take();  // the closing quote
-  if (!is_utf8(token.text)) invalidate(token, "a string in UTF-8");
+  if (!is_utf8(token.text)) mark_invalid(token, "a string in UTF-8");
 }
 
 }  // namespace ashbeam::records
--- a/src/records/lexer.hpp
+++ b/src/records/lexer.hpp
@@ -13,11 +13,11 @@
   enum class Kind {
     kEnd,
     kLineEnd,
-    kWord,    // letters, digits, _ and #
-    kString,  // `text` is without quotes and escapes
+    kIdentifier,  // letters, digits, _ and #
+    kString,      // `text` is without quotes and escapes
     kNumber,
-    kSign,     // punctuation: one character, or one of >= <= != =~ ...
-    kInvalid,  // `text` says what was wanted
+    kPunctuation,  // punctuation: one character, or one of >= <= != =~ ...
+    kInvalid,      // `text` says what was wanted
   };
   Kind kind = Kind::kEnd;
   std::string text;
@@ -37,13 +37,13 @@
  private:
   char peek(std::size_t ahead = 0) const;
   char take();  // moves on by one character
-  bool at_end() const { return offset_ >= text_.size(); }
-  void skip_blanks_and_comments();
-  void read_word(Token& token);
+  bool is_at_end() const { return offset_ >= text_.size(); }
+  void skip_whitespace_and_comments();
+  void read_identifier(Token& token);
   void read_number(Token& token);
-  bool continues_number(const std::string& read) const;
+  bool may_continue_number(const std::string& read) const;
   void read_string(Token& token);
-  void read_sign(Token& token);
+  void read_punctuation(Token& token);
 
   std::string_view text_;
   std::size_t offset_ = 0;
--- a/src/records/parser.cpp
+++ b/src/records/parser.cpp
@@ -31,12 +31,12 @@
   if (word == "int") return ScalarType::kInteger;
   if (word == "number") return ScalarType::kNumber;
   if (word == "bool") return ScalarType::kBool;
-  if (word == "span") return ScalarType::kSpan;
+  if (word == "span") return ScalarType::kDuration;
   return std::nullopt;
 }
 
 std::optional<BoundOperator> bound_operator(const Token& token) {
-  if (token.kind != Token::Kind::kSign) return std::nullopt;
+  if (token.kind != Token::Kind::kPunctuation) return std::nullopt;
   if (token.text == "!=") return BoundOperator::kNotEqual;
   if (token.text == "<") return BoundOperator::kLess;
   if (token.text == "<=") return BoundOperator::kLessOrEqual;
@@ -59,23 +59,25 @@
   }
 
  private:
-  struct FieldAbandoned {};  // thrown to leave the field at hand
+  struct FieldError {};  // thrown to leave the field at hand
 
   // ---- Tokens ----
 
   void advance() { token_ = lexer_.next(); }
-  bool at(Token::Kind kind) const { return token_.kind == kind; }
-  bool at_sign(std::string_view sign) const { return at(Token::Kind::kSign) && token_.text == sign; }
+  bool is_at(Token::Kind kind) const { return token_.kind == kind; }
+  bool is_at_punctuation(std::string_view punctuation) const {
+    return is_at(Token::Kind::kPunctuation) && token_.text == punctuation;
+  }
   void skip_line_ends() {
-    while (at(Token::Kind::kLineEnd)) advance();
+    while (is_at(Token::Kind::kLineEnd)) advance();
   }
   // To the line's end, and out of what was opened on the way.
   void skip_rest_of_field() {
-    unsigned open = 0;
-    while (!at(Token::Kind::kEnd)) {
-      if (open == 0 && (at(Token::Kind::kLineEnd) || at_sign("}"))) return;
-      if (at_sign("{") || at_sign("[")) ++open;
-      if ((at_sign("}") || at_sign("]")) && open > 0) --open;
+    unsigned open_brackets = 0;
+    while (!is_at(Token::Kind::kEnd)) {
+      if (open_brackets == 0 && (is_at(Token::Kind::kLineEnd) || is_at_punctuation("}"))) return;
+      if (is_at_punctuation("{") || is_at_punctuation("[")) ++open_brackets;
+      if ((is_at_punctuation("}") || is_at_punctuation("]")) && open_brackets > 0) --open_brackets;
       advance();
     }
   }
@@ -83,16 +85,16 @@
   // ---- Problems ----
 
   void add_problem(const std::string& wanted, const std::string& found) {
-    if (problems_.size() >= kMaxProblems || gave_up_) return give_up();
+    if (problems_.size() >= kMaxProblems || is_limit_exceeded_) return stop_parsing();
     problems_.push_back({token_.position, path(), "wanted " + wanted + ", found " + found});
   }
   [[noreturn]] void fail(const std::string& wanted) {
-    if (at(Token::Kind::kInvalid)) add_problem(token_.text, "something else");
+    if (is_at(Token::Kind::kInvalid)) add_problem(token_.text, "something else");
     else add_problem(wanted, describe(token_));
-    throw FieldAbandoned{};
+    throw FieldError{};
   }
-  void give_up() {
-    gave_up_ = true;
+  void stop_parsing() {
+    is_limit_exceeded_ = true;
     lexer_.skip_to_end();
     token_ = Token{};
   }
@@ -107,7 +109,7 @@
   NodePtr make_node(Node::Kind kind) {
     if (++node_count_ > kMaxNodes) {
       add_problem("at most " + std::to_string(kMaxNodes) + " values", "more");
-      give_up();
+      stop_parsing();
     }
     auto node = std::make_unique<Node>();
     node->kind = kind;
@@ -117,17 +119,17 @@
 
   void parse_fields(Node& record, bool is_file) {
     for (;;) {
-      while (at(Token::Kind::kLineEnd) || at_sign(",")) advance();
-      if (at(Token::Kind::kEnd)) {
+      while (is_at(Token::Kind::kLineEnd) || is_at_punctuation(",")) advance();
+      if (is_at(Token::Kind::kEnd)) {
         if (!is_file) fail("}");
         return;
       }
-      if (!is_file && at_sign("}")) return;
+      if (!is_file && is_at_punctuation("}")) return;
       const unsigned depth = depth_;
       const std::size_t path_length = path_.size();
       try {
         parse_field(record);
-      } catch (FieldAbandoned) {
+      } catch (FieldError) {
         depth_ = depth;
         path_.resize(path_length);
         skip_rest_of_field();
@@ -136,33 +138,34 @@
   }
 
   void parse_field(Node& record) {
-    if (!at(Token::Kind::kWord) && !at(Token::Kind::kString)) fail("a field's name");
+    if (!is_at(Token::Kind::kIdentifier) && !is_at(Token::Kind::kString)) fail("a field's name");
     Field field;
     field.name = token_.text;
     field.position = token_.position;
     path_.push_back(field.name);
-    refuse_duplicate(record, field.name);
+    reject_duplicate(record, field.name);
     advance();
-    if (at_sign("?")) {
+    if (is_at_punctuation("?")) {
       field.optional = true;
       advance();
     }
-    if (!at_sign(":")) fail(":");
+    if (!is_at_punctuation(":")) fail(":");
     advance();
     skip_line_ends();
     field.value = parse_disjunction();
-    const bool ended = at(Token::Kind::kLineEnd) || at(Token::Kind::kEnd) || at_sign(",") || at_sign("}");
-    if (!ended) fail("the line's end or ,");
+    const bool is_field_end = is_at(Token::Kind::kLineEnd) || is_at(Token::Kind::kEnd) ||
+                              is_at_punctuation(",") || is_at_punctuation("}");
+    if (!is_field_end) fail("the line's end or ,");
     path_.pop_back();
     record.fields.push_back(std::move(field));
   }
 
-  void refuse_duplicate(const Node& record, const std::string& name) {
+  void reject_duplicate(const Node& record, const std::string& name) {
     const Field* const first = find_field(record, name);
     if (!first) return;
     add_problem("each field once",
                 "a second " + name + " (first on line " + std::to_string(first->position.line) + ")");
-    throw FieldAbandoned{};
+    throw FieldError{};
   }
 
   // a | *b | c, or a single operand.
@@ -172,13 +175,13 @@
     std::vector<NodePtr>& operands = disjunction->operands;
     do {
       if (!operands.empty()) skip_operator();
-      if (at_sign("*")) {
+      if (is_at_punctuation("*")) {
         if (disjunction->default_index) fail("one default");
         disjunction->default_index = operands.size();
         advance();
       }
       operands.push_back(parse_conjunction());
-    } while (at_sign("|"));
+    } while (is_at_punctuation("|"));
     --depth_;
     if (operands.size() == 1 && !disjunction->default_index) return std::move(operands[0]);
     return disjunction;
@@ -191,7 +194,7 @@
     do {
       if (!operands.empty()) skip_operator();
       operands.push_back(parse_operand());
-    } while (at_sign("&"));
+    } while (is_at_punctuation("&"));
     if (operands.size() == 1) return std::move(operands[0]);
     return conjunction;
   }
@@ -202,20 +205,20 @@
   }
 
   NodePtr parse_operand() {
-    if (at_sign("(")) return parse_parenthesis();
-    if (at_sign("{")) return parse_record();
-    if (at_sign("[")) return parse_list();
+    if (is_at_punctuation("(")) return parse_parenthesis();
+    if (is_at_punctuation("{")) return parse_record();
+    if (is_at_punctuation("[")) return parse_list();
     if (const auto bound = bound_operator(token_)) return parse_bound(*bound);
-    if (at(Token::Kind::kString)) return parse_string();
-    if (at(Token::Kind::kNumber)) return parse_number();
-    if (at(Token::Kind::kWord)) return parse_word();
+    if (is_at(Token::Kind::kString)) return parse_string();
+    if (is_at(Token::Kind::kNumber)) return parse_number();
+    if (is_at(Token::Kind::kIdentifier)) return parse_identifier();
     fail("a value");
   }
 
   NodePtr parse_parenthesis() {
     advance();
     NodePtr inside = parse_disjunction();
-    if (!at_sign(")")) fail(")");
+    if (!is_at_punctuation(")")) fail(")");
     advance();
     return inside;
   }
@@ -225,7 +228,7 @@
     node->bound = bound;
     node->text = token_.text;
     advance();
-    if (!at(Token::Kind::kNumber) && !at(Token::Kind::kString)) fail("a figure");
+    if (!is_at(Token::Kind::kNumber) && !is_at(Token::Kind::kString)) fail("a figure");
     node->operands.push_back(parse_operand());
     return node;
   }
@@ -252,7 +255,7 @@
   }
 
   // true, false, a type or a reference to a definition.
-  NodePtr parse_word() {
+  NodePtr parse_identifier() {
     NodePtr node = make_node(Node::Kind::kReference);
     node->text = token_.text;
     if (node->text == "true" || node->text == "false") {
@@ -280,8 +283,8 @@
     NodePtr node = make_node(Node::Kind::kList);
     advance();
     skip_line_ends();
-    while (!at_sign("]")) {
-      if (at_sign("...")) {
+    while (!is_at_punctuation("]")) {
+      if (is_at_punctuation("...")) {
         advance();
         node->further_items = parse_disjunction();
       } else {
@@ -290,8 +293,8 @@
         path_.pop_back();
       }
       skip_line_ends();
-      if (at_sign(",") && !node->further_items) skip_operator();
-      else if (!at_sign("]")) fail("] or ,");
+      if (is_at_punctuation(",") && !node->further_items) skip_operator();
+      else if (!is_at_punctuation("]")) fail("] or ,");
     }
     advance();
     return node;
@@ -301,7 +304,7 @@
   Token token_;
   std::size_t node_count_ = 0;
   unsigned depth_ = 0;  // of nested disjunctions, which bounds the stack
-  bool gave_up_ = false;
+  bool is_limit_exceeded_ = false;
   std::vector<std::string> path_;  // of the field at hand
   std::vector<Problem> problems_;
 };
--- a/src/records/parser.hpp
+++ b/src/records/parser.hpp
@@ -13,7 +13,7 @@
 
 namespace ashbeam::records {
 
-enum class ScalarType : std::uint8_t { kString, kInteger, kNumber, kBool, kSpan };
+enum class ScalarType : std::uint8_t { kString, kInteger, kNumber, kBool, kDuration };
 
 enum class BoundOperator : std::uint8_t { kNotEqual, kLess, kLessOrEqual, kGreater, kGreaterOrEqual };
 
--- a/src/records/problem.cpp
+++ b/src/records/problem.cpp
@@ -10,7 +10,7 @@
 
 }  // namespace
 
-std::string problem_report(std::string_view name, const std::vector<Problem>& problems) {
+std::string format_problems(std::string_view name, const std::vector<Problem>& problems) {
   std::string report;
   for (const Problem& problem : problems) {
     if (!report.empty()) report += '\n';
--- a/src/records/problem.hpp
+++ b/src/records/problem.hpp
@@ -19,7 +19,7 @@
 };
 
 // "name:line:column: path: wanted X, found Y", a line each.
-std::string problem_report(std::string_view name, const std::vector<Problem>& problems);
+std::string format_problems(std::string_view name, const std::vector<Problem>& problems);
 
 // The path of a record's field; the file itself has an empty one.
 std::string field_path(const std::string& record_path, const std::string& name);
--- a/src/records/resolver.cpp
+++ b/src/records/resolver.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-bool same_scalar(const Value& a, const Value& b) {
+bool are_scalars_equal(const Value& a, const Value& b) {
   return a.kind == b.kind && a.text == b.text && a.number == b.number && a.boolean == b.boolean;
 }
 
-Value scalar(const Node& node, Value::Kind kind) {
+Value make_value(const Node& node, Value::Kind kind) {
   Value value;
   value.kind = kind;
   value.position = node.position;
@@ -23,11 +23,11 @@
 }  // namespace
 
 Value Resolver::resolve(const Node& node, const std::string& path) {
-  Value value = scalar(node, Value::Kind::kNone);
-  if (gave_up_) return value;
+  Value value = make_value(node, Value::Kind::kNone);
+  if (is_limit_exceeded_) return value;
   // References can double the values with each step.
   if (++value_count_ > kMaxNodes) {
-    gave_up_ = true;
+    is_limit_exceeded_ = true;
     add_problem(node.position, path, "at most " + std::to_string(kMaxNodes) + " values", "more");
     return value;
   }
@@ -64,20 +64,20 @@
 }
 
 Value Resolver::resolve_record(const Node& node, const std::string& path) {
-  Value record = scalar(node, Value::Kind::kRecord);
+  Value record = make_value(node, Value::Kind::kRecord);
   for (const Field& field : node.fields) {
     const bool is_definition = field.name[0] == '#';
     if (is_definition) continue;
-    const std::string inside = field_path(path, field.name);
-    if (field.optional) add_problem(field.position, inside, "a value", "an optional field");
-    record.fields.push_back({field.name, resolve(*field.value, inside)});
+    const std::string field_path_in_file = field_path(path, field.name);
+    if (field.optional) add_problem(field.position, field_path_in_file, "a value", "an optional field");
+    record.fields.push_back({field.name, resolve(*field.value, field_path_in_file)});
     record.fields.back().value.name_position = field.position;
   }
   return record;
 }
 
 Value Resolver::resolve_list(const Node& node, const std::string& path) {
-  Value list = scalar(node, Value::Kind::kList);
+  Value list = make_value(node, Value::Kind::kList);
   if (node.further_items) add_problem(node.position, path, "a list's items", "an open list");
   for (const NodePtr& item : node.operands) {
     list.items.push_back(resolve(*item, path + "." + std::to_string(list.items.size())));
@@ -86,26 +86,26 @@
 }
 
 Value Resolver::resolve_reference(const Node& node, const std::string& path) {
-  Value nothing = scalar(node, Value::Kind::kNone);
+  Value unresolved = make_value(node, Value::Kind::kNone);
   const Field* const definition = find_field(root_, node.text);
   if (!definition) {
     add_problem(node.position, path, "a definition of this file", node.text);
-    return nothing;
+    return unresolved;
   }
-  const bool is_open =
-      std::find(open_references_.begin(), open_references_.end(), definition) != open_references_.end();
-  if (is_open) {
+  const bool is_recursive =
+      std::find(active_references_.begin(), active_references_.end(), definition) != active_references_.end();
+  if (is_recursive) {
     add_problem(node.position, path, "no definition within itself", node.text);
-    return nothing;
+    return unresolved;
   }
-  if (open_references_.size() >= kMaxDepth) {
+  if (active_references_.size() >= kMaxDepth) {
     add_problem(node.position, path, "at most " + std::to_string(kMaxDepth) + " levels", node.text);
-    return nothing;
+    return unresolved;
   }
-  open_references_.push_back(definition);
+  active_references_.push_back(definition);
   Value value = resolve(*definition->value, path);
   value.position = node.position;
-  open_references_.pop_back();
+  active_references_.pop_back();
   return value;
 }
 
@@ -123,12 +123,12 @@
 Value Resolver::resolve_disjunction(const Node& node, const std::string& path) {
   if (node.default_index) return resolve(*node.operands[*node.default_index], path);
   add_problem(node.position, path, "a value", "alternatives");
-  return scalar(node, Value::Kind::kNone);
+  return make_value(node, Value::Kind::kNone);
 }
 
 void Resolver::merge(Value& into, Value from, const std::string& path) {
   if (into.kind != Value::Kind::kRecord || from.kind != Value::Kind::kRecord) {
-    if (into.kind == Value::Kind::kList || !same_scalar(into, from)) {
+    if (into.kind == Value::Kind::kList || !are_scalars_equal(into, from)) {
       add_problem(from.position, path, describe(into) + " as before", describe(from));
     }
     return;
--- a/src/records/resolver.hpp
+++ b/src/records/resolver.hpp
@@ -32,9 +32,9 @@
 
   const Node& root_;
   std::vector<Problem>& problems_;
-  std::vector<const Field*> open_references_;  // being resolved
+  std::vector<const Field*> active_references_;  // being resolved
   std::size_t value_count_ = 0;
-  bool gave_up_ = false;
+  bool is_limit_exceeded_ = false;
 };
 
 }  // namespace ashbeam::records
--- a/src/records/schema.cpp
+++ b/src/records/schema.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-std::string field_names(const Node& record) {
+std::string join_field_names(const Node& record) {
   std::string names;
   for (const Field& field : record.fields) names.append(names.empty() ? "" : ", ").append(field.name);
   return names;
@@ -25,21 +25,22 @@
  public:
   SchemaChecker(const Node& schema, std::vector<Problem>& problems) : schema_(schema), problems_(problems) {}
 
-  // The value with its defaults, as far as it meets `wanted`; a problem for what does not.
-  Value unify(const Node& wanted, Value value, const std::string& path) {
-    switch (wanted.kind) {
+  // The value with its defaults, as far as it meets `constraint`; a problem for what does not.
+  Value unify(const Node& constraint, Value value, const std::string& path) {
+    switch (constraint.kind) {
       case Node::Kind::kReference:
-        return unify(definition(wanted), std::move(value), path);
+        return unify(definition(constraint), std::move(value), path);
       case Node::Kind::kConjunction:
-        return unify_conjunction(wanted, std::move(value), path);
+        return unify_conjunction(constraint, std::move(value), path);
       case Node::Kind::kDisjunction:
-        return unify_disjunction(wanted, std::move(value), path);
+        return unify_disjunction(constraint, std::move(value), path);
       case Node::Kind::kRecord:
-        return unify_record(wanted, std::move(value), path);
+        return unify_record(constraint, std::move(value), path);
       case Node::Kind::kList:
-        return unify_list(wanted, std::move(value), path);
+        return unify_list(constraint, std::move(value), path);
       default:
-        if (!satisfies(wanted, value)) add_problem(value.position, path, describe(wanted), describe(value));
+        if (!satisfies(constraint, value))
+          add_problem(value.position, path, describe(constraint), describe(value));
         return value;
     }
   }
@@ -57,24 +58,25 @@
     return *field->value;
   }
 
-  Value unify_conjunction(const Node& wanted, Value value, const std::string& path) {
-    for (const NodePtr& operand : wanted.operands) {
-      const std::size_t before = problems_.size();
+  Value unify_conjunction(const Node& constraint, Value value, const std::string& path) {
+    for (const NodePtr& operand : constraint.operands) {
+      const std::size_t problems_before = problems_.size();
       value = unify(*operand, std::move(value), path);
-      if (problems_.size() != before) break;  // one problem is enough
+      if (problems_.size() != problems_before) break;  // one problem is enough
     }
     return value;
   }
 
   // The first alternative that leaves no problem. Where none does, the problems of the nearest are reported
   // for a record or a list, and the alternatives for a scalar.
-  Value unify_disjunction(const Node& wanted, Value value, const std::string& path) {
-    if (!value.given() && wanted.default_index) return default_of(wanted, value.position, path);
+  Value unify_disjunction(const Node& constraint, Value value, const std::string& path) {
+    if (!value.is_given() && constraint.default_index)
+      return resolve_default(constraint, value.position, path);
     std::vector<Problem> outer_problems;
     outer_problems.swap(problems_);
     std::vector<Problem> fewest_problems;
     const bool is_compound = value.kind == Value::Kind::kRecord || value.kind == Value::Kind::kList;
-    for (const NodePtr& alternative : wanted.operands) {
+    for (const NodePtr& alternative : constraint.operands) {
       problems_.clear();
       Value unified = unify(*alternative, value, path);
       if (problems_.empty()) {
@@ -85,14 +87,14 @@
       if (is_compound && is_nearer) fewest_problems = problems_;
     }
     problems_.swap(outer_problems);
-    if (fewest_problems.empty()) add_problem(value.position, path, describe(wanted), describe(value));
+    if (fewest_problems.empty()) add_problem(value.position, path, describe(constraint), describe(value));
     for (Problem& problem : fewest_problems) {
       if (problems_.size() < kMaxProblems) problems_.push_back(std::move(problem));
     }
     return value;
   }
 
-  Value default_of(const Node& disjunction, Position position, const std::string& path) const {
+  Value resolve_default(const Node& disjunction, Position position, const std::string& path) const {
     std::vector<Problem> problems;
     const Node& operand = *disjunction.operands[*disjunction.default_index];
     Value value = Resolver(schema_, problems).resolve(operand, path);
@@ -101,21 +103,21 @@
     return value;
   }
 
-  Value unify_record(const Node& wanted, Value value, const std::string& path) {
-    if (!value.given()) value.kind = Value::Kind::kRecord;  // made of its fields' defaults
+  Value unify_record(const Node& constraint, Value value, const std::string& path) {
+    if (!value.is_given()) value.kind = Value::Kind::kRecord;  // made of its fields' defaults
     if (value.kind != Value::Kind::kRecord) {
       add_problem(value.position, path, "a record", describe(value));
       return value;
     }
-    refuse_unknown_fields(wanted, value, path);
+    reject_unknown_fields(constraint, value, path);
     std::vector<NamedValue> unified;
-    for (const Field& field : wanted.fields) {
+    for (const Field& field : constraint.fields) {
       Value given;
       given.position = value.position;
       for (NamedValue& named : value.fields) {
         if (named.name == field.name) given = std::move(named.value);
       }
-      if (given.given() || !field.optional) {
+      if (given.is_given() || !field.optional) {
         given = unify(*field.value, std::move(given), field_path(path, field.name));
       }
       unified.push_back({field.name, std::move(given)});
@@ -124,29 +126,30 @@
     return value;
   }
 
-  void refuse_unknown_fields(const Node& wanted, const Value& record, const std::string& path) {
+  void reject_unknown_fields(const Node& constraint, const Value& record, const std::string& path) {
     for (const NamedValue& field : record.fields) {
-      if (find_field(wanted, field.name)) continue;
-      add_problem(field.value.name_position, field_path(path, field.name), "one of " + field_names(wanted),
-                  "the field " + field.name);
+      if (find_field(constraint, field.name)) continue;
+      add_problem(field.value.name_position, field_path(path, field.name),
+                  "one of " + join_field_names(constraint), "the field " + field.name);
     }
   }
 
-  Value unify_list(const Node& wanted, Value value, const std::string& path) {
-    if (!value.given() && wanted.operands.empty()) value.kind = Value::Kind::kList;
+  Value unify_list(const Node& constraint, Value value, const std::string& path) {
+    if (!value.is_given() && constraint.operands.empty()) value.kind = Value::Kind::kList;
     if (value.kind != Value::Kind::kList) {
       add_problem(value.position, path, "a list", describe(value));
       return value;
     }
     for (std::size_t i = 0; i < value.items.size(); ++i) {
       Value& item = value.items[i];
-      const NodePtr& constraint = i < wanted.operands.size() ? wanted.operands[i] : wanted.further_items;
+      const NodePtr& item_constraint =
+          i < constraint.operands.size() ? constraint.operands[i] : constraint.further_items;
       const std::string item_path = path + "." + std::to_string(i);
-      if (constraint) item = unify(*constraint, std::move(item), item_path);
+      if (item_constraint) item = unify(*item_constraint, std::move(item), item_path);
       else add_problem(item.position, item_path, "no further item", describe(item));
     }
-    if (value.items.size() < wanted.operands.size()) {
-      add_problem(value.position, path, std::to_string(wanted.operands.size()) + " items",
+    if (value.items.size() < constraint.operands.size()) {
+      add_problem(value.position, path, std::to_string(constraint.operands.size()) + " items",
                   std::to_string(value.items.size()));
     }
     return value;
@@ -193,23 +196,24 @@
 
 }  // namespace
 
-CheckedFile check(std::string_view schema, std::string_view definition, std::string_view file) {
+CheckedFile check_against_schema(std::string_view schema, std::string_view definition,
+                                 std::string_view file) {
   const ParsedText parsed_schema = parse(schema);
   if (!parsed_schema.problems.empty()) {
-    throw std::logic_error("schema: " + problem_report("schema", parsed_schema.problems));
+    throw std::logic_error("schema: " + format_problems("schema", parsed_schema.problems));
   }
-  const Field* const whole_file = find_field(*parsed_schema.root, definition);
-  if (!whole_file) throw std::logic_error("schema: no definition " + std::string(definition));
+  const Field* const file_constraint = find_field(*parsed_schema.root, definition);
+  if (!file_constraint) throw std::logic_error("schema: no definition " + std::string(definition));
   CheckedFile checked;
   ParsedText parsed = parse(file);
   checked.problems = std::move(parsed.problems);
-  const bool well_formed = checked.problems.empty();
+  const bool is_well_formed = checked.problems.empty();
   Value concrete = Resolver(*parsed.root, checked.problems).resolve(*parsed.root, "");
   concrete.position = {1, 1};
   // What could not be parsed is not reported again as missing.
-  if (well_formed) {
+  if (is_well_formed) {
     checked.value = SchemaChecker(*parsed_schema.root, checked.problems)
-                        .unify(*whole_file->value, std::move(concrete), "");
+                        .unify(*file_constraint->value, std::move(concrete), "");
   }
   std::stable_sort(checked.problems.begin(), checked.problems.end(), is_before);
   return checked;
--- a/src/records/schema.hpp
+++ b/src/records/schema.hpp
@@ -15,6 +15,6 @@
 
 // `schema` is one of the program's own: throws std::logic_error where it is at fault. `definition` names the
 // record that the file as a whole is to be, like "#File".
-CheckedFile check(std::string_view schema, std::string_view definition, std::string_view file);
+CheckedFile check_against_schema(std::string_view schema, std::string_view definition, std::string_view file);
 
 }  // namespace ashbeam::records
--- a/src/records/value.cpp
+++ b/src/records/value.cpp
@@ -7,16 +7,16 @@
 
 namespace {
 
-constexpr double kMaxSpanUs = 1000 * 86400e6;
+constexpr double kMaxDurationUs = 1000 * 86400e6;
 
-std::string number_text(double number) {
+std::string format_number(double number) {
   char text[32];
   const auto [end, error] = std::to_chars(text, text + sizeof text, number);
   return error == std::errc() ? std::string(text, end) : "?";
 }
 
 // Microseconds; 0 where there is no such unit.
-double unit_us(std::string_view unit) {
+double microseconds_per_unit(std::string_view unit) {
   if (unit == "us") return 1;
   if (unit == "ms") return 1e3;
   if (unit == "s") return 1e6;
@@ -28,22 +28,22 @@
 }  // namespace
 
 const Value& Value::operator[](std::string_view name) const {
-  static const Value kNothing;
+  static const Value kNotGiven;
   for (const NamedValue& field : fields) {
     if (field.name == name) return field.value;
   }
-  return kNothing;
+  return kNotGiven;
 }
 
-Duration Value::span() const { return parse_span(text).value_or(Duration()); }
+Duration Value::duration() const { return parse_duration(text).value_or(Duration()); }
 
-std::optional<Duration> parse_span(std::string_view text) {
+std::optional<Duration> parse_duration(std::string_view text) {
   double count = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), count);
-  const double unit = unit_us(text.substr(static_cast<std::size_t>(end - text.data())));
+  const double unit = microseconds_per_unit(text.substr(static_cast<std::size_t>(end - text.data())));
   if (error != std::errc() || unit == 0) return std::nullopt;
   const double us = count * unit;
-  const bool in_range = count >= 0 && us <= kMaxSpanUs;  // false for a NaN
+  const bool in_range = count >= 0 && us <= kMaxDurationUs;  // false for a NaN
   if (!in_range) return std::nullopt;
   return Duration::us(std::llround(us));
 }
@@ -55,7 +55,7 @@
     case Value::Kind::kString:
       return quoted(value.text);
     case Value::Kind::kNumber:
-      return number_text(value.number);
+      return format_number(value.number);
     case Value::Kind::kBool:
       return value.boolean ? "true" : "false";
     case Value::Kind::kRecord:
--- a/src/records/value.hpp
+++ b/src/records/value.hpp
@@ -27,9 +27,9 @@
 
   // A field of a record that the schema names; kNone for an optional one that is not given.
   const Value& operator[](std::string_view name) const;
-  bool given() const { return kind != Kind::kNone; }
+  bool is_given() const { return kind != Kind::kNone; }
   // Of a checked span's text; zero where it is none.
-  Duration span() const;
+  Duration duration() const;
 };
 
 struct NamedValue {
@@ -38,7 +38,7 @@
 };
 
 // "250ms", "5s", "1.5m", "24h"; nothing where the text is no span, or longer than 1,000 days.
-std::optional<Duration> parse_span(std::string_view text);
+std::optional<Duration> parse_duration(std::string_view text);
 
 // The value as problems name it.
 std::string describe(const Value& value);
--- a/src/routing/client_connection.cpp
+++ b/src/routing/client_connection.cpp
@@ -11,7 +11,7 @@
     : owner_(owner), slot_(slot), serial_number_(++owner.last_serial_number_),
       state_since_(owner.loop_.now()),
       connection_(owner.loop_, owner.limits_, *this, accepted, std::move(tls)),
-      requests_(http::Side::kRequests, owner.limits_.max_head_bytes, owner.limits_.max_body_bytes),
+      requests_(http::MessageType::kRequest, owner.limits_.max_head_bytes, owner.limits_.max_body_bytes),
       timer_(owner.loop_, [this] { on_timer(); }) {
   timer_.schedule_after(connection_.handshaking() ? owner_.handshake_timeout_()
                                                   : owner_.limits_.first_request_timeout);
@@ -39,11 +39,11 @@
 void ClientConnection::read_request() {
   std::string_view bytes = connection_.unread();
   const std::size_t unread = bytes.size();
-  const bool had_begun = requests_.started();
+  const bool had_begun = requests_.has_started();
   const auto got = requests_.feed(bytes);
   connection_.consume(unread - bytes.size());
   if (got == http::ParseResult::kIncomplete) {
-    if (!had_begun && requests_.started()) {
+    if (!had_begun && requests_.has_started()) {
       state_since_ = owner_.loop_.now();
       if (answered_once_) timer_.schedule_after(owner_.limits_.request_read_timeout);
     }
@@ -91,7 +91,7 @@
   state_since_ = owner_.loop_.now();
   if (close_after_answer_) return linger();
   answered_once_ = true;
-  requests_.start_next();
+  requests_.start_next_message();
   if (answered_client_error_) {  // slows down a client that repeats a bad request at once
     state_ = State::kDelayed;
     return timer_.schedule_after(owner_.limits_.bad_request_delay);
@@ -133,7 +133,8 @@
     state_ = State::kReading;
     if (connection_.unread().empty()) return wait_for_next_request();
   }
-  if (state_ == State::kReading && !connection_.unread().empty() && !requests_.started()) return on_data();
+  if (state_ == State::kReading && !connection_.unread().empty() && !requests_.has_started())
+    return on_data();
   if (request_begun()) {
     state_ = State::kAwaitingAnswer;
     close_after_answer_ = true;
--- a/src/routing/client_connection.hpp
+++ b/src/routing/client_connection.hpp
@@ -67,9 +67,9 @@
   void linger();
   // Ends the connection between two requests.
   void close_idle();
-  bool request_begun() const { return state_ == State::kReading && requests_.started(); }
+  bool request_begun() const { return state_ == State::kReading && requests_.has_started(); }
   bool kept_alive() const { return state_ == State::kReading && answered_once_; }
-  bool between_requests() const { return kept_alive() && !requests_.started(); }
+  bool between_requests() const { return kept_alive() && !requests_.has_started(); }
 
   ClientConnections& owner_;
   std::size_t slot_;
--- a/src/routing/client_connections.cpp
+++ b/src/routing/client_connections.cpp
@@ -141,7 +141,7 @@
   const Instant now = loop_.now();
   for (const auto& connection : connections_) {
     const bool reading =
-        connection->state_ == ClientConnection::State::kReading && !connection->requests_.started();
+        connection->state_ == ClientConnection::State::kReading && !connection->requests_.has_started();
     const bool delayed = connection->state_ == ClientConnection::State::kDelayed;
     const bool idle_long_enough =
         connection->answered_once_ || now - connection->state_since_ >= limits_.min_idle_before_close;
--- a/src/routing/discovery_client.cpp
+++ b/src/routing/discovery_client.cpp
@@ -38,7 +38,7 @@
 DiscoveryClient::DiscoveryClient(EventLoop& loop, const Limits& limits, std::string address,
                                  DetailLog& detail_log, Observer& observer)
     : loop_(loop), limits_(limits), address_(std::move(address)), detail_log_(detail_log),
-      observer_(observer), head_(http::Side::kAnswers, limits.max_head_bytes),
+      observer_(observer), head_(http::MessageType::kResponse, limits.max_head_bytes),
       body_(std::numeric_limits<std::size_t>::max()), lines_(limits.max_discovery_line_bytes),
       silence_timer_(loop, [this] { on_silence(); }),
       stall_timer_(loop, [this] { replace(WatchEndReason::kStalled); }) {}
@@ -146,7 +146,7 @@
 }
 
 bool DiscoveryClient::line_begun() const {
-  return in_body_ && (!established_ || lines_.has_partial_line() || body_.inside_chunk());
+  return in_body_ && (!established_ || lines_.has_partial_line() || body_.is_inside_chunk());
 }
 
 void DiscoveryClient::watch_for_stall() {
@@ -205,9 +205,9 @@
     return false;
   }
   if (head_.has_token("Transfer-Encoding", "chunked")) {
-    body_.expect_chunks();
+    body_.expect_chunked();
   } else {
-    body_.expect_until_stream_ends();
+    body_.expect_until_close();
   }
   in_body_ = true;
   return true;
--- a/src/routing/endpoint_pools.cpp
+++ b/src/routing/endpoint_pools.cpp
@@ -29,7 +29,7 @@
   PooledConnection(EndpointPools& pools, EndpointIndex endpoint, std::size_t slot)
       : pools_(pools), endpoint_(endpoint), slot_(slot),
         connection_(pools.loop_, pools.limits_, *this, pools.pools_[endpoint].address),
-        answers_(http::Side::kAnswers, pools.limits_.max_head_bytes, pools.limits_.max_body_bytes),
+        answers_(http::MessageType::kResponse, pools.limits_.max_head_bytes, pools.limits_.max_body_bytes),
         timer_(pools.loop_, [this] { on_timer(); }) {}
 
   EndpointIndex endpoint() const { return endpoint_; }
@@ -52,7 +52,7 @@
   void send(MakeBytes make_bytes, Instant until, OnEnd on_end) {
     on_end_ = std::move(on_end);
     until_ = until;
-    answers_.start_next();
+    answers_.start_next_message();
     if (!connection_.connecting()) {
       timer_.schedule_at(until);
       connection_.write(make_bytes(until));
@@ -102,7 +102,7 @@
   void on_closed() override {
     if (!in_flight()) return pools_.remove(this);
     // Only an end in order ends a body without a length: a reset may come in the middle of it.
-    if (!connection_.broken() && answers_.end_of_stream() == http::ParseResult::kComplete)
+    if (!connection_.broken() && answers_.on_end_of_stream() == http::ParseResult::kComplete)
       return on_answer(false);
     finish(unless_unwritten(AttemptResult::kReset));
   }
--- a/src/routing/header_forwarding.cpp
+++ b/src/routing/header_forwarding.cpp
@@ -32,7 +32,7 @@
 
 bool contains(const auto& names, std::string_view name) {
   return std::any_of(std::begin(names), std::end(names),
-                     [name](std::string_view one) { return http::field_names_equal(name, one); });
+                     [name](std::string_view one) { return http::equals_ignoring_case(name, one); });
 }
 
 }  // namespace
@@ -56,10 +56,10 @@
   std::string lines;
   for (const http::Field& field : head.fields()) {
     if (!is_forwarded(head, field.name) || names_principal(field.name)) continue;
-    if (hide_token && http::field_names_equal(field.name, "Authorization")) continue;
+    if (hide_token && http::equals_ignoring_case(field.name, "Authorization")) continue;
     lines += field.line;
   }
-  if (!principal.empty()) lines += header::line(header::kPrincipal, principal);
+  if (!principal.empty()) lines += header::field_line(header::kPrincipal, principal);
   return lines;
 }
 
--- a/src/routing/metadata_check.cpp
+++ b/src/routing/metadata_check.cpp
@@ -10,7 +10,7 @@
 
 std::string decode_chunks(std::string_view bytes, std::size_t max_body_bytes) {
   http::Body body(max_body_bytes);
-  body.expect_chunks();
+  body.expect_chunked();
   std::string raw;
   std::string plain;
   body.feed(bytes, raw, &plain);
--- a/src/routing/release_client.cpp
+++ b/src/routing/release_client.cpp
@@ -45,7 +45,7 @@
 void ReleaseClient::call(const char* method, const std::string& params, CallKind kind) {
   const bool is_vote = kind == CallKind::kVote;
   calls_.push_back({next_call_id_, is_vote, loop_.now() + limits_.platform_answer_timeout});
-  connection_->write(json_rpc_request(next_call_id_++, method, params));
+  connection_->write(make_json_rpc_request(next_call_id_++, method, params));
   if (is_vote && !answer_timer_.is_scheduled()) answer_timer_.schedule_at(calls_.back().deadline);
 }
 
--- a/src/routing/request_authorization.cpp
+++ b/src/routing/request_authorization.cpp
@@ -67,7 +67,7 @@
 
 void RequestAuthorization::refuse(ClientConnection& client, calling::Refusal reason, Duration retry_after) {
   if (authorizer_ && !log_timer_.is_scheduled()) log_timer_.schedule_after(kLogInterval);
-  const std::string refused_line = header::line(header::kRefusalReason, calling::name_of(reason));
+  const std::string refused_line = header::field_line(header::kRefusalReason, calling::name_of(reason));
   const unsigned status = calling::http_status_of(reason);
   if (status == 403) return client.answer_plain(status, refused_line);
   if (status == 401) return client.answer_plain(status, challenge_line(reason));
--- a/src/routing/request_lifecycle.cpp
+++ b/src/routing/request_lifecycle.cpp
@@ -21,7 +21,7 @@
 constexpr unsigned kGatewayTimeoutStatus = 504;
 
 std::string refused_line(const MetadataRequest& metadata) {
-  return header::line(header::kRefusalReason, metadata.refusal);
+  return header::field_line(header::kRefusalReason, metadata.refusal);
 }
 
 }  // namespace
@@ -68,7 +68,7 @@
 std::string RequestLifecycle::attempt_bytes(RequestId id, Instant until) {
   const AcceptedRequest& request = requests_[id].accepted;
   const std::int64_t left_ms = std::max<std::int64_t>(0, (until - context_.loop.now()).us() / 1000);
-  const std::string time_left = header::line(header::kTimeLeftMs, std::to_string(left_ms));
+  const std::string time_left = header::field_line(header::kTimeLeftMs, std::to_string(left_ms));
   std::string bytes;
   bytes.reserve(request.head.size() + time_left.size() + kLineEnd.size() + request.body.size());
   bytes.append(request.head).append(time_left).append(kLineEnd).append(request.body);
@@ -134,7 +134,7 @@
   ClientConnection* const client = take_client(id);
   if (!client) return false;
   std::string fields = forwarded_lines(answer.head());
-  if (answer.body_ends_with_stream())
+  if (answer.is_body_close_delimited())
     fields += "Content-Length: " + std::to_string(answer.raw_body().size()) + "\r\n";
   client->answer(status, fields, answer.raw_body());
   return true;
--- a/src/simhost/codes.hpp
+++ b/src/simhost/codes.hpp
@@ -37,11 +37,11 @@
   kFault = 10,
   kWatchEndpoints = 11,
   kCastVote = 13,
-  kSpeakingRouter = 14
+  kActingRouter = 14
 };
 
 // What became of an attempt, or of a vote.
-enum class Verdict : std::uint16_t {
+enum class ResultCode : std::uint16_t {
   kOk = 200,
   kTimeout = 408,
   kCancelledBeforeSent = 409,  // of a vote: its condition has failed
@@ -57,9 +57,9 @@
 constexpr ListMode kLastListMode = ListMode::kWatchFailed;
 
 // An endpoint's state in a row of a list; everything else is removed.
-enum class RowState : std::uint8_t { kReady = 1, kDraining = 2 };
+enum class EndpointStateCode : std::uint8_t { kReady = 1, kDraining = 2 };
 
-enum class PhaseCode : std::uint8_t { kCanary, kRollingBack, kReleased, kWithdrawn };
+enum class ReleasePhaseCode : std::uint8_t { kCanary, kRollingBack, kReleased, kWithdrawn };
 
 enum class VoteCode : std::uint8_t { kAbstain, kPromote, kPause, kAbort };
 
--- a/src/simhost/events.cpp
+++ b/src/simhost/events.cpp
@@ -7,70 +7,70 @@
 
 namespace {
 
-AttemptResult attempt_result(std::uint16_t verdict, const Reader& reader) {
-  switch (static_cast<Verdict>(verdict)) {
-    case Verdict::kOk:
+AttemptResult attempt_result(std::uint16_t result_code, const Reader& reader) {
+  switch (static_cast<ResultCode>(result_code)) {
+    case ResultCode::kOk:
       return AttemptResult::kOk;
-    case Verdict::kError:
+    case ResultCode::kError:
       return AttemptResult::kError;
-    case Verdict::kRejected:
+    case ResultCode::kRejected:
       return AttemptResult::kRejected;
-    case Verdict::kTimeout:
+    case ResultCode::kTimeout:
       return AttemptResult::kTimeout;
-    case Verdict::kConnectFailed:
+    case ResultCode::kConnectFailed:
       return AttemptResult::kConnectFailed;
-    case Verdict::kReset:
+    case ResultCode::kReset:
       return AttemptResult::kReset;
-    case Verdict::kCancelled:
+    case ResultCode::kCancelled:
       return AttemptResult::kCancelled;
-    case Verdict::kCancelledBeforeSent:
+    case ResultCode::kCancelledBeforeSent:
       return AttemptResult::kCancelledBeforeSent;
   }
-  reader.fail("unknown verdict " + std::to_string(verdict));
+  reader.fail("unknown result code " + std::to_string(result_code));
 }
 
-VoteOutcome vote_outcome(std::uint16_t verdict, const Reader& reader) {
-  switch (static_cast<Verdict>(verdict)) {
-    case Verdict::kOk:
+VoteOutcome vote_outcome(std::uint16_t result_code, const Reader& reader) {
+  switch (static_cast<ResultCode>(result_code)) {
+    case ResultCode::kOk:
       return VoteOutcome::kAccepted;
-    case Verdict::kCancelledBeforeSent:
+    case ResultCode::kCancelledBeforeSent:
       return VoteOutcome::kConditionFailed;
-    case Verdict::kRejected:
+    case ResultCode::kRejected:
       return VoteOutcome::kThrottled;
-    case Verdict::kError:
+    case ResultCode::kError:
       return VoteOutcome::kFailed;
-    case Verdict::kTimeout:
+    case ResultCode::kTimeout:
       return VoteOutcome::kUnknown;
     default:
-      reader.fail("unknown vote verdict " + std::to_string(verdict));
+      reader.fail("unknown vote result code " + std::to_string(result_code));
   }
 }
 
 ReleasePhase release_phase(std::uint8_t code, const Reader& reader) {
-  switch (static_cast<PhaseCode>(code)) {
-    case PhaseCode::kCanary:
+  switch (static_cast<ReleasePhaseCode>(code)) {
+    case ReleasePhaseCode::kCanary:
       return ReleasePhase::kCanary;
-    case PhaseCode::kRollingBack:
+    case ReleasePhaseCode::kRollingBack:
       return ReleasePhase::kRollingBack;
-    case PhaseCode::kReleased:
+    case ReleasePhaseCode::kReleased:
       return ReleasePhase::kReleased;
-    case PhaseCode::kWithdrawn:
+    case ReleasePhaseCode::kWithdrawn:
       return ReleasePhase::kWithdrawn;
   }
   reader.fail("unknown release phase " + std::to_string(code));
 }
 
 EndpointState endpoint_state(std::uint8_t code) {
-  switch (static_cast<RowState>(code)) {
-    case RowState::kReady:
+  switch (static_cast<EndpointStateCode>(code)) {
+    case EndpointStateCode::kReady:
       return EndpointState::kReady;
-    case RowState::kDraining:
+    case EndpointStateCode::kDraining:
       return EndpointState::kDraining;
   }
   return EndpointState::kRemoved;
 }
 
-std::size_t checked_list_buffer(std::uint8_t buffer, const Reader& reader) {
+std::size_t check_list_buffer(std::uint8_t buffer, const Reader& reader) {
   if (buffer >= kListBuffers) reader.fail("list buffer " + std::to_string(buffer) + " out of range");
   return buffer;
 }
@@ -97,7 +97,7 @@
   }
   if (static_cast<ListMode>(mode) == ListMode::kWatchFailed) return EndpointWatchFailedEvent{};
   return EndpointListEvent{static_cast<ListMode>(mode) != ListMode::kChanges,
-                           checked_list_buffer(buffer, reader)};
+                           check_list_buffer(buffer, reader)};
 }
 
 Event read_request(Reader& reader) {
@@ -117,7 +117,7 @@
   reader.u8();   // attempt
   reader.address();
   reader.f64();  // not used
-  return UnusedEvent{};
+  return IgnoredEvent{};
 }
 
 Event read_attempt_end(Reader& reader) {
@@ -133,17 +133,17 @@
 }
 
 Event read_load_report(Reader& reader) {
-  reader.u16();  // verdict
+  reader.u16();  // result code
   reader.address();
   reader.f64();  // not used
   skip_load_report(reader);
-  return UnusedEvent{};
+  return IgnoredEvent{};
 }
 
 Event read_gossip(Reader& reader) {
   reader.u32();  // sender
   reader.bytes(reader.u16());
-  return UnusedEvent{};
+  return IgnoredEvent{};
 }
 
 // The release's state, or what became of a vote of ours where that has not been accepted.
@@ -190,7 +190,7 @@
   return static_cast<EventCode>(code);
 }
 
-std::size_t read_list_buffer(Reader& reader) { return checked_list_buffer(reader.u8(), reader); }
+std::size_t read_list_buffer(Reader& reader) { return check_list_buffer(reader.u8(), reader); }
 
 Event read_event(Reader& reader, EventCode code) {
   switch (code) {
--- a/src/simhost/events.hpp
+++ b/src/simhost/events.hpp
@@ -63,11 +63,11 @@
 };
 
 // Connections, load reports and gossip, by which nothing is decided.
-struct UnusedEvent {};
+struct IgnoredEvent {};
 
 using Event = std::variant<StartEvent, EndpointListEvent, EndpointWatchFailedEvent, RequestEvent,
                            AttemptEndEvent, ClientDisconnectEvent, WakeupEvent, HaltEvent, ReleaseStateEvent,
-                           VoteRefusedEvent, OutcomeSampleEvent, DisputedAnswerEvent, UnusedEvent>;
+                           VoteRefusedEvent, OutcomeSampleEvent, DisputedAnswerEvent, IgnoredEvent>;
 
 // The next record's code. Throws WireError where there is no such event.
 EventCode read_event_code(Reader& reader);
--- a/src/simhost/fleet.cpp
+++ b/src/simhost/fleet.cpp
@@ -8,7 +8,7 @@
 
 void Fleet::handle(double clock_ms, std::uint32_t record_count, std::span<const std::uint8_t> batch,
                    Writer& reply) {
-  reply_.begin(reply);
+  reply_.begin_batch(reply);
   const Instant now = Instant::at_ms(clock_ms);
   Reader reader(batch);
   RouterInstance* selected = nullptr;
@@ -23,7 +23,7 @@
       dispatch(read_event(reader, code), *selected, now);
     }
   }
-  if (!reader.done()) reader.fail("bytes left over after the last record");
+  if (!reader.is_at_end()) reader.fail("bytes left over after the last record");
 }
 
 RouterInstance& Fleet::select_router(Reader& reader) {
@@ -45,7 +45,7 @@
           router.update_endpoints(typed.complete, list_buffers_[typed.buffer], now);
         } else if constexpr (std::is_same_v<Type, HaltEvent>) {
           router.handle(typed);
-        } else if constexpr (!std::is_same_v<Type, UnusedEvent>) {
+        } else if constexpr (!std::is_same_v<Type, IgnoredEvent>) {
           router.handle(typed, now);
         }
       },
--- a/src/simhost/reply.cpp
+++ b/src/simhost/reply.cpp
@@ -2,19 +2,19 @@
 
 namespace ashbeam::simhost {
 
-Writer& Reply::action(RouterId router, ActionCode code) {
-  if (speaking_ != router) {
-    writer_->u8(static_cast<std::uint8_t>(ActionCode::kSpeakingRouter));
+Writer& Reply::begin_action(RouterId router, ActionCode code) {
+  if (acting_router_ != router) {
+    writer_->u8(static_cast<std::uint8_t>(ActionCode::kActingRouter));
     writer_->u32(router);
-    speaking_ = router;
+    acting_router_ = router;
   }
   writer_->u8(static_cast<std::uint8_t>(code));
   return *writer_;
 }
 
-void Reply::line(RouterId router, ActionCode code, std::string_view text) {
+void Reply::add_text(RouterId router, ActionCode code, std::string_view text) {
   text = text.substr(0, kMaxLogLineBytes);
-  action(router, code).text({reinterpret_cast<const std::uint8_t*>(text.data()), text.size()});
+  begin_action(router, code).text({reinterpret_cast<const std::uint8_t*>(text.data()), text.size()});
 }
 
 VoteCode vote_code(Vote vote) {
--- a/src/simhost/reply.hpp
+++ b/src/simhost/reply.hpp
@@ -16,18 +16,18 @@
 class Reply {
  public:
   // Starts a batch, whose actions are appended to `writer`, which has to outlive it.
-  void begin(Writer& writer) {
+  void begin_batch(Writer& writer) {
     writer_ = &writer;
-    speaking_.reset();
+    acting_router_.reset();
   }
   // Begins an action; its fields are the caller's to write.
-  Writer& action(RouterId router, ActionCode code);
+  Writer& begin_action(RouterId router, ActionCode code);
   // An action that is a line of text; what is too long is cut off.
-  void line(RouterId router, ActionCode code, std::string_view text);
+  void add_text(RouterId router, ActionCode code, std::string_view text);
 
  private:
   Writer* writer_ = nullptr;
-  std::optional<RouterId> speaking_;  // whose actions are being named
+  std::optional<RouterId> acting_router_;  // whose actions are being named
 };
 
 VoteCode vote_code(Vote vote);
--- a/src/simhost/router_instance.cpp
+++ b/src/simhost/router_instance.cpp
@@ -12,18 +12,18 @@
 
 }  // namespace
 
-template <class Deliver>
-void RouterInstance::deliver(Instant now, Deliver&& to_router) {
+template <class Call>
+void RouterInstance::call_router(Instant now, Call&& call) {
   if (!router_) return;
   try {
     router_->set_time(now);
-    to_router(*router_);
+    call(*router_);
   } catch (const std::exception& error) {
-    reply_.line(id_, ActionCode::kFault, error.what());
+    reply_.add_text(id_, ActionCode::kFault, error.what());
   }
 }
 
-EndpointIndex RouterInstance::index_of(WireAddress address) {
+EndpointIndex RouterInstance::find_or_add_index(WireAddress address) {
   const std::uint32_t known = indices_.find(address);
   if (known != IndexMap::kNone) return known;
   const auto index = static_cast<EndpointIndex>(addresses_.size());
@@ -39,16 +39,16 @@
   addresses_.clear();
   indices_ = IndexMap();
   router_ = make_router_policy(settings, event.seed, *this);
-  deliver(now, [](RouterPolicy& router) { router.start(); });
+  call_router(now, [](RouterPolicy& router) { router.start(); });
 }
 
 void RouterInstance::update_endpoints(bool complete, std::span<const std::uint8_t> rows, Instant now) {
-  deliver(now, [&](RouterPolicy& router) {
+  call_router(now, [&](RouterPolicy& router) {
     router.begin_endpoint_update(complete);
     Reader reader(rows);
-    while (!reader.done()) {
+    while (!reader.is_at_end()) {
       ListRow row = read_list_row(reader);
-      row.update.endpoint = index_of(row.address);
+      row.update.endpoint = find_or_add_index(row.address);
       router.update_endpoint(row.update);
     }
     router.end_endpoint_update();
@@ -56,84 +56,84 @@
 }
 
 void RouterInstance::handle(EndpointWatchFailedEvent, Instant now) {
-  deliver(now, [](RouterPolicy& router) { router.on_endpoint_watch_failed(); });
+  call_router(now, [](RouterPolicy& router) { router.on_endpoint_watch_failed(); });
 }
 
 void RouterInstance::handle(const RequestEvent& event, Instant now) {
-  deliver(now, [&](RouterPolicy& router) { router.on_request(event.arrival); });
+  call_router(now, [&](RouterPolicy& router) { router.on_request(event.arrival); });
 }
 
 void RouterInstance::handle(const AttemptEndEvent& event, Instant now) {
   if (!is_known(event.address)) return;
   AttemptEnd end = event.end;
-  end.endpoint = index_of(event.address);
-  deliver(now, [&](RouterPolicy& router) { router.on_attempt_end(end); });
+  end.endpoint = find_or_add_index(event.address);
+  call_router(now, [&](RouterPolicy& router) { router.on_attempt_end(end); });
 }
 
 void RouterInstance::handle(ClientDisconnectEvent event, Instant now) {
-  deliver(now, [&](RouterPolicy& router) { router.on_client_disconnect(event.request); });
+  call_router(now, [&](RouterPolicy& router) { router.on_client_disconnect(event.request); });
 }
 
 void RouterInstance::handle(WakeupEvent event, Instant now) {
-  deliver(now, [&](RouterPolicy& router) { router.on_wakeup(event.token); });
+  call_router(now, [&](RouterPolicy& router) { router.on_wakeup(event.token); });
 }
 
 void RouterInstance::handle(const ReleaseStateEvent& event, Instant now) {
-  deliver(now, [&](RouterPolicy& router) { router.on_release_state(event.state); });
+  call_router(now, [&](RouterPolicy& router) { router.on_release_state(event.state); });
 }
 
 void RouterInstance::handle(VoteRefusedEvent event, Instant now) {
-  deliver(now, [&](RouterPolicy& router) { router.on_vote_refused(event.outcome); });
+  call_router(now, [&](RouterPolicy& router) { router.on_vote_refused(event.outcome); });
 }
 
 void RouterInstance::handle(const OutcomeSampleEvent& event, Instant now) {
-  deliver(now, [&](RouterPolicy& router) { router.on_outcome_sample(event.sample); });
+  call_router(now, [&](RouterPolicy& router) { router.on_outcome_sample(event.sample); });
 }
 
 void RouterInstance::handle(const DisputedAnswerEvent& event, Instant now) {
   if (!is_known(event.address)) return;
-  const DisputedAnswer disputed{index_of(event.address), event.since_sent};
-  deliver(now, [&](RouterPolicy& router) { router.on_disputed_answer(disputed); });
+  const DisputedAnswer disputed{find_or_add_index(event.address), event.since_sent};
+  call_router(now, [&](RouterPolicy& router) { router.on_disputed_answer(disputed); });
 }
 
 // ---- Actions ----
 
 void RouterInstance::send_attempt(RequestId request, EndpointIndex endpoint) {
-  Writer& record = action(ActionCode::kSendAttempt);
+  Writer& record = begin_action(ActionCode::kSendAttempt);
   record.u32(request);
   record.address(addresses_[endpoint]);
   record.f64(kUntilClientDeadline);
 }
 
 void RouterInstance::reject(RequestId request, Duration retry_after) {
-  Writer& record = action(ActionCode::kReject);
+  Writer& record = begin_action(ActionCode::kReject);
   record.u32(request);
   record.f64(retry_after.ms());
 }
 
-void RouterInstance::fail(RequestId request) { action(ActionCode::kFail).u32(request); }
+void RouterInstance::fail(RequestId request) { begin_action(ActionCode::kFail).u32(request); }
 
 void RouterInstance::cancel_attempt(RequestId request, unsigned attempt) {
-  Writer& record = action(ActionCode::kCancelAttempt);
+  Writer& record = begin_action(ActionCode::kCancelAttempt);
   record.u32(request);
   record.u8(static_cast<std::uint8_t>(attempt));
 }
 
 void RouterInstance::schedule_wakeup(Duration delay, std::uint64_t token) {
-  Writer& record = action(ActionCode::kScheduleWakeup);
+  Writer& record = begin_action(ActionCode::kScheduleWakeup);
   record.f64(delay.ms());
   record.u64(token);
 }
 
-void RouterInstance::watch_endpoints() { action(ActionCode::kWatchEndpoints).u8(1); }
+void RouterInstance::watch_endpoints() { begin_action(ActionCode::kWatchEndpoints).u8(1); }
 
 void RouterInstance::cast_vote(ReleaseVersion version, unsigned stage, Vote vote) {
-  Writer& record = action(ActionCode::kCastVote);
+  Writer& record = begin_action(ActionCode::kCastVote);
   record.u16(static_cast<std::uint16_t>(version));
   record.u8(static_cast<std::uint8_t>(stage));
   record.u8(static_cast<std::uint8_t>(vote_code(vote)));
 }
 
-void RouterInstance::log(std::string_view line) { reply_.line(id_, ActionCode::kLog, line); }
+void RouterInstance::log(std::string_view line) { reply_.add_text(id_, ActionCode::kLog, line); }
 
 }  // namespace ashbeam::simhost
--- a/src/simhost/router_instance.hpp
+++ b/src/simhost/router_instance.hpp
@@ -47,11 +47,11 @@
   void log(std::string_view line) override;
 
  private:
-  template <class Deliver>
-  void deliver(Instant now, Deliver&& to_router);
-  EndpointIndex index_of(WireAddress address);
+  template <class Call>
+  void call_router(Instant now, Call&& call);
+  EndpointIndex find_or_add_index(WireAddress address);
   bool is_known(WireAddress address) const { return indices_.find(address) != IndexMap::kNone; }
-  Writer& action(ActionCode code) { return reply_.action(id_, code); }
+  Writer& begin_action(ActionCode code) { return reply_.begin_action(id_, code); }
 
   RouterId id_;
   Reply& reply_;
--- a/src/simhost/wire.cpp
+++ b/src/simhost/wire.cpp
@@ -6,7 +6,7 @@
   throw WireError(what + " at byte " + std::to_string(position_) + " of the batch");
 }
 
-std::uint64_t Reader::number(std::size_t byte_count) {
+std::uint64_t Reader::big_endian(std::size_t byte_count) {
   if (bytes_.size() - position_ < byte_count) fail("record cut short");
   std::uint64_t value = 0;
   for (std::size_t i = 0; i < byte_count; ++i) value = value << 8U | bytes_[position_++];
--- a/src/simhost/wire.hpp
+++ b/src/simhost/wire.hpp
@@ -23,11 +23,11 @@
  public:
   explicit Reader(std::span<const std::uint8_t> bytes) : bytes_(bytes) {}
 
-  bool done() const { return position_ == bytes_.size(); }
-  std::uint8_t u8() { return static_cast<std::uint8_t>(number(1)); }
-  std::uint16_t u16() { return static_cast<std::uint16_t>(number(2)); }
-  std::uint32_t u32() { return static_cast<std::uint32_t>(number(4)); }
-  std::uint64_t u64() { return number(8); }
+  bool is_at_end() const { return position_ == bytes_.size(); }
+  std::uint8_t u8() { return static_cast<std::uint8_t>(big_endian(1)); }
+  std::uint16_t u16() { return static_cast<std::uint16_t>(big_endian(2)); }
+  std::uint32_t u32() { return static_cast<std::uint32_t>(big_endian(4)); }
+  std::uint64_t u64() { return big_endian(8); }
   float f32() { return std::bit_cast<float>(u32()); }
   double f64() { return std::bit_cast<double>(u64()); }
   WireAddress address() {
@@ -39,7 +39,7 @@
   [[noreturn]] void fail(const std::string& what) const;
 
  private:
-  std::uint64_t number(std::size_t byte_count);
+  std::uint64_t big_endian(std::size_t byte_count);
 
   std::span<const std::uint8_t> bytes_;
   std::size_t position_ = 0;
@@ -48,11 +48,11 @@
 class Writer {
  public:
   void u8(std::uint8_t value) { bytes_.push_back(value); }
-  void u16(std::uint16_t value) { number(value, 2); }
-  void u32(std::uint32_t value) { number(value, 4); }
-  void u64(std::uint64_t value) { number(value, 8); }
+  void u16(std::uint16_t value) { big_endian(value, 2); }
+  void u32(std::uint32_t value) { big_endian(value, 4); }
+  void u64(std::uint64_t value) { big_endian(value, 8); }
   void f64(double value) { u64(std::bit_cast<std::uint64_t>(value)); }
-  void address(WireAddress address) { number(address, 6); }
+  void address(WireAddress address) { big_endian(address, 6); }
   // A two-byte length, and the text.
   void text(std::span<const std::uint8_t> text) {
     u16(static_cast<std::uint16_t>(text.size()));
@@ -62,7 +62,7 @@
   const std::vector<std::uint8_t>& bytes() const { return bytes_; }
 
  private:
-  void number(std::uint64_t value, unsigned byte_count) {
+  void big_endian(std::uint64_t value, unsigned byte_count) {
     for (unsigned i = byte_count; i-- > 0;) bytes_.push_back(static_cast<std::uint8_t>(value >> (8U * i)));
   }
 
--- a/tests/protocol_test.cpp
+++ b/tests/protocol_test.cpp
@@ -33,7 +33,7 @@
   for (const std::string& text : {with_length, chunked}) {
     const std::string body = text.substr(text.find("\r\n\r\n") + 4);
     for (std::size_t split = 0; split <= text.size(); ++split) {
-      MessageParser parser(http::Side::kRequests, 1024, 1024);
+      MessageParser parser(http::MessageType::kRequest, 1024, 1024);
       ASSERT_EQ(feed_pieces(parser, text.substr(0, split), text.substr(split)), ParseResult::kComplete)
           << split;
       EXPECT_EQ(parser.raw_body(), body) << split;
@@ -45,7 +45,7 @@
 TEST(HttpMessageParser, OneByteAtATimeAndTheNextMessageStaysUnread) {
   const std::string text =
       "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\nA: b, close\r\n\r\nokHTTP/1.1";
-  MessageParser parser(http::Side::kAnswers, 256, 256);
+  MessageParser parser(http::MessageType::kResponse, 256, 256);
   std::size_t used = 0;
   while (used < text.size()) {
     std::string_view byte = std::string_view(text).substr(used, 1);
@@ -102,7 +102,7 @@
   for (const InvalidRequest& request : requests) {
     const std::string& bytes = request.bytes;
     for (std::size_t split = 0; split <= bytes.size(); split += 3) {
-      MessageParser parser(http::Side::kRequests, 256, 64);
+      MessageParser parser(http::MessageType::kRequest, 256, 64);
       EXPECT_EQ(feed_pieces(parser, bytes.substr(0, split), bytes.substr(split)), ParseResult::kInvalid)
           << bytes;
       EXPECT_EQ(parser.error_status(), request.error_status) << bytes;
@@ -111,16 +111,16 @@
 }
 
 TEST(HttpMessageParser, AnAnswerMayEndWithItsStream) {
-  MessageParser parser(http::Side::kAnswers, 256, 64);
+  MessageParser parser(http::MessageType::kResponse, 256, 64);
   EXPECT_EQ(feed_pieces(parser, "HTTP/1.1 200 OK\r\n\r\npart"), ParseResult::kIncomplete);
-  EXPECT_EQ(parser.end_of_stream(), ParseResult::kComplete);
+  EXPECT_EQ(parser.on_end_of_stream(), ParseResult::kComplete);
   EXPECT_EQ(parser.raw_body(), "part");
   EXPECT_TRUE(parser.closes_connection());
-  parser.start_next();
+  parser.start_next_message();
   EXPECT_EQ(feed_pieces(parser, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\npart"),
             ParseResult::kIncomplete);
-  EXPECT_EQ(parser.end_of_stream(), ParseResult::kInvalid);
-  parser.start_next();
+  EXPECT_EQ(parser.on_end_of_stream(), ParseResult::kInvalid);
+  parser.start_next_message();
   EXPECT_EQ(feed_pieces(parser, "HTTP/1.1 2x0 OK\r\n\r\n"), ParseResult::kInvalid);
   EXPECT_EQ(parser.error_status(), 400U);
 }
@@ -199,13 +199,13 @@
       text +=
           random() % 4 ? pieces[random() % std::size(pieces)] : std::string(1, static_cast<char>(random()));
     }
-    for (const auto side : {http::Side::kRequests, http::Side::kAnswers}) {
+    for (const auto side : {http::MessageType::kRequest, http::MessageType::kResponse}) {
       MessageParser parser(side, 64, 64);
       std::string_view rest = text;
       const ParseResult result = parser.feed(rest);
       ASSERT_LE(rest.size(), text.size());
       if (result == ParseResult::kComplete) ++complete_messages;
-      parser.end_of_stream();
+      parser.on_end_of_stream();
     }
     if (const auto json = Json::parse(text)) {
       ++parsed_values;
--- a/tests/records_test.cpp
+++ b/tests/records_test.cpp
@@ -11,7 +11,7 @@
 namespace ashbeam {
 namespace {
 
-using records::check;
+using records::check_against_schema;
 using records::CheckedFile;
 
 constexpr std::string_view kSchema = R"(
@@ -29,27 +29,27 @@
 )";
 
 std::string problems_of(std::string_view file) {
-  return records::problem_report("f", check(kSchema, "#File", file).problems);
+  return records::format_problems("f", check_against_schema(kSchema, "#File", file).problems);
 }
 
 TEST(Records, DefaultsAreTakenFromTheSchema) {
-  const CheckedFile c =
-      check(kSchema, "#File", "name: \"a\"\nshops: [{name: \"b\"}, {name: \"c\", tall: true}]\nshare: 0.5");
-  ASSERT_TRUE(c.problems.empty()) << records::problem_report("f", c.problems);
+  const CheckedFile c = check_against_schema(
+      kSchema, "#File", "name: \"a\"\nshops: [{name: \"b\"}, {name: \"c\", tall: true}]\nshare: 0.5");
+  ASSERT_TRUE(c.problems.empty()) << records::format_problems("f", c.problems);
   EXPECT_EQ(c.value["mode"].text, "off");
-  EXPECT_EQ(c.value["wait"].span(), Duration::s(5));
+  EXPECT_EQ(c.value["wait"].duration(), Duration::s(5));
   EXPECT_EQ(c.value["count"].number, 3);
   EXPECT_EQ(c.value["size"]["wide"].number, 7);
   EXPECT_EQ(c.value["share"].number, 0.5);
   ASSERT_EQ(c.value["shops"].items.size(), 2U);
   EXPECT_TRUE(c.value["shops"].items[1]["tall"].boolean);
-  EXPECT_FALSE(check(kSchema, "#File", "name: \"a\"").value["share"].given());
+  EXPECT_FALSE(check_against_schema(kSchema, "#File", "name: \"a\"").value["share"].is_given());
 }
 
 TEST(Records, DefinitionsOfTheFileAreMerged) {
-  const CheckedFile c = check(
+  const CheckedFile c = check_against_schema(
       kSchema, "#File", "#T: {tall: true}\nname: \"a\", shops: [#T & {name: \"b\"}, {name: \"c\"} & #T]");
-  ASSERT_TRUE(c.problems.empty()) << records::problem_report("f", c.problems);
+  ASSERT_TRUE(c.problems.empty()) << records::format_problems("f", c.problems);
   EXPECT_TRUE(c.value["shops"].items[0]["tall"].boolean && c.value["shops"].items[1]["tall"].boolean);
   EXPECT_EQ(problems_of("#T: {tall: true}\nname: \"a\", shops: [#T & {name: \"b\", tall: false}]"),
             "f:2:43: shops.0.tall: wanted true as before, found false");
@@ -118,7 +118,7 @@
   };
   const auto begin = std::chrono::steady_clock::now();
   for (const std::string& file : files) {
-    const CheckedFile c = check(kSchema, "#File", file);
+    const CheckedFile c = check_against_schema(kSchema, "#File", file);
     EXPECT_FALSE(c.problems.empty()) << file.substr(0, 30);
     EXPECT_LE(c.problems.size(), records::kMaxProblems);
   }
