--- a/src/protocol/http.cpp
+++ b/src/protocol/http.cpp
@@ -37,7 +37,8 @@
   return ParseResult::kComplete;
 }
 
-// Complete also after the head of an interim answer, which is passed over: the answer itself follows.
+// Also returns kComplete after the head of an interim (1xx) response. That head is skipped, and the final
+// response is expected next.
 ParseResult MessageParser::feed_head(std::string_view& bytes) {
   switch (head_.feed(bytes)) {
     case ParseResult::kIncomplete:
@@ -87,14 +88,15 @@
   return kNoError;
 }
 
-// RFC 9112, section 6.3. With both a length and a coding, or with several of one, an endpoint might see
-// another end of the message than this router.
+// Chooses how the body is delimited (RFC 9112, section 6.3). Messages with both Content-Length and
+// Transfer-Encoding, or with either of them repeated, are rejected: an endpoint might find the end of such a
+// message at another byte than this router does (request smuggling).
 unsigned MessageParser::choose_framing() {
   const auto length_value = head_.find(header::kContentLength);
-  const auto coding = head_.find(header::kTransferEncoding);
+  const auto transfer_coding = head_.find(header::kTransferEncoding);
   if (head_.count(header::kContentLength) + head_.count(header::kTransferEncoding) > 1) return kBadRequest;
-  if (coding) {
-    if (!equals_ignoring_case(*coding, "chunked"))
+  if (transfer_coding) {
+    if (!equals_ignoring_case(*transfer_coding, "chunked"))
       return type_ == MessageType::kRequest ? kNotImplemented : kBadRequest;
     body_.expect_chunked();
     return kNoError;
@@ -119,7 +121,8 @@
 
 void MessageParser::start_next_message() {
   head_.clear();
-  std::string().swap(raw_body_);  // an idle connection must not hold the memory of its largest body
+  // Frees the memory: an idle connection must not keep the capacity of its largest body.
+  std::string().swap(raw_body_);
   in_body_ = false;
   complete_ = false;
   error_status_ = kNoError;
--- a/src/protocol/http_body.cpp
+++ b/src/protocol/http_body.cpp
@@ -42,7 +42,7 @@
   return result;
 }
 
-// `used`: in, what there is; out, what of that belongs to the body.
+// `used` is the number of bytes available, and is set to the number of those that belong to the body.
 ParseResult Body::feed_length(std::size_t& used) {
   if (remaining_ > max_bytes_) return ParseResult::kTooLong;
   used = static_cast<std::size_t>(std::min<std::uint64_t>(remaining_, used));
@@ -55,7 +55,7 @@
   return decoded_bytes_ > max_bytes_ ? ParseResult::kTooLong : ParseResult::kIncomplete;
 }
 
-// ---- Chunks ----
+// ---- Chunked transfer coding (RFC 9112, section 7.1) ----
 
 ParseResult Body::feed_chunk_size(char c) {
   if (const auto digit = parse_hex_digit(c)) {
@@ -92,7 +92,7 @@
 }
 
 ParseResult Body::feed_chunk_framing(char c) {
-  // Chunks of single bytes would take six times the body's size otherwise.
+  // Without this limit, a body in chunks of one byte could take six times its decoded size.
   if (++framing_bytes_ > max_bytes_) return ParseResult::kTooLong;
   switch (chunk_state_) {
     case ChunkState::kSize:
--- a/src/protocol/http_body.hpp
+++ b/src/protocol/http_body.hpp
@@ -1,5 +1,5 @@
-// The body of an HTTP/1.1 message (RFC 9112, sections 6 and 7), off a byte stream at any split: of a given
-// length, in chunks, or up to the end of the stream.
+// Parses the body of an HTTP/1.1 message (RFC 9112, sections 6 and 7). The body has a known length, is in the
+// chunked transfer coding, or ends when the connection is closed. Its bytes may arrive in pieces of any size.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -10,27 +10,31 @@
 
 namespace ashbeam::http {
 
+// Call one of the expect_ functions before the first byte of each message, then `feed` until the body is
+// complete.
 class Body {
  public:
-  // `max_bytes` bounds the decoded body; the framing of chunks may take as much again.
+  // `max_bytes` limits the decoded body. The framing of the chunked coding (sizes, extensions, trailers, line
+  // ends) has a separate limit of the same size.
   explicit Body(std::size_t max_bytes) : max_bytes_(max_bytes) {}
 
-  // One of these for each message, before its first byte.
+  // Set how the next body is delimited. A body of length 0 is complete at the first call of `feed`.
   void expect_none() { begin(Framing::kLength, 0); }
   void expect_length(std::uint64_t length) { begin(Framing::kLength, length); }
   void expect_chunked() { begin(Framing::kChunked, 0); }
   void expect_until_close() { begin(Framing::kUntilClose, 0); }
 
-  // Removes from the front of `bytes` what belongs to the body and appends it to `raw` as it came, and
-  // without its framing to `decoded`, if given.
+  // Consumes the body's bytes from the front of `bytes`. Appends them to `raw` as received and, if `decoded`
+  // is not null, to `decoded` without the chunked coding's framing.
   ParseResult feed(std::string_view& bytes, std::string& raw, std::string* decoded = nullptr);
+  // Whether the body ends only when the connection is closed.
   bool is_close_delimited() const { return framing_ == Framing::kUntilClose; }
-  // Has a chunk begun whose last byte of data has not come yet?
+  // Whether the first byte of a chunk's size has been received and the last byte of its data has not.
   bool is_inside_chunk() const;
 
  private:
   enum class Framing : std::uint8_t { kLength, kChunked, kUntilClose };
-  // What the next byte of a chunked body belongs to.
+  // The part of a chunked body to which the next byte belongs.
   enum class ChunkState : std::uint8_t {
     kSize,
     kExtension,
@@ -38,7 +42,7 @@
     kData,
     kDataCarriageReturn,
     kDataLineFeed,
-    kTrailerStart,  // of a line, or of the empty one that ends the body
+    kTrailerStart,  // the first byte of a trailer field, or of the empty line that ends the body
     kTrailerLine,
     kTrailerLineFeed,
     kLastLineFeed,
@@ -50,7 +54,7 @@
   ParseResult feed_until_close(std::size_t used);
   ParseResult feed_chunks(std::string_view bytes, std::size_t& used, std::string* decoded);
   std::size_t consume_chunk_data(std::string_view bytes, std::string* decoded);
-  // Inline: once for each byte of the framing.
+  // Inline because they are called for each byte of the framing.
   inline ParseResult feed_chunk_framing(char c);
   inline ParseResult feed_chunk_size(char c);
   inline ParseResult end_chunk_size_line(char c);
@@ -60,7 +64,7 @@
   std::size_t max_bytes_;
   Framing framing_ = Framing::kLength;
   ChunkState chunk_state_ = ChunkState::kSize;
-  std::uint64_t remaining_ = 0;  // of the body of a given length, or of the chunk at hand
+  std::uint64_t remaining_ = 0;  // bytes left of a body of known length, or of the current chunk
   std::uint64_t decoded_bytes_ = 0;
   std::uint64_t framing_bytes_ = 0;
   unsigned chunk_size_digits_ = 0;
--- a/src/protocol/http_head.cpp
+++ b/src/protocol/http_head.cpp
@@ -12,7 +12,8 @@
 
 }  // namespace
 
-// Within a field line, bytes are copied at once up to the next that needs a look. Returns their number.
+// Within a field line, appends all bytes up to the next CR, LF or NUL at once; `append` checks those one by
+// one. Returns the number of bytes appended.
 std::size_t Head::append_plain_bytes(std::string_view bytes) {
   if (line_begin_ == 0 || raw_.back() == '\r') return 0;
   const std::string_view allowed = bytes.substr(0, max_bytes_ - std::min(max_bytes_, raw_.size()));
@@ -23,8 +24,8 @@
   return count;
 }
 
-// May `next` follow what has come of the start line? A request begins with its method, an answer with the
-// protocol's version; an empty line may come before a request.
+// Whether `next` may follow the bytes of the start line received so far. A request begins with its method, a
+// response with the protocol's version. An empty line may precede a request.
 bool Head::may_continue_start_line(char next) const {
   if (type_ == MessageType::kResponse)
     return raw_.size() >= kVersionPrefix.size() || next == kVersionPrefix[raw_.size()];
@@ -46,7 +47,7 @@
 ParseResult Head::end_line() {
   const std::string_view line = std::string_view(raw_).substr(line_begin_);
   const bool is_empty_line = line == kLineEnd;
-  if (is_empty_line && line_begin_ == 0) {  // RFC 9112, section 2.2: passed over before a start line
+  if (is_empty_line && line_begin_ == 0) {  // before a start line: ignored (RFC 9112, section 2.2)
     raw_.clear();
     return ParseResult::kIncomplete;
   }
@@ -94,15 +95,16 @@
   }
 }
 
-// The last word takes the rest of the line, spaces included.
+// Splits the start line at its first two spaces. The last part is the rest of the line, with any further
+// spaces.
 void Head::split_start_line() {
   start_line_ = std::string_view(raw_).substr(0, raw_.find(kLineEnd) + kLineEnd.size());
   std::string_view rest = start_line_.substr(0, start_line_.size() - kLineEnd.size());
   for (std::size_t i = 0; i < kStartLineParts; ++i) {
     const bool is_last = i + 1 == kStartLineParts;
-    const std::size_t end = is_last ? rest.size() : std::min(rest.find(' '), rest.size());
-    start_line_parts_[i] = rest.substr(0, end);
-    rest.remove_prefix(std::min(end + 1, rest.size()));
+    const std::size_t part_length = is_last ? rest.size() : std::min(rest.find(' '), rest.size());
+    start_line_parts_[i] = rest.substr(0, part_length);
+    rest.remove_prefix(std::min(part_length + 1, rest.size()));
   }
 }
 
--- a/src/protocol/http_syntax.cpp
+++ b/src/protocol/http_syntax.cpp
@@ -34,8 +34,8 @@
   return !text.empty() && std::all_of(text.begin(), text.end(), is_token_char);
 }
 
-// A control character in a value could hide a length or a coding from one of two readers, and they would
-// disagree on where the message ends.
+// Control characters in a value are refused: they could hide a length or a transfer coding from one of two
+// HTTP parsers, which would then disagree on where the message ends.
 bool is_field_line(std::string_view line) {
   const std::size_t colon = line.find(':');
   if (colon == std::string_view::npos || !is_token(line.substr(0, colon))) return false;
--- a/src/protocol/json.cpp
+++ b/src/protocol/json.cpp
@@ -8,14 +8,15 @@
 
 namespace {
 
-constexpr std::size_t kHexDigits = 4;  // of an escaped UTF-16 code unit
+constexpr std::size_t kHexDigits = 4;  // digits of a \u escape, which stands for one UTF-16 code unit
 constexpr unsigned kReplacementCharacter = 0xfffd;
 constexpr unsigned kFirstHighSurrogate = 0xd800;
 constexpr unsigned kFirstLowSurrogate = 0xdc00;
 constexpr unsigned kSurrogateEnd = 0xe000;
 
-// ---- Syntax (RFC 8259): each removes what it is named by from the front of `text`, and is false where
-// something else stands there ----
+// ---- Syntax (RFC 8259) ----
+// Each skip_ function removes the element that it is named after from the front of `text`. Those that return
+// bool return false if another element, or a malformed one, stands there.
 
 void skip_whitespace(std::string_view& text) {
   while (!text.empty() && (text[0] == ' ' || text[0] == '\t' || text[0] == '\n' || text[0] == '\r'))
@@ -45,7 +46,7 @@
   return code;
 }
 
-// What stands behind a backslash.
+// Skips the part of an escape sequence that follows the backslash.
 bool skip_escape(std::string_view& text) {
   if (text.empty()) return false;
   const char kind = text[0];
@@ -95,7 +96,7 @@
 
 bool skip_value(std::string_view& text, int depth);
 
-// The members of an object or the elements of an array, and the bracket behind them.
+// Skips the members of an object or the elements of an array, with the closing bracket.
 bool skip_contents(std::string_view& text, bool is_object, int depth) {
   const char closing = is_object ? '}' : ']';
   skip_whitespace(text);
@@ -132,7 +133,7 @@
   }
 }
 
-// Removes and returns the next value of text that is known to be valid.
+// Removes the next value from the front of `text` and returns it. `text` must be valid JSON.
 std::string_view take_value(std::string_view& text) {
   skip_whitespace(text);
   const char* const begin = text.data();
@@ -142,7 +143,7 @@
 
 // ---- Characters ----
 
-// RFC 3629, section 3.
+// Encodes a code point in UTF-8 (RFC 3629, section 3).
 void append_utf8(std::string& out, unsigned code_point) {
   const auto append = [&](unsigned byte) { out.push_back(static_cast<char>(byte)); };
   const auto append_continuation = [&](unsigned shift) { append(0x80U | (code_point >> shift & 0x3fU)); };
@@ -163,8 +164,8 @@
   }
 }
 
-// Appends the character of the `\u` escape whose digits begin at `index`, and moves `index` past it. Half of
-// a surrogate pair stands for no character.
+// Appends the character of the `\u` escape whose digits begin at `index`, and advances `index` past it. A
+// surrogate without its counterpart becomes U+FFFD, the replacement character.
 void append_unicode_escape(std::string& out, std::string_view escaped, std::size_t& index) {
   unsigned code = parse_hex4(escaped.substr(index)).value_or(kReplacementCharacter);
   index += kHexDigits;
@@ -183,7 +184,7 @@
   append_utf8(out, code);
 }
 
-// `escaped`: what stands between a string's quotes.
+// `escaped` is the part of a valid JSON string between its quotes.
 std::string unescape(std::string_view escaped) {
   constexpr std::string_view kControlEscapes = "bfnrt";
   constexpr std::string_view kControlCharacters = "\b\f\n\r\t";
@@ -206,7 +207,8 @@
   return out;
 }
 
-// How many continuation bytes follow the first byte of a character; nothing where it can't be a first byte.
+// Returns the number of continuation bytes that follow the first byte of a character, or nothing if the byte
+// cannot be the first one.
 std::optional<std::size_t> utf8_continuation_bytes(unsigned char first) {
   if (first < 0x80) return 0;
   if (first < 0xc2 || first > 0xf4) return std::nullopt;
@@ -214,7 +216,8 @@
   return first < 0xf0 ? 2 : 3;
 }
 
-// Checks the number of bytes of each character: random bytes are seldom valid.
+// Checks only that each character has its number of continuation bytes, which random bytes seldom pass.
+// Overlong forms of three and four bytes and surrogates are not detected.
 bool is_utf8(std::string_view text) {
   std::size_t index = 0;
   while (index < text.size()) {
--- a/src/protocol/json_rpc.hpp
+++ b/src/protocol/json_rpc.hpp
@@ -1,4 +1,4 @@
-// JSON-RPC 2.0 requests, one a line.
+// Writes JSON-RPC 2.0 requests. Each request is one line of text.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -8,7 +8,8 @@
 
 namespace ashbeam {
 
-// With its line end; `params` is a JSON object, or empty for none.
+// Returns the request with a line feed at its end. `params` is the text of a JSON object; if it is empty, the
+// request has no params member.
 inline std::string make_json_rpc_request(std::uint64_t id, std::string_view method, std::string_view params) {
   std::string line =
       "{\"jsonrpc\":\"2.0\",\"id\":" + std::to_string(id) + ",\"method\":" + json_quoted(method);
--- a/src/protocol/lines.hpp
+++ b/src/protocol/lines.hpp
@@ -1,4 +1,4 @@
-// Lines off a byte stream, at any split.
+// Splits a byte stream into lines. The bytes may arrive in pieces of any size.
 #pragma once
 #include <cstddef>
 #include <string>
@@ -7,13 +7,14 @@
 
 namespace ashbeam {
 
+// Lines end with LF or CR LF.
 class LineReader {
  public:
-  // `max_bytes` bounds a line, with the CR of its end if it has one.
+  // `max_bytes` limits the length of a line, including the CR of its end if it has one.
   explicit LineReader(std::size_t max_bytes) : max_bytes_(max_bytes) {}
 
-  // Calls `handle` with each complete line, without its end (LF or CR LF). False once a line is too long, or
-  // `handle` returns false: nothing more may be fed then.
+  // Calls `handle` with each complete line, without its line end. Returns false as soon as a line is too long
+  // or `handle` returns false; nothing more may be fed after that.
   template <class Handle>
   bool feed(std::string_view bytes, Handle&& handle) {
     while (!bytes.empty()) {
@@ -29,8 +30,9 @@
     }
     return true;
   }
+  // Discards the incomplete line, if there is one.
   void clear() { partial_line_.clear(); }
-  // Has a line begun whose end has not come yet?
+  // Whether a part of a line has been received without its end.
   bool has_partial_line() const { return !partial_line_.empty(); }
 
  private:
--- a/tests/protocol_test.cpp
+++ b/tests/protocol_test.cpp
@@ -1,4 +1,5 @@
-// The parsers of src/protocol/: every split of valid input, a table of invalid requests, and generated input.
+// Tests of the HTTP, JSON and line parsers: valid input split at every byte, a table of invalid requests with
+// their status codes, invalid JSON, and generated input.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -13,7 +14,7 @@
 using http::MessageParser;
 using http::ParseResult;
 
-// Feeds two pieces, the second unless the first is a message or invalid already.
+// Feeds `first`, and then `second` unless the message was complete or invalid after `first`.
 ParseResult feed_pieces(MessageParser& parser, std::string_view first, std::string_view second = {}) {
   ParseResult result = ParseResult::kIncomplete;
   for (std::string_view piece : {first, second}) {
@@ -23,7 +24,7 @@
   return result;
 }
 
-TEST(HttpMessageParser, AMessageIsTheSameAtEverySplit) {
+TEST(HttpMessageParser, ParsesSameRequestAtEverySplit) {
   const std::string with_length =
       "POST /book/7?x=1 HTTP/1.1\r\nHost: a\r\ncontent-length:  5 \r\nX-Odd:\r\n\r\nhello";
   const std::string chunked =
@@ -42,7 +43,7 @@
   }
 }
 
-TEST(HttpMessageParser, OneByteAtATimeAndTheNextMessageStaysUnread) {
+TEST(HttpMessageParser, ParsesResponseByteByByteAndLeavesNextMessageUnread) {
   const std::string text =
       "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\nA: b, close\r\n\r\nokHTTP/1.1";
   MessageParser parser(http::MessageType::kResponse, 256, 256);
@@ -66,7 +67,7 @@
   unsigned error_status;
 };
 
-TEST(HttpMessageParser, InvalidRequestsHaveTheirStatus) {
+TEST(HttpMessageParser, RejectsInvalidRequestsWithTheirStatusCode) {
   const std::string ok = "GET / HTTP/1.1\r\n";
   const InvalidRequest requests[] = {
       {ok + "Content-Length: 1\r\nContent-Length: 1\r\n\r\na", 400},
@@ -75,7 +76,8 @@
       {ok + "Content-Length: -1\r\n\r\na", 400},
       {ok + "Content-Length: 1\r\nTransfer-Encoding:\x0b" + "chunked\r\n\r\n", 400},
       {ok + "transfer-encoding:chunked\r\nCONTENT-LENGTH:3\r\n\r\n", 400},
-      {ok + "Transfer-Encoding : chunked\r\n", 400},  // at the line's end, not the head's
+      {ok + "Transfer-Encoding : chunked\r\n",
+       400},  // rejected at the end of the line, before the end of the head
       {"\x01noise", 400},
       {"/ HTTP/1.1", 400},
       {ok + "Content-Length: 1,1\r\n\r\na", 400},
@@ -110,7 +112,7 @@
   }
 }
 
-TEST(HttpMessageParser, AnAnswerMayEndWithItsStream) {
+TEST(HttpMessageParser, AcceptsEndOfStreamOnlyAsEndOfCloseDelimitedResponse) {
   MessageParser parser(http::MessageType::kResponse, 256, 64);
   EXPECT_EQ(feed_pieces(parser, "HTTP/1.1 200 OK\r\n\r\npart"), ParseResult::kIncomplete);
   EXPECT_EQ(parser.on_end_of_stream(), ParseResult::kComplete);
@@ -125,7 +127,7 @@
   EXPECT_EQ(parser.error_status(), 400U);
 }
 
-TEST(Json, ValuesAreReadInPlace) {
+TEST(Json, ReadsMembersElementsAndScalars) {
   const std::string text =
       R"( {"a":[1,-2.5e1,{"b":"x\"\u00e9\ud83d\ude00\ud800"}], "t":true ,"n":null,"e":{},"l":[],"a2":"\n"} )";
   const auto json = Json::parse(text);
@@ -142,7 +144,7 @@
   EXPECT_EQ(Json::parse(json_quoted("q\"\\\x01z"))->text(), "q\"\\\x01z");
 }
 
-TEST(Json, InvalidTextIsRefused) {
+TEST(Json, RejectsInvalidTextAndExcessiveDepth) {
   for (const char* text : {"",    "{",     "{\"a\"}", "{\"a\":}", "[1,]",        "[1 2]",       "01",
                            "1.",  "-",     "1e",      "\"\\x\"",  "\"\\u12g4\"", "\"a\nb\"",    "tru",
                            "{}x", "{a:1}", "\"open",  "\"\xff\"", "\"\xc3\"",    "\"\xe2\x82\""}) {
@@ -152,7 +154,7 @@
   EXPECT_FALSE(Json::parse("1e999")->number());
 }
 
-TEST(LineReader, AnySplitAndABound) {
+TEST(LineReader, ReadsLinesAtEverySplitAndRejectsTooLongLine) {
   const std::string text = "one\r\n\ntwo\nrest";
   for (std::size_t split = 0; split <= text.size(); ++split) {
     LineReader reader(8);
@@ -169,38 +171,38 @@
   EXPECT_FALSE(reader.feed("012345678", [](std::string_view) { return true; }));
 }
 
-// Pieces of valid input shuffled with random bytes: nothing may crash, read outside, or take more than it was
-// given.
-TEST(Parsers, GeneratedInputIsSurvived) {
+// Feeds valid fragments mixed with random bytes. The parsers must not crash, read out of bounds, or consume
+// more than they were given.
+TEST(Parsers, HandleGeneratedInput) {
   std::mt19937 random(7);
-  const std::string pieces[] = {"GET /a HTTP/1.1\r\n",
-                                "HTTP/1.1 200 OK\r\n",
-                                "Content-Length: 3\r\n",
-                                "\r\n",
-                                "5\r\n",
-                                "Transfer-Encoding: chunked\r\n",
-                                "{\"a\":",
-                                "[",
-                                "]",
-                                "}",
-                                "\"",
-                                "\\u00",
-                                ",",
-                                "1e5",
-                                "\n",
-                                std::string(1, '\0'),
-                                "abc",
-                                "0\r\n\r\n"};
+  const std::string fragments[] = {"GET /a HTTP/1.1\r\n",
+                                   "HTTP/1.1 200 OK\r\n",
+                                   "Content-Length: 3\r\n",
+                                   "\r\n",
+                                   "5\r\n",
+                                   "Transfer-Encoding: chunked\r\n",
+                                   "{\"a\":",
+                                   "[",
+                                   "]",
+                                   "}",
+                                   "\"",
+                                   "\\u00",
+                                   ",",
+                                   "1e5",
+                                   "\n",
+                                   std::string(1, '\0'),
+                                   "abc",
+                                   "0\r\n\r\n"};
   unsigned complete_messages = 0;
   unsigned parsed_values = 0;
   for (int round = 0; round < 20000; ++round) {
     std::string text;
-    for (auto n = random() % 8; n-- > 0;) {
-      text +=
-          random() % 4 ? pieces[random() % std::size(pieces)] : std::string(1, static_cast<char>(random()));
+    for (auto remaining = random() % 8; remaining-- > 0;) {
+      text += random() % 4 ? fragments[random() % std::size(fragments)]
+                           : std::string(1, static_cast<char>(random()));
     }
-    for (const auto side : {http::MessageType::kRequest, http::MessageType::kResponse}) {
-      MessageParser parser(side, 64, 64);
+    for (const auto type : {http::MessageType::kRequest, http::MessageType::kResponse}) {
+      MessageParser parser(type, 64, 64);
       std::string_view rest = text;
       const ParseResult result = parser.feed(rest);
       ASSERT_LE(rest.size(), text.size());
