--- a/src/records/constraint.cpp
+++ b/src/records/constraint.cpp
@@ -40,7 +40,7 @@
   return false;
 }
 
-// A bound in quotes is one of spans, but for !=, which compares the text.
+// A limit in quotes is a duration, except after !=, which compares strings.
 bool satisfies_bound(const Node& constraint, const Value& value) {
   const Node& limit = *constraint.operands[0];
   if (limit.kind != Node::Kind::kString) {
@@ -50,7 +50,9 @@
   if (value.kind != Value::Kind::kString) return false;
   if (constraint.bound == BoundOperator::kNotEqual) return value.text != limit.text;
   const auto limit_duration = parse_duration(limit.text);
-  if (!limit_duration) throw std::logic_error("schema: no span: " + limit.text);
+  if (!limit_duration)
+    throw std::logic_error("schema: bound \"" + constraint.text + "\" needs a duration like 10m, found \"" +
+                           limit.text + "\"");
   const auto duration = parse_duration(value.text);
   return duration && is_within_bound(duration->us(), constraint.bound, limit_duration->us());
 }
--- a/src/records/lexer.cpp
+++ b/src/records/lexer.cpp
@@ -12,10 +12,11 @@
   return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || c == '_' || c == '#';
 }
 
-// A byte of UTF-8 that is not the first of its character.
+// Whether the byte is one of a UTF-8 character other than its first.
 bool is_continuation_byte(char c) { return (static_cast<unsigned char>(c) & 0xC0U) == 0x80U; }
 
-// How many continuation bytes follow a character's first byte; negative where it can't be a first one.
+// Returns the number of continuation bytes that follow the first byte of a character, or -1 if the byte
+// cannot be the first one.
 int continuation_bytes(char first) {
   const auto byte = static_cast<unsigned char>(first);
   if (byte < 0x80) return 0;
@@ -25,24 +26,26 @@
   return -1;
 }
 
-// RFC 3629, but that surrogates and overlong forms of three and four bytes pass, which nobody here compares.
+// Checks the text against RFC 3629, except that surrogates and overlong forms of three and four bytes are
+// accepted; no code here compares strings that contain them.
 bool is_utf8(std::string_view text) {
   for (std::size_t i = 0; i < text.size();) {
-    const int following = continuation_bytes(text[i++]);
-    if (following < 0) return false;
-    for (int k = 0; k < following; ++k, ++i) {
+    const int continuation_count = continuation_bytes(text[i++]);
+    if (continuation_count < 0) return false;
+    for (int k = 0; k < continuation_count; ++k, ++i) {
       if (i >= text.size() || !is_continuation_byte(text[i])) return false;
     }
   }
   return true;
 }
 
-void mark_invalid(Token& token, const char* wanted) {
+void mark_invalid(Token& token, const char* expected) {
   token.kind = Token::Kind::kInvalid;
-  token.text = wanted;
+  token.text = expected;
 }
 
-// The character that an escape stands for; 0 where there is no such escape.
+// Returns the character that an escape sequence stands for, or NUL if there is no such sequence. `escape` is
+// the character after the backslash.
 char unescape(char escape) {
   switch (escape) {
     case 'n':
@@ -115,7 +118,8 @@
   while (may_continue_number(token.text));
 }
 
-// Takes more than numbers have, so that a malformed one is a single token; the parser refuses it.
+// Accepts more than numbers contain, so that a malformed number is a single token, which the parser then
+// rejects as a whole.
 bool Lexer::may_continue_number(const std::string& read) const {
   const char c = peek();
   if (is_digit(c) || is_identifier_start(c) || c == '.') return true;
@@ -138,19 +142,20 @@
   token.kind = Token::Kind::kString;
   take();  // the opening quote
   while (peek() != '"') {
-    if (is_at_end() || peek() == '\n') return mark_invalid(token, "a string that ends on its line");
+    if (is_at_end() || peek() == '\n') return mark_invalid(token, "a string closed on the same line");
     char c = take();
-    if (static_cast<unsigned char>(c) < ' ') return mark_invalid(token, "no control characters in a string");
+    if (static_cast<unsigned char>(c) < ' ')
+      return mark_invalid(token, "a string without control characters");
     if (c == '\\') {
       c = unescape(peek());
-      if (c == '\0') return mark_invalid(token, R"(one of \n \t \" \\)");
+      if (c == '\0') return mark_invalid(token, R"(one of the escapes \n \t \" \\)");
       take();
     }
     token.text += c;
     if (token.text.size() > kMaxStringBytes) return mark_invalid(token, "a string of at most 4096 bytes");
   }
   take();  // the closing quote
-  if (!is_utf8(token.text)) mark_invalid(token, "a string in UTF-8");
+  if (!is_utf8(token.text)) mark_invalid(token, "a string in valid UTF-8");
 }
 
 }  // namespace ashbeam::records
--- a/src/records/lexer.hpp
+++ b/src/records/lexer.hpp
@@ -1,5 +1,5 @@
-// Splits the text of typed records into tokens. Blanks and comments (from // to the line's end) are skipped;
-// line ends are tokens.
+// Splits the text of typed records into tokens. Spaces, tabs, carriage returns and comments (from // to the
+// end of the line) are skipped. Line ends are tokens.
 #pragma once
 #include <cstddef>
 #include <string>
@@ -11,32 +11,34 @@
 
 struct Token {
   enum class Kind {
-    kEnd,
+    kEnd,  // the end of the text
     kLineEnd,
-    kIdentifier,  // letters, digits, _ and #
-    kString,      // `text` is without quotes and escapes
+    kIdentifier,  // letters, digits, _ and #; does not begin with a digit
+    kString,      // `text` holds the characters without quotes and escapes
     kNumber,
-    kPunctuation,  // punctuation: one character, or one of >= <= != =~ ...
-    kInvalid,      // `text` says what was wanted
+    kPunctuation,  // one character, or one of >= <= != =~ ...
+    kInvalid,      // a malformed string; `text` says what was expected
   };
   Kind kind = Kind::kEnd;
   std::string text;
-  Position position;  // of its first character
+  Position position;  // of the token's first character
 };
 
 class Lexer {
  public:
-  // `text` has to outlive the lexer.
+  // `text` must outlive the lexer.
   explicit Lexer(std::string_view text) : text_(text) {}
 
-  // The next token; kEnd again and again once the text is over.
+  // Returns the next token. At the end of the text, each call returns kEnd.
   Token next();
-  // Gives up the rest of the text.
+  // Skips the rest of the text: the next token is kEnd.
   void skip_to_end() { offset_ = text_.size(); }
 
  private:
+  // Returns the byte that is `ahead` bytes further, or NUL past the end of the text.
   char peek(std::size_t ahead = 0) const;
-  char take();  // moves on by one character
+  // Returns the next byte and advances past it.
+  char take();
   bool is_at_end() const { return offset_ >= text_.size(); }
   void skip_whitespace_and_comments();
   void read_identifier(Token& token);
--- a/src/records/parser.cpp
+++ b/src/records/parser.cpp
@@ -11,14 +11,14 @@
 
 namespace {
 
-constexpr std::size_t kMaxShownBytes = 40;  // of a token, in a problem
+constexpr std::size_t kMaxShownBytes = 40;  // of a token, in the message of a problem
 
 std::string describe(const Token& token) {
   switch (token.kind) {
     case Token::Kind::kEnd:
-      return "the file's end";
+      return "the end of the file";
     case Token::Kind::kLineEnd:
-      return "the line's end";
+      return "the end of the line";
     case Token::Kind::kString:
       return quoted(token.text);
     default:
@@ -45,7 +45,7 @@
   return std::nullopt;
 }
 
-// Recursive descent, with one token of look-ahead.
+// A recursive-descent parser with one token of look-ahead.
 class Parser {
  public:
   explicit Parser(std::string_view text) : lexer_(text) { advance(); }
@@ -59,7 +59,7 @@
   }
 
  private:
-  struct FieldError {};  // thrown to leave the field at hand
+  struct FieldError {};  // thrown to abandon the current field after its problem has been recorded
 
   // ---- Tokens ----
 
@@ -71,7 +71,8 @@
   void skip_line_ends() {
     while (is_at(Token::Kind::kLineEnd)) advance();
   }
-  // To the line's end, and out of what was opened on the way.
+  // Skips to the end of the line, or to the } that ends the enclosing record, past any brackets opened on the
+  // way.
   void skip_rest_of_field() {
     unsigned open_brackets = 0;
     while (!is_at(Token::Kind::kEnd)) {
@@ -89,7 +90,7 @@
     problems_.push_back({token_.position, path(), "wanted " + wanted + ", found " + found});
   }
   [[noreturn]] void fail(const std::string& wanted) {
-    if (is_at(Token::Kind::kInvalid)) add_problem(token_.text, "something else");
+    if (is_at(Token::Kind::kInvalid)) add_problem(token_.text, "an invalid string");
     else add_problem(wanted, describe(token_));
     throw FieldError{};
   }
@@ -108,7 +109,7 @@
 
   NodePtr make_node(Node::Kind kind) {
     if (++node_count_ > kMaxNodes) {
-      add_problem("at most " + std::to_string(kMaxNodes) + " values", "more");
+      add_problem("at most " + std::to_string(kMaxNodes) + " values in the file", "more");
       stop_parsing();
     }
     auto node = std::make_unique<Node>();
@@ -138,7 +139,7 @@
   }
 
   void parse_field(Node& record) {
-    if (!is_at(Token::Kind::kIdentifier) && !is_at(Token::Kind::kString)) fail("a field's name");
+    if (!is_at(Token::Kind::kIdentifier) && !is_at(Token::Kind::kString)) fail("a field name");
     Field field;
     field.name = token_.text;
     field.position = token_.position;
@@ -155,7 +156,7 @@
     field.value = parse_disjunction();
     const bool is_field_end = is_at(Token::Kind::kLineEnd) || is_at(Token::Kind::kEnd) ||
                               is_at_punctuation(",") || is_at_punctuation("}");
-    if (!is_field_end) fail("the line's end or ,");
+    if (!is_field_end) fail("the end of the line or ,");
     path_.pop_back();
     record.fields.push_back(std::move(field));
   }
@@ -163,20 +164,20 @@
   void reject_duplicate(const Node& record, const std::string& name) {
     const Field* const first = find_field(record, name);
     if (!first) return;
-    add_problem("each field once",
-                "a second " + name + " (first on line " + std::to_string(first->position.line) + ")");
+    add_problem("each field at most once",
+                "a second " + name + " (the first is on line " + std::to_string(first->position.line) + ")");
     throw FieldError{};
   }
 
-  // a | *b | c, or a single operand.
+  // Parses a | *b | c, or a single operand. The * marks the default.
   NodePtr parse_disjunction() {
-    if (++depth_ > kMaxDepth) fail("at most " + std::to_string(kMaxDepth) + " levels");
+    if (++depth_ > kMaxDepth) fail("at most " + std::to_string(kMaxDepth) + " nested levels");
     NodePtr disjunction = make_node(Node::Kind::kDisjunction);
     std::vector<NodePtr>& operands = disjunction->operands;
     do {
       if (!operands.empty()) skip_operator();
       if (is_at_punctuation("*")) {
-        if (disjunction->default_index) fail("one default");
+        if (disjunction->default_index) fail("at most one default");
         disjunction->default_index = operands.size();
         advance();
       }
@@ -187,7 +188,7 @@
     return disjunction;
   }
 
-  // a & b, or a single operand.
+  // Parses a & b, or a single operand.
   NodePtr parse_conjunction() {
     NodePtr conjunction = make_node(Node::Kind::kConjunction);
     std::vector<NodePtr>& operands = conjunction->operands;
@@ -228,7 +229,7 @@
     node->bound = bound;
     node->text = token_.text;
     advance();
-    if (!is_at(Token::Kind::kNumber) && !is_at(Token::Kind::kString)) fail("a figure");
+    if (!is_at(Token::Kind::kNumber) && !is_at(Token::Kind::kString)) fail("a number or a quoted limit");
     node->operands.push_back(parse_operand());
     return node;
   }
@@ -246,7 +247,7 @@
     const char* const last = text.data() + text.size();
     const auto [end, error] = std::from_chars(text.data(), last, node->number);
     if (error != std::errc() || end != last || std::abs(node->number) > kMaxNumber) {
-      fail("a number up to 9e15");
+      fail("a number of at most 9e15");
     }
     node->is_integer = text.find_first_of(".eE") == std::string::npos;
     node->text = text;
@@ -254,7 +255,7 @@
     return node;
   }
 
-  // true, false, a type or a reference to a definition.
+  // Parses true, false, a type, or a reference to a definition.
   NodePtr parse_identifier() {
     NodePtr node = make_node(Node::Kind::kReference);
     node->text = token_.text;
@@ -265,7 +266,7 @@
       node->kind = Node::Kind::kType;
       node->type = *type;
     } else if (node->text[0] != '#') {
-      fail("a value (strings stand in quotes)");
+      fail("a value (strings must be quoted)");
     }
     advance();
     return node;
@@ -303,9 +304,9 @@
   Lexer lexer_;
   Token token_;
   std::size_t node_count_ = 0;
-  unsigned depth_ = 0;  // of nested disjunctions, which bounds the stack
+  unsigned depth_ = 0;  // of nested disjunctions; limited so that recursion cannot overflow the stack
   bool is_limit_exceeded_ = false;
-  std::vector<std::string> path_;  // of the field at hand
+  std::vector<std::string> path_;  // names of the fields and indices of the items around the current token
   std::vector<Problem> problems_;
 };
 
--- a/src/records/resolver.cpp
+++ b/src/records/resolver.cpp
@@ -25,10 +25,11 @@
 Value Resolver::resolve(const Node& node, const std::string& path) {
   Value value = make_value(node, Value::Kind::kNone);
   if (is_limit_exceeded_) return value;
-  // References can double the values with each step.
+  // Definitions that refer twice to the one before them double the number of values at each level.
   if (++value_count_ > kMaxNodes) {
     is_limit_exceeded_ = true;
-    add_problem(node.position, path, "at most " + std::to_string(kMaxNodes) + " values", "more");
+    add_problem(node.position, path,
+                "at most " + std::to_string(kMaxNodes) + " values once references are resolved", "more");
     return value;
   }
   switch (node.kind) {
@@ -47,7 +48,7 @@
       return value;
     case Node::Kind::kType:
     case Node::Kind::kBound:
-      add_problem(node.position, path, "a value", "the type " + node.text);
+      add_problem(node.position, path, "a value", "the type or bound " + node.text);
       return value;
     case Node::Kind::kRecord:
       return resolve_record(node, path);
@@ -68,9 +69,10 @@
   for (const Field& field : node.fields) {
     const bool is_definition = field.name[0] == '#';
     if (is_definition) continue;
-    const std::string field_path_in_file = field_path(path, field.name);
-    if (field.optional) add_problem(field.position, field_path_in_file, "a value", "an optional field");
-    record.fields.push_back({field.name, resolve(*field.value, field_path_in_file)});
+    const std::string path_of_field = field_path(path, field.name);
+    if (field.optional)
+      add_problem(field.position, path_of_field, "a field with a value", "an optional field");
+    record.fields.push_back({field.name, resolve(*field.value, path_of_field)});
     record.fields.back().value.name_position = field.position;
   }
   return record;
@@ -78,7 +80,7 @@
 
 Value Resolver::resolve_list(const Node& node, const std::string& path) {
   Value list = make_value(node, Value::Kind::kList);
-  if (node.further_items) add_problem(node.position, path, "a list's items", "an open list");
+  if (node.further_items) add_problem(node.position, path, "a list without ...", "an open list");
   for (const NodePtr& item : node.operands) {
     list.items.push_back(resolve(*item, path + "." + std::to_string(list.items.size())));
   }
@@ -89,17 +91,18 @@
   Value unresolved = make_value(node, Value::Kind::kNone);
   const Field* const definition = find_field(root_, node.text);
   if (!definition) {
-    add_problem(node.position, path, "a definition of this file", node.text);
+    add_problem(node.position, path, "the name of a definition in this file", node.text);
     return unresolved;
   }
   const bool is_recursive =
       std::find(active_references_.begin(), active_references_.end(), definition) != active_references_.end();
   if (is_recursive) {
-    add_problem(node.position, path, "no definition within itself", node.text);
+    add_problem(node.position, path, "a definition that does not refer to itself", node.text);
     return unresolved;
   }
   if (active_references_.size() >= kMaxDepth) {
-    add_problem(node.position, path, "at most " + std::to_string(kMaxDepth) + " levels", node.text);
+    add_problem(node.position, path, "at most " + std::to_string(kMaxDepth) + " nested references",
+                node.text);
     return unresolved;
   }
   active_references_.push_back(definition);
@@ -122,14 +125,14 @@
 
 Value Resolver::resolve_disjunction(const Node& node, const std::string& path) {
   if (node.default_index) return resolve(*node.operands[*node.default_index], path);
-  add_problem(node.position, path, "a value", "alternatives");
+  add_problem(node.position, path, "a value", "alternatives without a default");
   return make_value(node, Value::Kind::kNone);
 }
 
 void Resolver::merge(Value& into, Value from, const std::string& path) {
   if (into.kind != Value::Kind::kRecord || from.kind != Value::Kind::kRecord) {
     if (into.kind == Value::Kind::kList || !are_scalars_equal(into, from)) {
-      add_problem(from.position, path, describe(into) + " as before", describe(from));
+      add_problem(from.position, path, describe(into) + " as in an earlier operand of &", describe(from));
     }
     return;
   }
--- a/src/records/resolver.hpp
+++ b/src/records/resolver.hpp
@@ -1,5 +1,5 @@
-// Turns parsed text into concrete values: references are replaced by what they name, and the operands of
-// conjunctions are merged.
+// Turns parsed nodes into concrete values: replaces references by the definitions that they name, merges the
+// operands of conjunctions, and takes the defaults of disjunctions.
 #pragma once
 #include <cstddef>
 #include <string>
@@ -13,11 +13,12 @@
 
 class Resolver {
  public:
-  // References are looked up in `root`; problems are appended to `problems`. Both have to outlive the
-  // resolver.
+  // References are looked up among the fields of `root`. Problems are appended to `problems`. Both must
+  // outlive the resolver.
   Resolver(const Node& root, std::vector<Problem>& problems) : root_(root), problems_(problems) {}
 
-  // `path` names the node in problems. What can't be made a value is kNone, with a problem.
+  // Returns the node's value. A node that has no concrete value becomes kNone and is reported as a problem.
+  // `path` is the path of the node that problems name.
   Value resolve(const Node& node, const std::string& path);
 
  private:
@@ -32,7 +33,7 @@
 
   const Node& root_;
   std::vector<Problem>& problems_;
-  std::vector<const Field*> active_references_;  // being resolved
+  std::vector<const Field*> active_references_;  // definitions being resolved, the outermost first
   std::size_t value_count_ = 0;
   bool is_limit_exceeded_ = false;
 };
--- a/src/records/schema.cpp
+++ b/src/records/schema.cpp
@@ -20,12 +20,13 @@
   return names;
 }
 
-// Unifies values with the schema.
+// Unifies values with the constraints of a schema: checks them and adds the schema's defaults.
 class SchemaChecker {
  public:
   SchemaChecker(const Node& schema, std::vector<Problem>& problems) : schema_(schema), problems_(problems) {}
 
-  // The value with its defaults, as far as it meets `constraint`; a problem for what does not.
+  // Returns the value with the defaults of `constraint`. Adds a problem for each part of it that does not
+  // satisfy the constraint.
   Value unify(const Node& constraint, Value value, const std::string& path) {
     switch (constraint.kind) {
       case Node::Kind::kReference:
@@ -54,7 +55,7 @@
 
   const Node& definition(const Node& reference) const {
     const Field* const field = find_field(schema_, reference.text);
-    if (!field) throw std::logic_error("schema: no definition " + reference.text);
+    if (!field) throw std::logic_error("schema: undefined reference " + reference.text);
     return *field->value;
   }
 
@@ -62,13 +63,14 @@
     for (const NodePtr& operand : constraint.operands) {
       const std::size_t problems_before = problems_.size();
       value = unify(*operand, std::move(value), path);
-      if (problems_.size() != problems_before) break;  // one problem is enough
+      if (problems_.size() != problems_before) break;  // report the problems of one operand only
     }
     return value;
   }
 
-  // The first alternative that leaves no problem. Where none does, the problems of the nearest are reported
-  // for a record or a list, and the alternatives for a scalar.
+  // Returns the value unified with the first alternative that leaves no problem. If there is none, reports
+  // for a record or list the problems of the alternative that leaves the fewest, and for a scalar the list of
+  // alternatives.
   Value unify_disjunction(const Node& constraint, Value value, const std::string& path) {
     if (!value.is_given() && constraint.default_index)
       return resolve_default(constraint, value.position, path);
@@ -83,8 +85,8 @@
         problems_.swap(outer_problems);
         return unified;
       }
-      const bool is_nearer = fewest_problems.empty() || problems_.size() < fewest_problems.size();
-      if (is_compound && is_nearer) fewest_problems = problems_;
+      const bool has_fewer_problems = fewest_problems.empty() || problems_.size() < fewest_problems.size();
+      if (is_compound && has_fewer_problems) fewest_problems = problems_;
     }
     problems_.swap(outer_problems);
     if (fewest_problems.empty()) add_problem(value.position, path, describe(constraint), describe(value));
@@ -98,13 +100,13 @@
     std::vector<Problem> problems;
     const Node& operand = *disjunction.operands[*disjunction.default_index];
     Value value = Resolver(schema_, problems).resolve(operand, path);
-    if (!problems.empty()) throw std::logic_error("schema: a default that is no value at " + path);
+    if (!problems.empty()) throw std::logic_error("schema: default is not a concrete value at " + path);
     value.position = position;
     return value;
   }
 
   Value unify_record(const Node& constraint, Value value, const std::string& path) {
-    if (!value.is_given()) value.kind = Value::Kind::kRecord;  // made of its fields' defaults
+    if (!value.is_given()) value.kind = Value::Kind::kRecord;  // with its fields' defaults
     if (value.kind != Value::Kind::kRecord) {
       add_problem(value.position, path, "a record", describe(value));
       return value;
@@ -146,7 +148,9 @@
           i < constraint.operands.size() ? constraint.operands[i] : constraint.further_items;
       const std::string item_path = path + "." + std::to_string(i);
       if (item_constraint) item = unify(*item_constraint, std::move(item), item_path);
-      else add_problem(item.position, item_path, "no further item", describe(item));
+      else
+        add_problem(item.position, item_path,
+                    "at most " + std::to_string(constraint.operands.size()) + " items", describe(item));
     }
     if (value.items.size() < constraint.operands.size()) {
       add_problem(value.position, path, std::to_string(constraint.operands.size()) + " items",
@@ -155,7 +159,7 @@
     return value;
   }
 
-  // The constraint as problems name it.
+  // Returns the constraint as it is shown in the message of a problem.
   std::string describe(const Node& node) const {
     switch (node.kind) {
       case Node::Kind::kString:
@@ -203,14 +207,14 @@
     throw std::logic_error("schema: " + format_problems("schema", parsed_schema.problems));
   }
   const Field* const file_constraint = find_field(*parsed_schema.root, definition);
-  if (!file_constraint) throw std::logic_error("schema: no definition " + std::string(definition));
+  if (!file_constraint) throw std::logic_error("schema: undefined definition " + std::string(definition));
   CheckedFile checked;
   ParsedText parsed = parse(file);
   checked.problems = std::move(parsed.problems);
   const bool is_well_formed = checked.problems.empty();
   Value concrete = Resolver(*parsed.root, checked.problems).resolve(*parsed.root, "");
   concrete.position = {1, 1};
-  // What could not be parsed is not reported again as missing.
+  // A malformed file is not checked: fields that could not be parsed would be reported again as missing.
   if (is_well_formed) {
     checked.value = SchemaChecker(*parsed_schema.root, checked.problems)
                         .unify(*file_constraint->value, std::move(concrete), "");
--- a/src/records/schema.hpp
+++ b/src/records/schema.hpp
@@ -1,4 +1,4 @@
-// Checks a file of typed records against a schema in the same form.
+// Checks a file of typed records against a schema, which is written in the same language.
 #pragma once
 #include <string_view>
 #include <vector>
@@ -8,13 +8,15 @@
 
 namespace ashbeam::records {
 
+// The result of a check.
 struct CheckedFile {
-  Value value;                    // with all defaults of the schema
-  std::vector<Problem> problems;  // in the file's order; none: the value can be used
+  Value value;                    // the file's values, with the schema's defaults where none is given
+  std::vector<Problem> problems;  // in the order of their positions; if empty, `value` can be used
 };
 
-// `schema` is one of the program's own: throws std::logic_error where it is at fault. `definition` names the
-// record that the file as a whole is to be, like "#File".
+// Checks the text `file` against the definition of `schema` that describes the file as a whole, such as
+// "#File". The schema is part of the program: a fault in it is thrown as std::logic_error. Faults of the file
+// are returned as problems.
 CheckedFile check_against_schema(std::string_view schema, std::string_view definition, std::string_view file);
 
 }  // namespace ashbeam::records
--- a/src/records/value.cpp
+++ b/src/records/value.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr double kMaxDurationUs = 1000 * 86400e6;
+constexpr double kMaxDurationUs = 1000 * 86400e6;  // 1,000 days
 
 std::string format_number(double number) {
   char text[32];
@@ -15,7 +15,7 @@
   return error == std::errc() ? std::string(text, end) : "?";
 }
 
-// Microseconds; 0 where there is no such unit.
+// Returns 0 if there is no such unit.
 double microseconds_per_unit(std::string_view unit) {
   if (unit == "us") return 1;
   if (unit == "ms") return 1e3;
@@ -43,7 +43,7 @@
   const double unit = microseconds_per_unit(text.substr(static_cast<std::size_t>(end - text.data())));
   if (error != std::errc() || unit == 0) return std::nullopt;
   const double us = count * unit;
-  const bool in_range = count >= 0 && us <= kMaxDurationUs;  // false for a NaN
+  const bool in_range = count >= 0 && us <= kMaxDurationUs;  // false for NaN
   if (!in_range) return std::nullopt;
   return Duration::us(std::llround(us));
 }
