--- a/src/protocol/http_head.hpp
+++ b/src/protocol/http_head.hpp
@@ -12,6 +12,7 @@
 
 namespace ashbeam::http {
 
+// Whether a parser reads requests, as a server does, or responses, as a client does.
 enum class MessageType : std::uint8_t { kRequest, kResponse };
 
 // The state of a message, head or body after the bytes received so far.
@@ -22,6 +23,7 @@
   kInvalid,
 };
 
+// One header field. The views point into the head.
 struct Field {
   std::string_view name;
   std::string_view value;  // without spaces and tabs around it
--- a/src/protocol/http_syntax.hpp
+++ b/src/protocol/http_syntax.hpp
@@ -38,6 +38,7 @@
   return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9') ||
          std::string_view("!#$%&'*+-.^_`|~").find(c) != std::string_view::npos;
 }
+// Whether the text is a token: not empty, and only of token characters.
 bool is_token(std::string_view text);
 // Whether the line has the form `name: value`, with a token as its name and no control character other than
 // tabs in its value. The line must end with CR LF.
--- a/src/records/lexer.hpp
+++ b/src/records/lexer.hpp
@@ -9,6 +9,7 @@
 
 namespace ashbeam::records {
 
+// One token, with its place in the text.
 struct Token {
   enum class Kind {
     kEnd,  // the end of the text
--- a/src/records/parser.hpp
+++ b/src/records/parser.hpp
@@ -60,6 +60,7 @@
   std::optional<std::size_t> default_index;
 };
 
+// The result of parsing a text.
 struct ParsedText {
   NodePtr root;  // a record; its fields include the definitions, whose names begin with #
   std::vector<Problem> problems;
