--- a/src/simhost/events.cpp
+++ b/src/simhost/events.cpp
@@ -71,13 +71,15 @@
 }
 
 std::size_t check_list_buffer(std::uint8_t buffer, const Reader& reader) {
-  if (buffer >= kListBuffers) reader.fail("list buffer " + std::to_string(buffer) + " out of range");
+  if (buffer >= kListBuffers)
+    reader.fail("list buffer " + std::to_string(buffer) + " out of range (at most " +
+                std::to_string(kListBuffers - 1) + ")");
   return buffer;
 }
 
 void skip_load_report(Reader& reader) {
-  const std::uint8_t columns = reader.u8();
-  for (unsigned i = 0; i < columns; ++i) reader.f32();
+  const std::uint8_t column_count = reader.u8();
+  for (unsigned i = 0; i < column_count; ++i) reader.f32();
 }
 
 Event read_start(Reader& reader) {
@@ -90,7 +92,7 @@
 
 Event read_endpoint_list(Reader& reader) {
   const std::uint8_t mode = reader.u8();
-  reader.u32();  // not used
+  reader.u32();  // unused field
   const std::uint8_t buffer = reader.u8();
   if (mode > static_cast<std::uint8_t>(kLastListMode)) {
     reader.fail("unknown list mode " + std::to_string(mode));
@@ -103,7 +105,7 @@
 Event read_request(Reader& reader) {
   RequestEvent event;
   event.arrival.request = reader.u32();
-  reader.u8();  // flags: whether the work hint is given
+  reader.u8();  // flags; say whether the work hint is given
   event.arrival.deadline = Instant::at_ms(reader.f64());
   reader.f64();  // work hint, in milliseconds
   event.arrival.tenant = reader.u16();
@@ -116,7 +118,7 @@
   reader.u32();  // request
   reader.u8();   // attempt
   reader.address();
-  reader.f64();  // not used
+  reader.f64();  // unused field
   return IgnoredEvent{};
 }
 
@@ -135,7 +137,7 @@
 Event read_load_report(Reader& reader) {
   reader.u16();  // result code
   reader.address();
-  reader.f64();  // not used
+  reader.f64();  // unused field
   skip_load_report(reader);
   return IgnoredEvent{};
 }
@@ -146,7 +148,8 @@
   return IgnoredEvent{};
 }
 
-// The release's state, or what became of a vote of ours where that has not been accepted.
+// Reads the state of the release. A record that answers a vote which was not accepted becomes a
+// VoteRefusedEvent.
 Event read_release_state(Reader& reader) {
   ReleaseStateEvent event;
   event.state.version = reader.u16();
--- a/src/simhost/fleet.cpp
+++ b/src/simhost/fleet.cpp
@@ -1,6 +1,7 @@
 #include "simhost/fleet.hpp"
 
 #include <cstddef>
+#include <string>
 #include <type_traits>
 #include <variant>
 
@@ -19,11 +20,14 @@
     } else if (code == EventCode::kListBuffer) {
       fill_list_buffer(reader);
     } else {
-      if (!selected) reader.fail("event before any Select");
+      if (!selected)
+        reader.fail("event code " + std::to_string(static_cast<unsigned>(code)) +
+                    " before the first Select record");
       dispatch(read_event(reader, code), *selected, now);
     }
   }
-  if (!reader.is_at_end()) reader.fail("bytes left over after the last record");
+  if (!reader.is_at_end())
+    reader.fail("bytes left over after the last of " + std::to_string(record_count) + " records");
 }
 
 RouterInstance& Fleet::select_router(Reader& reader) {
--- a/src/simhost/fleet.hpp
+++ b/src/simhost/fleet.hpp
@@ -1,5 +1,6 @@
-// The simulated routers of one process: takes batches of event records apart, hands each event to its router,
-// and gathers the replies. Routers share nothing but the list buffers, which are the wire's.
+// The simulated routers of one process. Decodes batches of event records, passes each event to its router,
+// and collects the routers' actions in a reply. Routers share nothing except the list buffers, which are part
+// of the protocol.
 #pragma once
 #include <array>
 #include <cstdint>
@@ -17,13 +18,15 @@
 
 class Fleet {
  public:
-  // Handles one batch of so many records, without its header; appends the reply, without its length, to
-  // `reply`. `clock_ms` never goes back. Throws WireError where the batch is malformed, SettingsError where a
-  // router can't be started on its settings.
+  // Handles one batch of `record_count` records. `batch` is without its header, and the reply is appended to
+  // `reply` without its length. `clock_ms` is the simulated time in milliseconds and must not decrease
+  // between calls. Throws WireError if the batch is malformed, and SettingsError if a router cannot be
+  // started with its settings.
   void handle(double clock_ms, std::uint32_t record_count, std::span<const std::uint8_t> batch,
               Writer& reply);
 
  private:
+  // Returns the router of the id that follows, and creates it if it is new.
   RouterInstance& select_router(Reader& reader);
   void fill_list_buffer(Reader& reader);
   void dispatch(const Event& event, RouterInstance& router, Instant now);
--- a/src/simhost/router_instance.cpp
+++ b/src/simhost/router_instance.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr double kUntilClientDeadline = 0;  // as an attempt's time limit
+constexpr double kUseClientDeadline = 0;  // as the time limit of an attempt: until the client's deadline
 
 }  // namespace
 
@@ -102,7 +102,7 @@
   Writer& record = begin_action(ActionCode::kSendAttempt);
   record.u32(request);
   record.address(addresses_[endpoint]);
-  record.f64(kUntilClientDeadline);
+  record.f64(kUseClientDeadline);
 }
 
 void RouterInstance::reject(RequestId request, Duration retry_after) {
--- a/src/simhost/router_instance.hpp
+++ b/src/simhost/router_instance.hpp
@@ -1,5 +1,5 @@
-// One simulated router: hands decoded events to its decisions, and encodes what they do. The wire's endpoint
-// addresses become small indices here.
+// One simulated router. Passes decoded events to the router's policy and encodes the actions that the policy
+// takes. Translates between the endpoint addresses of the protocol and the endpoint indices of the policy.
 #pragma once
 #include <cstdint>
 #include <memory>
@@ -17,15 +17,19 @@
 
 class RouterInstance : public RouterActions {
  public:
-  // `reply` has to outlive the instance.
+  // `reply` must outlive the instance.
   RouterInstance(RouterId id, Reply& reply) : id_(id), reply_(reply) {}
 
-  // Throws SettingsError where the settings can't be used. Starts the router anew if it runs.
+  // Starts the router; if it is running, it starts again without its state. Throws SettingsError if the
+  // settings are invalid.
   void handle(const StartEvent& event, Instant now);
+  // Stops the router and discards its state.
   void handle(HaltEvent) { router_.reset(); }
 
-  // The events below are dropped where the router does not run. An exception of the decisions goes out as a
-  // fault.
+  // The events below are ignored if the router is not running. An exception that the policy throws is
+  // reported to the simulator in a kFault action.
+  //
+  // Applies the rows of a complete endpoint list or, if `complete` is false, of the changes to one.
   void update_endpoints(bool complete, std::span<const std::uint8_t> rows, Instant now);
   void handle(EndpointWatchFailedEvent event, Instant now);
   void handle(const RequestEvent& event, Instant now);
@@ -47,8 +51,10 @@
   void log(std::string_view line) override;
 
  private:
+  // Sets the policy's clock and calls `call` with the policy, if the router is running.
   template <class Call>
   void call_router(Instant now, Call&& call);
+  // Returns the index of the endpoint, and assigns the next one if the address is new.
   EndpointIndex find_or_add_index(WireAddress address);
   bool is_known(WireAddress address) const { return indices_.find(address) != IndexMap::kNone; }
   Writer& begin_action(ActionCode code) { return reply_.begin_action(id_, code); }
@@ -57,7 +63,7 @@
   Reply& reply_;
   std::vector<WireAddress> addresses_;  // by EndpointIndex
   IndexMap indices_;
-  std::unique_ptr<RouterPolicy> router_;  // null: not started, or halted
+  std::unique_ptr<RouterPolicy> router_;  // null if the router is not running
 };
 
 }  // namespace ashbeam::simhost
--- a/src/simhost/wire.hpp
+++ b/src/simhost/wire.hpp
@@ -1,5 +1,5 @@
-// Reading and writing the simulator's wire: big-endian numbers without padding. What the records mean stands
-// in events.hpp and reply.hpp.
+// Reads and writes the fields of the simulator's binary protocol: big-endian numbers without padding. The
+// records that are made of them are described in events.hpp and reply.hpp.
 #pragma once
 #include <bit>
 #include <cstddef>
@@ -11,14 +11,15 @@
 
 namespace ashbeam::simhost {
 
+// Thrown if the input does not follow the protocol, or if input or output ends early.
 struct WireError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-// An endpoint's four-byte address and its port, as one number.
+// An endpoint's IPv4 address (upper 32 bits) and its port (lower 16 bits).
 using WireAddress = std::uint64_t;
 
-// Reads fields one after another; each throws WireError where the bytes end before the field does.
+// Reads fields one after another. Each read throws WireError if the bytes end before the field does.
 class Reader {
  public:
   explicit Reader(std::span<const std::uint8_t> bytes) : bytes_(bytes) {}
@@ -35,7 +36,7 @@
     return ip << 16U | u16();
   }
   std::span<const std::uint8_t> bytes(std::size_t count);
-  // Throws WireError, with the position reached.
+  // Throws WireError with the message `what` and the current position.
   [[noreturn]] void fail(const std::string& what) const;
 
  private:
@@ -45,6 +46,7 @@
   std::size_t position_ = 0;
 };
 
+// Appends fields to a buffer.
 class Writer {
  public:
   void u8(std::uint8_t value) { bytes_.push_back(value); }
@@ -53,7 +55,7 @@
   void u64(std::uint64_t value) { big_endian(value, 8); }
   void f64(double value) { u64(std::bit_cast<std::uint64_t>(value)); }
   void address(WireAddress address) { big_endian(address, 6); }
-  // A two-byte length, and the text.
+  // Writes the length in two bytes, followed by the text. The text must not be longer than 65,535 bytes.
   void text(std::span<const std::uint8_t> text) {
     u16(static_cast<std::uint16_t>(text.size()));
     bytes_.insert(bytes_.end(), text.begin(), text.end());
--- a/tests/simhost_test.cpp
+++ b/tests/simhost_test.cpp
@@ -1,4 +1,5 @@
-// The simulator's wire: malformed input is named, what is merely unknown is ignored.
+// Tests of the simulator's binary protocol: malformed input is reported with its cause, and well-formed
+// events about unknown requests, endpoints or routers are ignored.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -16,6 +17,7 @@
     "rules.warmAfterMs=4000.0\nfamilyInfo.mostShares=0.1,1.0\nfamilyInfo.spanMs=2000.0\n"
     "familyInfo.ballotTtlMs=6000.0\nsome.newKey=whatever\nzones=a,b\nallowed.maxAttempts=3\n";
 
+// Assembles the bytes of a batch, without its header.
 struct Batch {
   Writer bytes;
   std::uint32_t record_count = 0;
@@ -34,7 +36,8 @@
     for (const char c : settings) bytes.u8(static_cast<std::uint8_t>(c));
     return *this;
   }
-  Batch& list() {  // one ready endpoint, in buffer 3
+  // A complete endpoint list with one ready endpoint, by way of list buffer 3.
+  Batch& list() {
     add(14).u8(3);
     bytes.u32(1);
     bytes.address(0x0a124a071f93);
@@ -70,7 +73,7 @@
     bytes.u8(0);
     return *this;
   }
-  std::vector<std::uint8_t> handled_by(Fleet& fleet, double clock_ms = 1000) const {
+  std::vector<std::uint8_t> handle_with(Fleet& fleet, double clock_ms = 1000) const {
     Writer reply;
     fleet.handle(clock_ms, record_count, bytes.bytes(), reply);
     return reply.bytes();
@@ -80,25 +83,25 @@
 std::string error_of(const Batch& batch) {
   Fleet fleet;
   try {
-    batch.handled_by(fleet);
-  } catch (const std::runtime_error& e) {
-    return e.what();
+    batch.handle_with(fleet);
+  } catch (const std::runtime_error& error) {
+    return error.what();
   }
   return "";
 }
 
-TEST(SimhostWire, ARequestIsSentUnderItsRoutersId) {
+TEST(SimhostWire, SendsRequestUnderIdOfItsRouter) {
   Fleet fleet;
   Batch batch;
   batch.select(3).start().list().release_state().request(0x5d3a91c4);
-  const auto reply = batch.handled_by(fleet);
-  const std::vector<std::uint8_t> speaking{14, 0, 0, 0, 3};
+  const auto reply = batch.handle_with(fleet);
+  const std::vector<std::uint8_t> acting_router{14, 0, 0, 0, 3};
   const std::vector<std::uint8_t> attempt{1, 0x5d, 0x3a, 0x91, 0xc4, 0x0a, 0x12, 0x4a, 7};
-  EXPECT_TRUE(std::equal(speaking.begin(), speaking.end(), reply.begin()));
+  EXPECT_TRUE(std::equal(acting_router.begin(), acting_router.end(), reply.begin()));
   EXPECT_NE(std::search(reply.begin(), reply.end(), attempt.begin(), attempt.end()), reply.end());
 }
 
-TEST(SimhostWire, UnknownThingsAreIgnored) {
+TEST(SimhostWire, IgnoresUnknownRequestsWakeupsEndpointsAndRouters) {
   Fleet fleet;
   Batch batch;
   batch.select(1).start().list();
@@ -109,41 +112,41 @@
   batch.bytes.f64(1);
   batch.bytes.u8(0);
   batch.select(2).add(6).u32(1);  // a router that never started
-  EXPECT_NO_THROW(batch.handled_by(fleet));
+  EXPECT_NO_THROW(batch.handle_with(fleet));
 }
 
-TEST(SimhostWire, HaltAndStartInOneBatch) {
+TEST(SimhostWire, StartsAgainAfterHaltInSameBatchAndIgnoresRequestsWhileHalted) {
   Fleet fleet;
   Batch batch;
   batch.select(1).start().list().add(10);
   batch.start().list().release_state().request(5);
-  const auto reply = batch.handled_by(fleet);
+  const auto reply = batch.handle_with(fleet);
   EXPECT_GT(reply.size(), 20u);
   Batch after;
   after.select(1).add(10);
-  after.request(6);  // nobody is left to take it
-  EXPECT_TRUE(after.handled_by(fleet).empty());
+  after.request(6);  // ignored: the router is halted
+  EXPECT_TRUE(after.handle_with(fleet).empty());
 }
 
-TEST(SimhostWire, MalformedInputIsNamed) {
+TEST(SimhostWire, ReportsMalformedInputWithItsCause) {
   Batch cut_short;
   cut_short.select(1).add(6).u16(1);
-  EXPECT_NE(error_of(cut_short).find("cut short at byte"), std::string::npos);
+  EXPECT_NE(error_of(cut_short).find("field of 4 bytes cut short to 2 at byte 6"), std::string::npos);
   Batch unknown_code;
   unknown_code.select(1).add(99);
   EXPECT_NE(error_of(unknown_code).find("unknown event code 99"), std::string::npos);
   Batch unselected;
   unselected.add(10);
-  EXPECT_NE(error_of(unselected).find("before any Select"), std::string::npos);
+  EXPECT_NE(error_of(unselected).find("event code 10 before the first Select record"), std::string::npos);
   Batch unknown_buffer;
   unknown_buffer.add(14).u8(16);
-  EXPECT_NE(error_of(unknown_buffer).find("list buffer 16"), std::string::npos);
+  EXPECT_NE(error_of(unknown_buffer).find("list buffer 16 out of range (at most 15)"), std::string::npos);
   Batch left_over;
   left_over.select(1).bytes.u8(0);
-  EXPECT_NE(error_of(left_over).find("left over"), std::string::npos);
+  EXPECT_NE(error_of(left_over).find("bytes left over after the last of 1 records"), std::string::npos);
 }
 
-TEST(SimhostWire, MissingOrMalformedSettingsAreNamed) {
+TEST(SimhostWire, ReportsMissingAndMalformedSettings) {
   Batch missing;
   missing.select(1).start("grades.count=1\n");
   EXPECT_NE(error_of(missing).find("'grades.0.effect' is missing"), std::string::npos);
@@ -154,18 +157,18 @@
   EXPECT_NE(error_of(batch).find("not a number"), std::string::npos);
 }
 
-TEST(SimhostWire, RoutersShareNothing) {
-  const auto alone = [](std::uint32_t router) {
+TEST(SimhostWire, RepliesOfTwoRoutersAreIndependent) {
+  const auto reply_size_alone = [](std::uint32_t router) {
     Fleet fleet;
     Batch batch;
     batch.select(router).start().list().release_state().request(5);
-    return batch.handled_by(fleet).size();
+    return batch.handle_with(fleet).size();
   };
   Fleet fleet;
   Batch both;
   both.select(1).start().list().release_state().request(5);
   both.select(2).start().list().release_state().request(5);
-  EXPECT_EQ(both.handled_by(fleet).size(), alone(1) + alone(2));
+  EXPECT_EQ(both.handle_with(fleet).size(), reply_size_alone(1) + reply_size_alone(2));
 }
 
 }  // namespace
