--- a/src/records/parser.cpp
+++ b/src/records/parser.cpp
@@ -89,16 +89,20 @@
     if (problems_.size() >= kMaxProblems || is_limit_exceeded_) return stop_parsing();
     problems_.push_back({token_.position, path(), "wanted " + wanted + ", found " + found});
   }
+  // Reports that `wanted` was expected instead of the current token, and abandons the current field.
   [[noreturn]] void fail(const std::string& wanted) {
     if (is_at(Token::Kind::kInvalid)) add_problem(token_.text, "an invalid string");
     else add_problem(wanted, describe(token_));
     throw FieldError{};
   }
+  // Called when there are too many problems or values: skips the rest of the text and adds no further
+  // problem.
   void stop_parsing() {
     is_limit_exceeded_ = true;
     lexer_.skip_to_end();
     token_ = Token{};
   }
+  // Returns the path of the current field, or "file" outside all fields.
   std::string path() const {
     std::string joined;
     for (const std::string& name : path_) joined.append(joined.empty() ? "" : ".").append(name);
--- a/src/records/resolver.hpp
+++ b/src/records/resolver.hpp
@@ -27,6 +27,8 @@
   Value resolve_reference(const Node& node, const std::string& path);
   Value resolve_conjunction(const Node& node, const std::string& path);
   Value resolve_disjunction(const Node& node, const std::string& path);
+  // Merges `from` into `into`: records field by field. Scalars must be equal, and lists cannot be merged; a
+  // problem is added otherwise.
   void merge(Value& into, Value from, const std::string& path);
   void add_problem(Position position, const std::string& path, const std::string& wanted,
                    const std::string& found);
--- a/src/simhost/events.cpp
+++ b/src/simhost/events.cpp
@@ -70,6 +70,7 @@
   return EndpointState::kRemoved;
 }
 
+// Returns `buffer` if it is the index of a list buffer, and throws WireError otherwise.
 std::size_t check_list_buffer(std::uint8_t buffer, const Reader& reader) {
   if (buffer >= kListBuffers)
     reader.fail("list buffer " + std::to_string(buffer) + " out of range (at most " +
