--- a/src/program/keys_command.cpp
+++ b/src/program/keys_command.cpp
@@ -118,7 +118,7 @@
 
 // Parses a duration with a unit, like "10m". Throws std::runtime_error.
 Duration parse_duration(const std::string& text) {
-  const auto duration = records::parse_span(text);
+  const auto duration = records::parse_duration(text);
   if (!duration) throw std::runtime_error("expected a duration like 10m, got " + records::quoted(text));
   return *duration;
 }
--- a/src/routing/client_connection.hpp
+++ b/src/routing/client_connection.hpp
@@ -77,11 +77,11 @@
   // Closes the connection while it is between two requests.
   void close_idle();
   // Returns whether part of a request has been received.
-  bool has_partial_request() const { return state_ == State::kReading && requests_.started(); }
+  bool has_partial_request() const { return state_ == State::kReading && requests_.has_started(); }
   // Returns whether the connection has been reused: it had an answer and reads, or waits for, a later
   // request.
   bool is_kept_alive() const { return state_ == State::kReading && answered_once_; }
-  bool is_between_requests() const { return is_kept_alive() && !requests_.started(); }
+  bool is_between_requests() const { return is_kept_alive() && !requests_.has_started(); }
 
   ClientConnections& owner_;
   std::size_t slot_;
