--- a/proofs/corrupted_metadata.hpp
+++ b/proofs/corrupted_metadata.hpp
@@ -39,7 +39,8 @@
   std::string problem;
   const auto first = parse_json(a, {}, problem);
   const auto second = parse_json(b, {}, problem);
-  return first && second && first->find("signed")->canonical() == second->find("signed")->canonical();
+  return first && second &&
+         first->find("signed")->to_canonical_json() == second->find("signed")->to_canonical_json();
 }
 
 // No corrupted file may be accepted, but for changes outside of what is signed.
@@ -47,11 +48,11 @@
   const Instant now = Instant::at_us(1'800'000'000'000'000);
   Publisher publisher(now + Duration::s(86400));
   publisher.list_hashes = false;  // or the listed hash would catch most of it before the signature does
-  publisher.contents["targets"]["app"] = "1";
-  const std::string timestamp = publisher.timestamp();
-  const std::string snapshot = publisher.snapshot();
-  const std::string targets = publisher.targets();
-  const TrustedMetadata with_root = pin_root(publisher.root()).trust;
+  publisher.target_contents["targets"]["app"] = "1";
+  const std::string timestamp = publisher.timestamp_file();
+  const std::string snapshot = publisher.snapshot_file();
+  const std::string targets = publisher.targets_file();
+  const TrustedMetadata with_root = pin_root(publisher.root_file()).trust;
   const TrustedMetadata with_timestamp = update_timestamp(with_root, timestamp, now).trust;
   const TrustedMetadata with_snapshot = update_snapshot(with_timestamp, snapshot, now).trust;
   Pcg random(proof.seed);
--- a/proofs/replicated_repository.hpp
+++ b/proofs/replicated_repository.hpp
@@ -15,8 +15,8 @@
 class ReplicatedRepository {
  public:
   ReplicatedRepository(Instant expiry, unsigned endpoints) : publisher_(expiry), held_version_(endpoints) {
-    publisher_.contents["targets"]["app"] = "0";
-    first_root_ = publisher_.root();
+    publisher_.target_contents["targets"]["app"] = "0";
+    first_root_ = publisher_.root_file();
     versions_.push_back(publisher_.files());
   }
 
@@ -30,7 +30,7 @@
     ++publisher_.versions["snapshot"];
     ++publisher_.versions["timestamp"];
     const std::size_t number = versions_.size();
-    publisher_.contents["targets"]["app"] = std::to_string(number);
+    publisher_.target_contents["targets"]["app"] = std::to_string(number);
     const auto former_root = publisher_.roles["root"];
     const bool new_root = number % 5 == 0;
     if (new_root) {
@@ -41,7 +41,7 @@
     }
     auto files = publisher_.files();
     if (new_root)
-      files[std::to_string(publisher_.versions["root"]) + ".root.json"] = publisher_.root(&former_root);
+      files[std::to_string(publisher_.versions["root"]) + ".root.json"] = publisher_.root_file(&former_root);
     // A consistent snapshot: an endpoint that holds this version holds the older ones' files, too.
     for (const auto& [name, bytes] : versions_.back()) {
       if (name != "timestamp.json") files.emplace(name, bytes);
@@ -75,7 +75,7 @@
         body = name == "timestamp.json" ? versions_[0].at(name) : body + " {}";
         break;
       case 3:  // another publisher's
-        body = Publisher(now + Duration::s(900)).timestamp();
+        body = Publisher(now + Duration::s(900)).timestamp_file();
         break;
       default:  // rolled back, or another role's
         body = versions_[versions_.size() / 2].at("timestamp.json");
--- a/src/metadata/json.cpp
+++ b/src/metadata/json.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr std::size_t kMaxNameInError = 40;
+constexpr std::size_t kMaxNameBytesInError = 40;
 
 bool name_less(const JsonMember& a, const JsonMember& b) { return a.name < b.name; }
 bool name_equal(const JsonMember& a, const JsonMember& b) { return a.name == b.name; }
@@ -16,38 +16,38 @@
 // canonical JSON (repeated members, fractions, any depth) is refused here.
 class NodeBuilder : public nlohmann::json_sax<nlohmann::json> {
  public:
-  NodeBuilder(const JsonLimits& limits, std::string& problem) : limits_(limits), problem_(problem) {}
+  NodeBuilder(const JsonLimits& limits, std::string& error) : limits_(limits), error_(error) {}
 
   JsonNode take_root() { return std::move(root_); }
 
-  bool null() override { return add(JsonNode{}) != nullptr; }
-  bool boolean(bool value) override { return add(json_bool(value)) != nullptr; }
-  bool number_integer(number_integer_t value) override { return add(json_number(value)) != nullptr; }
+  bool null() override { return add_node(JsonNode{}) != nullptr; }
+  bool boolean(bool value) override { return add_node(json_bool(value)) != nullptr; }
+  bool number_integer(number_integer_t value) override { return add_node(json_number(value)) != nullptr; }
   bool number_unsigned(number_unsigned_t value) override {
     if (value > static_cast<number_unsigned_t>(INT64_MAX)) return fail("a number over 2^63");
-    return add(json_number(static_cast<std::int64_t>(value))) != nullptr;
+    return add_node(json_number(static_cast<std::int64_t>(value))) != nullptr;
   }
   // 1e0 and 1.0 have more than one reading, so that their signed form would be ambiguous.
   bool number_float(number_float_t, const string_t&) override { return fail("a number that is not whole"); }
-  bool string(string_t& value) override { return add(json_string(std::move(value))) != nullptr; }
+  bool string(string_t& value) override { return add_node(json_string(std::move(value))) != nullptr; }
   bool binary(binary_t&) override { return fail("binary"); }
-  bool start_object(std::size_t) override { return open(JsonNode::Kind::kObject); }
-  bool start_array(std::size_t) override { return open(JsonNode::Kind::kList); }
+  bool start_object(std::size_t) override { return open_container(JsonNode::Kind::kObject); }
+  bool start_array(std::size_t) override { return open_container(JsonNode::Kind::kArray); }
   bool key(string_t& value) override {
-    names_.push_back(std::move(value));
+    pending_names_.push_back(std::move(value));
     return true;
   }
   bool end_object() override {
-    auto& members = open_.back()->members;
+    auto& members = open_containers_.back()->members;
     std::stable_sort(members.begin(), members.end(), name_less);
     const auto repeated = std::adjacent_find(members.begin(), members.end(), name_equal);
     if (repeated != members.end())
-      return fail("the member '" + repeated->name.substr(0, kMaxNameInError) + "' twice");
-    open_.pop_back();
+      return fail("the member '" + repeated->name.substr(0, kMaxNameBytesInError) + "' twice");
+    open_containers_.pop_back();
     return true;
   }
   bool end_array() override {
-    open_.pop_back();
+    open_containers_.pop_back();
     return true;
   }
   bool parse_error(std::size_t at, const std::string&, const nlohmann::detail::exception&) override {
@@ -55,39 +55,40 @@
   }
 
  private:
-  bool fail(const std::string& problem) {
-    if (problem_.empty()) problem_ = problem;
+  bool fail(const std::string& error) {
+    if (error_.empty()) error_ = error;
     return false;
   }
   // Null where there are too many.
-  JsonNode* add(JsonNode node) {
-    if (++nodes_ > limits_.nodes) {
-      fail("more than " + std::to_string(limits_.nodes) + " values");
+  JsonNode* add_node(JsonNode node) {
+    if (++node_count_ > limits_.max_nodes) {
+      fail("more than " + std::to_string(limits_.max_nodes) + " values");
       return nullptr;
     }
-    if (open_.empty()) return &(root_ = std::move(node));
-    JsonNode& parent = *open_.back();
-    if (parent.kind == JsonNode::Kind::kList) return &parent.items.emplace_back(std::move(node));
-    parent.members.push_back({std::move(names_.back()), std::move(node)});
-    names_.pop_back();
+    if (open_containers_.empty()) return &(root_ = std::move(node));
+    JsonNode& parent = *open_containers_.back();
+    if (parent.kind == JsonNode::Kind::kArray) return &parent.items.emplace_back(std::move(node));
+    parent.members.push_back({std::move(pending_names_.back()), std::move(node)});
+    pending_names_.pop_back();
     return &parent.members.back().value;
   }
-  bool open(JsonNode::Kind kind) {
-    if (open_.size() >= limits_.depth)
-      return fail("deeper than " + std::to_string(limits_.depth) + " levels");
+  bool open_container(JsonNode::Kind kind) {
+    if (open_containers_.size() >= limits_.max_depth)
+      return fail("deeper than " + std::to_string(limits_.max_depth) + " levels");
     JsonNode node;
     node.kind = kind;
-    JsonNode* const added = add(std::move(node));
-    if (added) open_.push_back(added);
+    JsonNode* const added = add_node(std::move(node));
+    if (added) open_containers_.push_back(added);
     return added != nullptr;
   }
 
   const JsonLimits& limits_;
-  std::string& problem_;
+  std::string& error_;
   JsonNode root_;
-  std::vector<JsonNode*> open_;     // stay valid: a container grows only while it is the innermost open one
-  std::vector<std::string> names_;  // of members whose value has not come yet
-  std::size_t nodes_ = 0;
+  std::vector<JsonNode*>
+      open_containers_;  // stay valid: a container grows only while it is the innermost open one
+  std::vector<std::string> pending_names_;  // of members whose value has not come yet
+  std::size_t node_count_ = 0;
 };
 
 void write_string(std::string& output, const std::string& text, bool escape_control) {
@@ -108,10 +109,10 @@
 }  // namespace
 
 const JsonNode* JsonNode::find(std::string_view name) const {
-  const auto found = std::lower_bound(
+  const auto entry = std::lower_bound(
       members.begin(), members.end(), name,
       [](const JsonMember& member, std::string_view wanted) { return member.name < wanted; });
-  return found != members.end() && found->name == name ? &found->value : nullptr;
+  return entry != members.end() && entry->name == name ? &entry->value : nullptr;
 }
 
 const JsonNode* JsonNode::find(std::string_view name, Kind wanted) const {
@@ -123,13 +124,13 @@
   return const_cast<JsonNode*>(std::as_const(*this).find(name, wanted));
 }
 
-std::string JsonNode::canonical() const {
+std::string JsonNode::to_canonical_json() const {
   std::string output;
   write(output, false);
   return output;
 }
 
-std::string JsonNode::json() const {
+std::string JsonNode::to_json() const {
   std::string output;
   write(output, true);
   return output;
@@ -149,8 +150,8 @@
     case Kind::kString:
       write_string(output, text, escape_control);
       break;
-    case Kind::kList:
-      write_list(output, escape_control);
+    case Kind::kArray:
+      write_array(output, escape_control);
       break;
     case Kind::kObject:
       write_object(output, escape_control);
@@ -158,7 +159,7 @@
   }
 }
 
-void JsonNode::write_list(std::string& output, bool escape_control) const {
+void JsonNode::write_array(std::string& output, bool escape_control) const {
   output += '[';
   for (std::size_t i = 0; i < items.size(); ++i) {
     if (i > 0) output += ',';
@@ -199,9 +200,9 @@
   return node;
 }
 
-JsonNode json_list(std::vector<JsonNode> items) {
+JsonNode json_array(std::vector<JsonNode> items) {
   JsonNode node;
-  node.kind = JsonNode::Kind::kList;
+  node.kind = JsonNode::Kind::kArray;
   node.items = std::move(items);
   return node;
 }
@@ -214,16 +215,16 @@
   return node;
 }
 
-std::optional<JsonNode> parse_json(std::string_view text, const JsonLimits& limits, std::string& problem) {
-  problem.clear();
-  if (text.size() > limits.bytes) {
-    problem = std::to_string(text.size()) + " bytes, at most " + std::to_string(limits.bytes);
+std::optional<JsonNode> parse_json(std::string_view text, const JsonLimits& limits, std::string& error) {
+  error.clear();
+  if (text.size() > limits.max_bytes) {
+    error = std::to_string(text.size()) + " bytes, at most " + std::to_string(limits.max_bytes);
     return std::nullopt;
   }
-  NodeBuilder builder(limits, problem);
-  const bool good = nlohmann::json::sax_parse(text, &builder, nlohmann::json::input_format_t::json, true);
-  if (good && problem.empty()) return builder.take_root();
-  if (problem.empty()) problem = "no JSON";
+  NodeBuilder builder(limits, error);
+  const bool parsed = nlohmann::json::sax_parse(text, &builder, nlohmann::json::input_format_t::json, true);
+  if (parsed && error.empty()) return builder.take_root();
+  if (error.empty()) error = "no JSON";
   return std::nullopt;
 }
 
--- a/src/metadata/json.hpp
+++ b/src/metadata/json.hpp
@@ -14,7 +14,7 @@
 
 class JsonNode {
  public:
-  enum class Kind : std::uint8_t { kNull, kBool, kNumber, kString, kList, kObject };
+  enum class Kind : std::uint8_t { kNull, kBool, kNumber, kString, kArray, kObject };
   Kind kind = Kind::kNull;
   bool boolean = false;
   std::int64_t number = 0;
@@ -28,13 +28,13 @@
   JsonNode* find(std::string_view name, Kind wanted);
   // The form that is signed; not valid JSON where a string holds control characters, which it leaves as they
   // are.
-  std::string canonical() const;
+  std::string to_canonical_json() const;
   // The same with control characters escaped: valid JSON.
-  std::string json() const;
+  std::string to_json() const;
 
  private:
   void write(std::string& output, bool escape_control) const;
-  void write_list(std::string& output, bool escape_control) const;
+  void write_array(std::string& output, bool escape_control) const;
   void write_object(std::string& output, bool escape_control) const;
 };
 
@@ -46,17 +46,17 @@
 JsonNode json_string(std::string text);
 JsonNode json_number(std::int64_t number);
 JsonNode json_bool(bool boolean);
-JsonNode json_list(std::vector<JsonNode> items);
+JsonNode json_array(std::vector<JsonNode> items);
 // The members may come in any order.
 JsonNode json_object(std::vector<JsonMember> members);
 
 struct JsonLimits {
-  std::size_t bytes = std::size_t{512} * 1024;
-  std::size_t nodes = 200'000;
-  unsigned depth = 16;
+  std::size_t max_bytes = std::size_t{512} * 1024;
+  std::size_t max_nodes = 200'000;
+  unsigned max_depth = 16;
 };
 
 // `problem` is set where nothing is returned, and empty otherwise.
-std::optional<JsonNode> parse_json(std::string_view text, const JsonLimits& limits, std::string& problem);
+std::optional<JsonNode> parse_json(std::string_view text, const JsonLimits& limits, std::string& error);
 
 }  // namespace ashbeam::metadata
--- a/src/metadata/keys.cpp
+++ b/src/metadata/keys.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr std::size_t kMaxKeyText = 8192;
+constexpr std::size_t kMaxKeyTextBytes = 8192;
 constexpr std::size_t kEd25519KeyBytes = 32;
 constexpr int kMinRsaBits = 2048;
 constexpr int kMaxRsaBits = 8192;
@@ -38,7 +38,7 @@
   return to_hex(as_text(digest, size));
 }
 
-OwnedKey key_from_pem(const std::string& pem) {
+OwnedKey parse_pem_public_key(const std::string& pem) {
   const std::unique_ptr<BIO, decltype(&BIO_free)> source(
       BIO_new_mem_buf(pem.data(), static_cast<int>(pem.size())), BIO_free);
   const auto no_password = [](char*, int, int, void*) { return -1; };
@@ -47,15 +47,15 @@
   return key;
 }
 
-OwnedKey ed25519_key(const std::string& hex) {
+OwnedKey parse_ed25519_key(const std::string& hex) {
   const auto bytes = from_hex(hex);
   if (!bytes || bytes->size() != kEd25519KeyBytes) return nullptr;
   return OwnedKey(EVP_PKEY_new_raw_public_key(EVP_PKEY_ED25519, nullptr, as_bytes(*bytes), bytes->size()));
 }
 
 // Null where the key is not on P-256.
-OwnedKey ecdsa_key(const std::string& pem) {
-  OwnedKey key = key_from_pem(pem);
+OwnedKey parse_ecdsa_key(const std::string& pem) {
+  OwnedKey key = parse_pem_public_key(pem);
   if (!key || EVP_PKEY_get_base_id(key.get()) != EVP_PKEY_EC) return nullptr;
   char curve[32] = "";
   std::size_t size = 0;
@@ -63,15 +63,15 @@
   return std::string_view(curve) == "prime256v1" ? std::move(key) : nullptr;
 }
 
-OwnedKey rsa_key(const std::string& pem) {
-  OwnedKey key = key_from_pem(pem);
+OwnedKey parse_rsa_key(const std::string& pem) {
+  OwnedKey key = parse_pem_public_key(pem);
   if (!key || EVP_PKEY_get_base_id(key.get()) != EVP_PKEY_RSA) return nullptr;
   const int bits = EVP_PKEY_get_bits(key.get());
   return bits >= kMinRsaBits && bits <= kMaxRsaBits ? std::move(key) : nullptr;
 }
 
 // SHA-256 of the key's DER form; empty where it has none.
-std::string identity_of(EVP_PKEY* key) {
+std::string compute_identity(EVP_PKEY* key) {
   unsigned char* der = nullptr;
   const int size = i2d_PUBKEY(key, &der);
   if (size <= 0) return "";
@@ -80,7 +80,7 @@
   return identity;
 }
 
-int hex_digit(char c) {
+int hex_digit_value(char c) {
   if (c >= '0' && c <= '9') return c - '0';
   if (c >= 'a' && c <= 'f') return c - 'a' + 10;
   if (c >= 'A' && c <= 'F') return c - 'A' + 10;
@@ -89,7 +89,7 @@
 
 // How many distinct public keys of the role have signed. Each is counted once, and no key that has counted is
 // verified again.
-std::size_t count_signing_keys(const Role& role, const Keys& keys, const SignedEnvelope& envelope,
+std::size_t count_signing_keys(const Role& role, const KeysById& keys, const SignedEnvelope& envelope,
                                std::uint64_t& verifications) {
   std::set<std::string> identities;
   for (const Signature& signature : envelope.signatures) {
@@ -124,8 +124,8 @@
   std::string bytes;
   bytes.reserve(text.size() / 2);
   for (std::size_t i = 0; i < text.size(); i += 2) {
-    const int high = hex_digit(text[i]);
-    const int low = hex_digit(text[i + 1]);
+    const int high = hex_digit_value(text[i]);
+    const int low = hex_digit_value(text[i + 1]);
     if (high < 0 || low < 0) return std::nullopt;
     bytes += static_cast<char>(high * 16 + low);
   }
@@ -138,23 +138,23 @@
   const JsonNode* const scheme = object.find("scheme", Kind::kString);
   const JsonNode* const value = object.find("keyval", Kind::kObject);
   const JsonNode* const text = value ? value->find("public", Kind::kString) : nullptr;
-  if (!type || !scheme || !text || text->text.size() > kMaxKeyText) return nullptr;
+  if (!type || !scheme || !text || text->text.size() > kMaxKeyTextBytes) return nullptr;
 
   auto key = std::make_shared<PublicKey>();
   OwnedKey owned;
   if (type->text == "ed25519" && scheme->text == "ed25519") {
     key->scheme_ = Scheme::kEd25519;
-    owned = ed25519_key(text->text);
+    owned = parse_ed25519_key(text->text);
   } else if ((type->text == "ecdsa" || type->text == "ecdsa-sha2-nistp256") &&
              scheme->text == "ecdsa-sha2-nistp256") {
     key->scheme_ = Scheme::kEcdsa;
-    owned = ecdsa_key(text->text);
+    owned = parse_ecdsa_key(text->text);
   } else if (type->text == "rsa" && scheme->text == "rsassa-pss-sha256") {
     key->scheme_ = Scheme::kRsaPss;
-    owned = rsa_key(text->text);
+    owned = parse_rsa_key(text->text);
   }
   if (!owned) return nullptr;
-  key->identity_ = identity_of(owned.get());
+  key->identity_ = compute_identity(owned.get());
   if (key->identity_.empty()) return nullptr;
   key->key_ = std::move(owned);
   return key;
@@ -175,12 +175,12 @@
   return valid;
 }
 
-Refusal read_keys(const JsonNode& objects, Keys& keys) {
+Refusal read_keys(const JsonNode& objects, KeysById& keys) {
   if (objects.kind != JsonNode::Kind::kObject || objects.members.size() > kMaxKeys)
     return Refusal::unreadable("keys: wanted an object of at most 128", "TUF 4.3");
   for (const auto& [keyid, object] : objects.members) {
     if (object.kind != JsonNode::Kind::kObject) return Refusal::unreadable("keys: no object", "TUF 4.3");
-    const std::string computed = sha256_hex(object.canonical());
+    const std::string computed = sha256_hex(object.to_canonical_json());
     if (computed != keyid) {
       std::string detail = "key id ";
       detail.append(abbreviate_hash(keyid)).append(" is of ").append(abbreviate_hash(computed));
@@ -193,7 +193,7 @@
 }
 
 Refusal read_signatures(const JsonNode& list, std::vector<Signature>& signatures) {
-  if (list.kind != JsonNode::Kind::kList || list.items.size() > kMaxSignatures)
+  if (list.kind != JsonNode::Kind::kArray || list.items.size() > kMaxSignatures)
     return Refusal::unreadable("signatures: wanted a list of at most 128", "TUF 4.2");
   for (const JsonNode& item : list.items) {
     const JsonNode* const keyid = item.find("keyid", JsonNode::Kind::kString);
@@ -206,7 +206,7 @@
 }
 
 Refusal read_role(const JsonNode& object, Role& role) {
-  const JsonNode* const keyids = object.find("keyids", JsonNode::Kind::kList);
+  const JsonNode* const keyids = object.find("keyids", JsonNode::Kind::kArray);
   const JsonNode* const threshold = object.find("threshold", JsonNode::Kind::kNumber);
   if (!keyids || !threshold || threshold->number < 1 || keyids->items.size() > kMaxKeys)
     return Refusal::unreadable("role: wanted keyids and a threshold of 1 or more", "TUF 4.3");
@@ -222,11 +222,11 @@
   return {};
 }
 
-Refusal check_threshold(std::string_view what, const Role& role, const Keys& keys,
+Refusal check_threshold(std::string_view subject, const Role& role, const KeysById& keys,
                         const SignedEnvelope& envelope, const char* section, std::uint64_t& verifications) {
   const auto valid = static_cast<std::int64_t>(count_signing_keys(role, keys, envelope, verifications));
   if (valid >= role.threshold) return {};
-  return Refusal::threshold(what, valid, role.threshold, section);
+  return Refusal::threshold(subject, valid, role.threshold, section);
 }
 
 }  // namespace ashbeam::metadata
--- a/src/metadata/keys.hpp
+++ b/src/metadata/keys.hpp
@@ -42,8 +42,8 @@
 
 // Keys by their id. An id is the SHA-256 of the key object's canonical form; it is always computed, and a
 // file that has another one is refused. Keys of unknown kinds are left out.
-using Keys = std::map<std::string, std::shared_ptr<const PublicKey>, std::less<>>;
-Refusal read_keys(const JsonNode& objects, Keys& keys);
+using KeysById = std::map<std::string, std::shared_ptr<const PublicKey>, std::less<>>;
+Refusal read_keys(const JsonNode& objects, KeysById& keys);
 
 struct Signature {
   std::string keyid;
@@ -68,7 +68,7 @@
 // Have enough distinct public keys of the role signed? Neither ids nor signatures count: one key under two
 // ids is one. `what` and `section` go into the refusal; `verifications` rises by the signatures computed, at
 // most one for each signature of the envelope.
-Refusal check_threshold(std::string_view what, const Role& role, const Keys& keys,
+Refusal check_threshold(std::string_view subject, const Role& role, const KeysById& keys,
                         const SignedEnvelope& envelope, const char* section, std::uint64_t& verifications);
 
 }  // namespace ashbeam::metadata
--- a/src/metadata/metadata_verifier.cpp
+++ b/src/metadata/metadata_verifier.cpp
@@ -11,10 +11,10 @@
 // A file under the name of another version: each is valid under its own name alone (section 5.6.2).
 Refusal check_named_version(const std::string& role, std::int64_t found, std::int64_t named) {
   if (named == 0 || found == named) return {};
-  return Refusal::other_name(role, found, named, "TUF 5.6.2");
+  return Refusal::file_name_mismatch(role, found, named, "TUF 5.6.2");
 }
 
-bool is_top_level(const std::string& role) { return role == "snapshot" || role == "targets"; }
+bool is_top_level_role(const std::string& role) { return role == "snapshot" || role == "targets"; }
 
 // Under the first delegator that trusts the file; the refusal of the last one otherwise.
 TrustUpdate update_by_any_delegator(const TrustedMetadata& trust, const std::string& role,
@@ -50,29 +50,30 @@
 }  // namespace
 
 MetadataVerifier::MetadataVerifier(std::vector<RepositorySettings> repositories, std::size_t max_clients)
-    : clients_(repositories.size(), max_clients) {
+    : client_history_(repositories.size(), max_clients) {
   for (auto& settings : repositories) {
-    TrustUpdate pinned = pin_root(settings.root);
-    if (pinned.refusal) throw std::runtime_error(settings.prefix + ": pinned root: " + pinned.refusal.line());
+    TrustUpdate pinned = pin_root(settings.pinned_root);
+    if (pinned.refusal)
+      throw std::runtime_error(settings.path_prefix + ": pinned root: " + pinned.refusal.line());
     Repository repository;
     repository.index = static_cast<std::uint32_t>(repositories_.size());
     repository.trust = std::move(pinned.trust);
     const Root& root = *repository.trust.root;
     repository.roots[root.version] = {root.digest, 0};
     repository.settings = std::move(settings);
-    by_prefix_length_.push_back(repository.index);
+    by_descending_prefix_length_.push_back(repository.index);
     repositories_.push_back(std::move(repository));
   }
-  const auto prefix_length = [this](std::uint32_t index) {
-    return repositories_[index].settings.prefix.size();
+  const auto prefix_size = [this](std::uint32_t index) {
+    return repositories_[index].settings.path_prefix.size();
   };
-  std::stable_sort(by_prefix_length_.begin(), by_prefix_length_.end(),
-                   [&](std::uint32_t a, std::uint32_t b) { return prefix_length(a) > prefix_length(b); });
+  std::stable_sort(by_descending_prefix_length_.begin(), by_descending_prefix_length_.end(),
+                   [&](std::uint32_t a, std::uint32_t b) { return prefix_size(a) > prefix_size(b); });
 }
 
-std::uint32_t MetadataVerifier::repository_of(std::string_view path, std::string_view& file) const {
-  for (const std::uint32_t index : by_prefix_length_) {
-    const std::string& prefix = repositories_[index].settings.prefix;
+std::uint32_t MetadataVerifier::find_repository(std::string_view path, std::string_view& file) const {
+  for (const std::uint32_t index : by_descending_prefix_length_) {
+    const std::string& prefix = repositories_[index].settings.path_prefix;
     if (!path.starts_with(prefix)) continue;
     file = path.substr(prefix.size());
     return index;
@@ -106,8 +107,8 @@
   Refusal refusal;
   if (file.role == "root") refusal = check_root(repository, file);
   else if (file.role == "timestamp") refusal = check_timestamp(repository, file);
-  else refusal = check_listed(repository, file);
-  if (refusal) ++refused_[static_cast<std::size_t>(refusal.reason)];
+  else refusal = check_below_timestamp(repository, file);
+  if (refusal) ++refusal_counts_[static_cast<std::size_t>(refusal.reason)];
   return refusal;
 }
 
@@ -119,7 +120,7 @@
   std::string digest = sha256_hex(file.bytes);
   const auto known = repository.roots.find(named == 0 ? trusted : named);
   if (known != repository.roots.end() && known->second.digest == digest) {
-    clients_.record(repository.index, file.client, {known->second.key_generation, 0});
+    client_history_.record(repository.index, file.client, {known->second.key_generation, 0});
     return {};
   }
   TrustUpdate update = update_root(repository.trust, file.bytes);
@@ -133,9 +134,9 @@
     return later.version == named ? Refusal{} : update.refusal;
   }
   const std::int64_t version = update.trust.root->version;
-  if (named != 0 && version != named) return Refusal::other_name("root", version, named, "TUF 5.3.3");
+  if (named != 0 && version != named) return Refusal::file_name_mismatch("root", version, named, "TUF 5.3.3");
   accept_root(repository, std::move(update.trust), std::move(digest), file.now);
-  clients_.record(repository.index, file.client, {repository.key_generation, 0});
+  client_history_.record(repository.index, file.client, {repository.key_generation, 0});
   return {};
 }
 
@@ -165,7 +166,7 @@
 // None of them is the newest any more.
 void MetadataVerifier::retire_timestamps(Repository& repository, Instant now) {
   for (AcceptedTimestamp& accepted : repository.timestamps)
-    accepted.servable_until = std::min(accepted.servable_until, now + repository.settings.lag);
+    accepted.servable_until = std::min(accepted.servable_until, now + repository.settings.max_lag);
 }
 
 Refusal MetadataVerifier::check_timestamp(Repository& repository, const ServedFile& file) {
@@ -200,7 +201,7 @@
 // No client may be served an older timestamp than before (rollback, section 5.4.3.1).
 Refusal MetadataVerifier::serve_timestamp(const Repository& repository, const ServedFile& file,
                                           ServedVersion offered) {
-  const ServedVersion newest = clients_.newest_served(repository.index, file.client);
+  const ServedVersion newest = client_history_.newest_served(repository.index, file.client);
   if (offered < newest) {
     const std::string seen = offered.key_generation < newest.key_generation ? "keys that a root has turned"
                                                                             : std::to_string(newest.version);
@@ -208,22 +209,22 @@
             "timestamp " + std::to_string(offered.version) + " < " + seen + " that this client was served",
             "TUF 5.4.3.1"};
   }
-  clients_.record(repository.index, file.client, offered);
+  client_history_.record(repository.index, file.client, offered);
   return {};
 }
 
 // ---- Snapshot, targets and delegated roles (sections 5.5 and 5.6) ----
 
-Refusal MetadataVerifier::check_listed(Repository& repository, const ServedFile& file) {
+Refusal MetadataVerifier::check_below_timestamp(Repository& repository, const ServedFile& file) {
   expire_timestamps(repository, file.now);
   auto& timestamps = repository.timestamps;
-  const bool top_level = is_top_level(file.role);
+  const bool top_level = is_top_level_role(file.role);
   // Under the newest timestamp first, then under older ones: a client may be between two versions. The newest
   // one's refusal is returned.
   Refusal newest_refusal{RefusalReason::kOutOfOrder, file.role + " before a timestamp", "TUF 5.5"};
   for (std::size_t i = timestamps.size(); i-- > 0;) {
     AcceptedTimestamp& accepted = timestamps[i];
-    Refusal refusal = check_under(accepted, file);
+    Refusal refusal = check_with_timestamp(accepted, file);
     if (!refusal) {
       if (accepted.servable_until == Instant::never()) repository.trust = accepted.trust;
       return {};
@@ -236,7 +237,7 @@
   return newest_refusal;
 }
 
-Refusal MetadataVerifier::check_under(AcceptedTimestamp& accepted, const ServedFile& file) {
+Refusal MetadataVerifier::check_with_timestamp(AcceptedTimestamp& accepted, const ServedFile& file) {
   TrustUpdate update = update_role(accepted.trust, file.role, file.bytes, file.now);
   verifications_ += update.verifications;
   if (update.refusal) return update.refusal;
--- a/src/metadata/metadata_verifier.hpp
+++ b/src/metadata/metadata_verifier.hpp
@@ -31,9 +31,9 @@
 namespace ashbeam::metadata {
 
 struct RepositorySettings {
-  std::string prefix;  // of paths, "/look/updates/"
-  std::string root;    // the pinned root's bytes
-  Duration lag = Duration::s(30);
+  std::string path_prefix;  // of paths, "/look/updates/"
+  std::string pinned_root;  // the pinned root's bytes
+  Duration max_lag = Duration::s(30);
 };
 
 class MetadataVerifier {
@@ -45,16 +45,20 @@
   MetadataVerifier(std::vector<RepositorySettings> repositories, std::size_t max_clients);
 
   // The repository that a path (without its query) belongs to, the longest prefix first; `file` is the rest.
-  std::uint32_t repository_of(std::string_view path, std::string_view& file) const;
+  std::uint32_t find_repository(std::string_view path, std::string_view& file) const;
   // May these bytes go to this client? `client` is any number that stays the client's own. Files that are no
   // metadata (whose name does not end in .json) may.
   Refusal check(std::uint32_t repository, std::string_view file, std::string_view bytes, std::uint64_t client,
                 Instant now);
 
-  const TrustedMetadata& trust(std::uint32_t repository) const { return repositories_[repository].trust; }
-  std::uint64_t verifications() const { return verifications_; }
-  std::uint64_t refused(RefusalReason reason) const { return refused_[static_cast<std::size_t>(reason)]; }
-  std::size_t clients() const { return clients_.size(); }
+  const TrustedMetadata& trusted_metadata(std::uint32_t repository) const {
+    return repositories_[repository].trust;
+  }
+  std::uint64_t verification_count() const { return verifications_; }
+  std::uint64_t refusal_count(RefusalReason reason) const {
+    return refusal_counts_[static_cast<std::size_t>(reason)];
+  }
+  std::size_t client_count() const { return client_history_.size(); }
 
  private:
   // A file that is to go to a client.
@@ -94,15 +98,15 @@
   Refusal check_timestamp(Repository& repository, const ServedFile& file);
   void accept_timestamp(Repository& repository, TrustedMetadata next, Instant now);
   Refusal serve_timestamp(const Repository& repository, const ServedFile& file, ServedVersion offered);
-  Refusal check_listed(Repository& repository, const ServedFile& file);
-  Refusal check_under(AcceptedTimestamp& accepted, const ServedFile& file);
+  Refusal check_below_timestamp(Repository& repository, const ServedFile& file);
+  Refusal check_with_timestamp(AcceptedTimestamp& accepted, const ServedFile& file);
   Refusal check_without_timestamp(const Repository& repository, const ServedFile& file);
 
   std::vector<Repository> repositories_;
-  std::vector<std::uint32_t> by_prefix_length_;  // the longest first
-  ClientHistory clients_;
+  std::vector<std::uint32_t> by_descending_prefix_length_;  // the longest first
+  ClientHistory client_history_;
   std::uint64_t verifications_ = 0;
-  std::uint64_t refused_[static_cast<std::size_t>(RefusalReason::kCount)] = {};
+  std::uint64_t refusal_counts_[static_cast<std::size_t>(RefusalReason::kCount)] = {};
 };
 
 }  // namespace ashbeam::metadata
--- a/src/metadata/refusal.hpp
+++ b/src/metadata/refusal.hpp
@@ -48,19 +48,20 @@
 
   // `what` is the role or file that is refused, `section` the specification's.
   static Refusal unreadable(std::string detail, const char* section);
-  static Refusal rollback(std::string_view what, std::int64_t found, std::int64_t trusted,
+  static Refusal rollback(std::string_view subject, std::int64_t found, std::int64_t trusted,
                           const char* section);
-  static Refusal equivocation(std::string_view what, std::int64_t version, std::string_view found_digest,
+  static Refusal equivocation(std::string_view subject, std::int64_t version, std::string_view found_digest,
                               std::string_view trusted_digest, const char* section);
-  static Refusal expired(std::string_view what, std::int64_t version, Instant expires, const char* section);
-  static Refusal threshold(std::string_view what, std::int64_t valid_keys, std::int64_t threshold,
+  static Refusal expired(std::string_view subject, std::int64_t version, Instant expires,
+                         const char* section);
+  static Refusal threshold(std::string_view subject, std::int64_t valid_keys, std::int64_t threshold,
                            const char* section);
   // The role above lists another version.
-  static Refusal other_version(std::string_view what, std::int64_t found, std::int64_t listed,
-                               const char* section);
+  static Refusal version_mismatch(std::string_view subject, std::int64_t found, std::int64_t listed,
+                                  const char* section);
   // The file's name has another version.
-  static Refusal other_name(std::string_view what, std::int64_t found, std::int64_t named,
-                            const char* section);
+  static Refusal file_name_mismatch(std::string_view subject, std::int64_t found, std::int64_t named,
+                                    const char* section);
 };
 
 // Hashes are shown by their beginning.
--- a/src/metadata/roles.cpp
+++ b/src/metadata/roles.cpp
@@ -11,14 +11,14 @@
 
 using Kind = JsonNode::Kind;
 
-constexpr std::size_t kMaxHashText = 128;
-constexpr std::size_t kMaxPathText = 512;
-constexpr std::size_t kMaxRoleName = 128;
-constexpr std::size_t kMaxTypeInRefusal = 40;
+constexpr std::size_t kMaxHashTextBytes = 128;
+constexpr std::size_t kMaxPathBytes = 512;
+constexpr std::size_t kMaxRoleNameBytes = 128;
+constexpr std::size_t kMaxTypeBytesInRefusal = 40;
 
 Refusal read_hashes(const JsonNode& object, Hashes& hashes) {
   for (const auto& [algorithm, hash] : object.members) {
-    if (hash.kind != Kind::kString || hash.text.size() > kMaxHashText)
+    if (hash.kind != Kind::kString || hash.text.size() > kMaxHashTextBytes)
       return Refusal::unreadable("a hash is no text", "TUF 4.4");
     std::string hex = hash.text;
     std::transform(hex.begin(), hex.end(), hex.begin(), [](unsigned char c) { return std::tolower(c); });
@@ -46,11 +46,11 @@
   return read_hashes(*hashes, meta.hashes);
 }
 
-Refusal read_paths(const JsonNode& list, std::vector<std::string>& paths) {
+Refusal read_path_strings(const JsonNode& list, std::vector<std::string>& paths) {
   if (list.items.size() > kMaxPathPatterns)
     return Refusal::unreadable("more than 1024 paths in a delegation", "TUF 4.5.1");
   for (const JsonNode& path : list.items) {
-    if (path.kind != Kind::kString || path.text.size() > kMaxPathText)
+    if (path.kind != Kind::kString || path.text.size() > kMaxPathBytes)
       return Refusal::unreadable("a path is no text", "TUF 4.5.1");
     paths.push_back(path.text);
   }
@@ -58,15 +58,15 @@
 }
 
 // Role names become file names: none may lead to another folder.
-bool is_role_name(std::string_view name) {
+bool is_valid_role_name(std::string_view name) {
   const auto is_control = [](unsigned char c) { return c < ' ' || c == 0x7f; };
-  return !name.empty() && name.size() <= kMaxRoleName && name.find('/') == std::string_view::npos &&
+  return !name.empty() && name.size() <= kMaxRoleNameBytes && name.find('/') == std::string_view::npos &&
          name[0] != '.' && std::none_of(name.begin(), name.end(), is_control);
 }
 
 Refusal add_delegated_role(const JsonNode& object, Delegation& delegation) {
   const JsonNode* const name = object.find("name", Kind::kString);
-  if (!name || !is_role_name(name->text))
+  if (!name || !is_valid_role_name(name->text))
     return Refusal::unreadable("delegation: a role's name", "TUF 4.5.1");
   Role role;
   if (Refusal refusal = read_role(object, role)) return refusal;
@@ -78,7 +78,7 @@
 }
 
 Refusal read_delegated_roles(const JsonNode& object, Delegation& delegation) {
-  const JsonNode* const roles = object.find("roles", Kind::kList);
+  const JsonNode* const roles = object.find("roles", Kind::kArray);
   if (!roles) return add_delegated_role(object, delegation);
   const JsonNode* const agreement = object.find("min_roles_in_agreement", Kind::kNumber);
   const std::size_t count = roles->items.size();
@@ -94,15 +94,15 @@
 
 Refusal read_delegation(const JsonNode& object, Delegation& delegation) {
   const JsonNode* const terminating = object.find("terminating", Kind::kBool);
-  const JsonNode* const paths = object.find("paths", Kind::kList);
-  const JsonNode* const prefixes = object.find("path_hash_prefixes", Kind::kList);
-  const bool has_one_kind = (paths == nullptr) != (prefixes == nullptr);
-  if (!terminating || !has_one_kind)
+  const JsonNode* const paths = object.find("paths", Kind::kArray);
+  const JsonNode* const prefixes = object.find("path_hash_prefixes", Kind::kArray);
+  const bool has_exactly_one = (paths == nullptr) != (prefixes == nullptr);
+  if (!terminating || !has_exactly_one)
     return Refusal::unreadable("delegation: wanted terminating, and paths or path_hash_prefixes",
                                "TUF 4.5.1");
   delegation.terminating = terminating->boolean;
-  Refusal refusal =
-      paths ? read_paths(*paths, delegation.paths) : read_paths(*prefixes, delegation.hash_prefixes);
+  Refusal refusal = paths ? read_path_strings(*paths, delegation.paths)
+                          : read_path_strings(*prefixes, delegation.hash_prefixes);
   if (refusal) return refusal;
   return read_delegated_roles(object, delegation);
 }
@@ -125,7 +125,7 @@
 
 Refusal read_delegations(const JsonNode& object, Targets& targets) {
   const JsonNode* const keys = object.find("keys", Kind::kObject);
-  const JsonNode* const roles = object.find("roles", Kind::kList);
+  const JsonNode* const roles = object.find("roles", Kind::kArray);
   if (!keys || !roles || roles->items.size() > kMaxDelegations)
     return Refusal::unreadable("delegations: wanted keys and at most 256 roles", "TUF 4.5.1");
   if (Refusal refusal = read_keys(*keys, targets.keys)) return refusal;
@@ -144,15 +144,15 @@
 // The members that every role's signed part has (section 4.2): type, specification, version and expiry.
 Refusal read_header(std::string_view type, const JsonNode& signed_part, MetadataFile& file) {
   const JsonNode* const found_type = signed_part.find("_type", Kind::kString);
-  const JsonNode* const spec = signed_part.find("spec_version", Kind::kString);
+  const JsonNode* const spec_version = signed_part.find("spec_version", Kind::kString);
   const JsonNode* const version = signed_part.find("version", Kind::kNumber);
   const JsonNode* const expires = signed_part.find("expires", Kind::kString);
   if (!found_type || found_type->text != type) {
     std::string detail = "wanted " + std::string(type) + ", found ";
-    detail += found_type ? found_type->text.substr(0, kMaxTypeInRefusal) : "none";
+    detail += found_type ? found_type->text.substr(0, kMaxTypeBytesInRefusal) : "none";
     return {RefusalReason::kWrongRole, std::move(detail), "TUF 4.2"};
   }
-  if (!spec || !(spec->text == "1.0" || spec->text.starts_with("1.0.")))
+  if (!spec_version || !(spec_version->text == "1.0" || spec_version->text.starts_with("1.0.")))
     return Refusal::unreadable("spec_version", "TUF 4.2");
   if (!version || version->number < 1) return Refusal::unreadable("wanted a version of 1 or more", "TUF 4.2");
   const auto date = expires ? parse_date(expires->text) : std::nullopt;
@@ -165,10 +165,10 @@
 }  // namespace
 
 bool Delegation::covers(std::string_view path, const std::string& path_hash) const {
-  const auto matches = [&](const std::string& pattern) { return path_matches(pattern, path); };
-  const auto begins_hash = [&](const std::string& prefix) { return path_hash.starts_with(prefix); };
-  return std::any_of(paths.begin(), paths.end(), matches) ||
-         std::any_of(hash_prefixes.begin(), hash_prefixes.end(), begins_hash);
+  const auto matches_path = [&](const std::string& pattern) { return path_matches(pattern, path); };
+  const auto is_hash_prefix = [&](const std::string& prefix) { return path_hash.starts_with(prefix); };
+  return std::any_of(paths.begin(), paths.end(), matches_path) ||
+         std::any_of(hash_prefixes.begin(), hash_prefixes.end(), is_hash_prefix);
 }
 
 std::size_t max_file_bytes(std::string_view type) {
@@ -182,21 +182,21 @@
 
 Refusal read_metadata_file(std::string_view type, std::string_view bytes, MetadataFile& file) {
   JsonLimits limits;
-  limits.bytes = max_file_bytes(type);
-  if (bytes.size() > limits.bytes) {
+  limits.max_bytes = max_file_bytes(type);
+  if (bytes.size() > limits.max_bytes) {
     std::string detail(type);
-    detail += " " + std::to_string(bytes.size()) + " > " + std::to_string(limits.bytes);
+    detail += " " + std::to_string(bytes.size()) + " > " + std::to_string(limits.max_bytes);
     return {RefusalReason::kTooLong, std::move(detail), "TUF 5.1"};
   }
   std::string problem;
   auto node = parse_json(bytes, limits, problem);
   if (!node) return Refusal::unreadable(problem, "TUF 4.1");
   JsonNode* const signed_part = node->find("signed", Kind::kObject);
-  const JsonNode* const signatures = node->find("signatures", Kind::kList);
+  const JsonNode* const signatures = node->find("signatures", Kind::kArray);
   if (!signed_part || !signatures) return Refusal::unreadable("wanted signed and signatures", "TUF 4.2");
   if (Refusal refusal = read_header(type, *signed_part, file)) return refusal;
   if (Refusal refusal = read_signatures(*signatures, file.signatures)) return refusal;
-  file.signed_bytes = signed_part->canonical();
+  file.signed_bytes = signed_part->to_canonical_json();
   file.digest = sha256_hex(bytes);
   file.signed_part = std::move(*signed_part);
   return {};
--- a/src/metadata/roles.hpp
+++ b/src/metadata/roles.hpp
@@ -53,7 +53,7 @@
 };
 
 struct Root : MetadataHeader {
-  Keys keys;
+  KeysById keys;
   std::map<std::string, Role, std::less<>> roles;  // root, timestamp, snapshot, targets
   bool consistent_snapshot = false;
 
@@ -89,7 +89,7 @@
 
 struct Targets : MetadataHeader {
   std::map<std::string, Target, std::less<>> targets;  // by path
-  Keys keys;                                           // of the delegated roles
+  KeysById keys;                                       // of the delegated roles
   std::vector<Delegation> delegations;
 };
 
--- a/src/metadata/signing_key.cpp
+++ b/src/metadata/signing_key.cpp
@@ -17,12 +17,12 @@
 constexpr std::size_t kEd25519KeyBytes = 32;
 constexpr unsigned kRsaBits = 2048;
 
-struct KindNames {
+struct KeyTypeAndScheme {
   const char* type;
   const char* scheme;
 };
 
-KindNames names_of(SigningKey::Kind kind) {
+KeyTypeAndScheme type_and_scheme_of(SigningKey::Kind kind) {
   switch (kind) {
     case SigningKey::Kind::kEd25519:
       return {"ed25519", "ed25519"};
@@ -68,25 +68,25 @@
   key.kind_ = kind;
   key.key_.reset(generate_key(kind), EVP_PKEY_free);
   if (!key.key_) throw std::runtime_error("no key can be made");
-  EVP_PKEY* const made = key.key_.get();
-  const std::string public_text = kind == Kind::kEd25519 ? raw_public_hex(made) : public_pem(made);
-  const KindNames names = names_of(kind);
-  key.set_object(json_object({{"keytype", json_string(names.type)},
-                              {"scheme", json_string(names.scheme)},
-                              {"keyval", json_object({{"public", json_string(public_text)}})}}));
+  EVP_PKEY* const generated = key.key_.get();
+  const std::string public_text = kind == Kind::kEd25519 ? raw_public_hex(generated) : public_pem(generated);
+  const KeyTypeAndScheme type_and_scheme = type_and_scheme_of(kind);
+  key.set_public_key_object(json_object({{"keytype", json_string(type_and_scheme.type)},
+                                         {"scheme", json_string(type_and_scheme.scheme)},
+                                         {"keyval", json_object({{"public", json_string(public_text)}})}}));
   return key;
 }
 
-void SigningKey::set_object(JsonNode object) {
-  object_ = std::move(object);
-  id_ = sha256_hex(object_.canonical());
+void SigningKey::set_public_key_object(JsonNode object) {
+  public_key_object_ = std::move(object);
+  id_ = sha256_hex(public_key_object_.to_canonical_json());
 }
 
-SigningKey SigningKey::with_extra_member(const std::string& member) const {
+SigningKey SigningKey::with_extra_member(const std::string& name) const {
   SigningKey key = *this;
-  auto members = object_.members;
-  members.push_back({member, json_string("1")});
-  key.set_object(json_object(std::move(members)));
+  auto members = public_key_object_.members;
+  members.push_back({name, json_string("1")});
+  key.set_public_key_object(json_object(std::move(members)));
   return key;
 }
 
--- a/src/metadata/signing_key.hpp
+++ b/src/metadata/signing_key.hpp
@@ -17,18 +17,18 @@
   static SigningKey generate(Kind kind);
   const std::string& id() const { return id_; }
   // The public key's object, as metadata has it.
-  const JsonNode& object() const { return object_; }
+  const JsonNode& public_key_object() const { return public_key_object_; }
   // The same key as another object, so under another id: `member` is the name of a member without meaning.
-  SigningKey with_extra_member(const std::string& member) const;
+  SigningKey with_extra_member(const std::string& name) const;
   // The signature in hex. Throws std::runtime_error where signing fails.
   std::string sign(std::string_view bytes) const;
 
  private:
-  void set_object(JsonNode object);
+  void set_public_key_object(JsonNode object);
 
   Kind kind_ = Kind::kEd25519;
   std::shared_ptr<evp_pkey_st> key_;
-  JsonNode object_;
+  JsonNode public_key_object_;
   std::string id_;
 };
 
--- a/src/metadata/trusted_metadata.cpp
+++ b/src/metadata/trusted_metadata.cpp
@@ -7,11 +7,11 @@
 
 namespace {
 
-Refusal no_root() { return {RefusalReason::kOutOfOrder, "no root is trusted", "TUF 5.2"}; }
+Refusal refuse_without_root() { return {RefusalReason::kOutOfOrder, "no root is trusted", "TUF 5.2"}; }
 
 // How content differs from what is listed of it; empty where it does not.
-std::string content_difference(std::optional<std::int64_t> length, const Hashes& hashes,
-                               std::string_view bytes) {
+std::string describe_content_difference(std::optional<std::int64_t> length, const Hashes& hashes,
+                                        std::string_view bytes) {
   if (length && static_cast<std::int64_t>(bytes.size()) != *length)
     return std::to_string(bytes.size()) + " bytes, listed " + std::to_string(*length);
   for (const auto& [algorithm, listed] : hashes) {
@@ -24,28 +24,28 @@
   return "";
 }
 
-Refusal check_listed_content(std::string_view what, const FileMeta& meta, std::string_view bytes,
+Refusal check_listed_content(std::string_view subject, const FileMeta& meta, std::string_view bytes,
                              const char* section) {
-  const std::string difference = content_difference(meta.length, meta.hashes, bytes);
+  const std::string difference = describe_content_difference(meta.length, meta.hashes, bytes);
   if (difference.empty()) return {};
-  return {RefusalReason::kMismatch, std::string(what) + ": " + difference, section};
+  return {RefusalReason::kMismatch, std::string(subject) + ": " + difference, section};
 }
 
-Refusal check_listed_version(std::string_view what, std::int64_t found, std::int64_t listed,
+Refusal check_listed_version(std::string_view subject, std::int64_t found, std::int64_t listed,
                              const char* section) {
   if (found == listed) return {};
-  return Refusal::other_version(what, found, listed, section);
+  return Refusal::version_mismatch(subject, found, listed, section);
 }
 
 // Two files with one version.
-Refusal check_equivocation(std::string_view what, const MetadataHeader& found, const MetadataHeader& trusted,
-                           const char* section) {
+Refusal check_equivocation(std::string_view subject, const MetadataHeader& found,
+                           const MetadataHeader& trusted, const char* section) {
   if (found.version != trusted.version || found.digest == trusted.digest) return {};
-  return Refusal::equivocation(what, found.version, found.digest, trusted.digest, section);
+  return Refusal::equivocation(subject, found.version, found.digest, trusted.digest, section);
 }
 
 // Key ids are hashes of the keys: equal ids are equal keys.
-bool rotates(const Root& trusted, const Root& next, const char* role) {
+bool rotates_keys_of(const Root& trusted, const Root& next, const char* role) {
   return !(trusted.role(role) == next.role(role));
 }
 
@@ -64,7 +64,7 @@
 
 Refusal accept_root(TrustUpdate& update, std::string_view bytes) {
   TrustedMetadata& trust = update.trust;
-  if (!trust.root) return no_root();
+  if (!trust.root) return refuse_without_root();
   MetadataFile file;
   if (Refusal refusal = read_metadata_file("root", bytes, file)) return refusal;
   const Root& trusted = *trust.root;
@@ -85,7 +85,7 @@
     trust.timestamp = nullptr;
     trust.snapshot = nullptr;
   }
-  if (recovers || rotates(trusted, *root, "targets")) trust.targets.clear();
+  if (recovers || rotates_keys_of(trusted, *root, "targets")) trust.targets.clear();
   trust.root = std::move(root);
   update.changed = true;
   return {};
@@ -103,7 +103,7 @@
 
 Refusal accept_timestamp(TrustUpdate& update, std::string_view bytes, Instant now) {
   TrustedMetadata& trust = update.trust;
-  if (!trust.root) return no_root();
+  if (!trust.root) return refuse_without_root();
   if (Refusal refusal = check_expiry("root", *trust.root, now, "TUF 5.3.10")) return refusal;
   MetadataFile file;
   if (Refusal refusal = read_metadata_file("timestamp", bytes, file)) return refusal;
@@ -147,7 +147,7 @@
 
 Refusal accept_snapshot(TrustUpdate& update, std::string_view bytes, Instant now) {
   TrustedMetadata& trust = update.trust;
-  if (!trust.root) return no_root();
+  if (!trust.root) return refuse_without_root();
   if (!trust.timestamp) return {RefusalReason::kOutOfOrder, "snapshot before a timestamp", "TUF 5.5"};
   const FileMeta& meta = trust.timestamp->snapshot;
   if (Refusal refusal = check_expiry("timestamp", *trust.timestamp, now, "TUF 5.4.4")) return refusal;
@@ -179,15 +179,16 @@
 struct TargetsRole {
   std::string_view name;
   const Role& role;
-  const Keys& keys;
+  const KeysById& keys;
 };
 
 // Needs a timestamp and a snapshot.
-Refusal accept_targets(TrustUpdate& update, const TargetsRole& by, std::string_view bytes, Instant now) {
+Refusal accept_targets(TrustUpdate& update, const TargetsRole& delegated, std::string_view bytes,
+                       Instant now) {
   TrustedMetadata& trust = update.trust;
   if (Refusal refusal = check_expiry("timestamp", *trust.timestamp, now, "TUF 5.4.4")) return refusal;
   if (Refusal refusal = check_expiry("snapshot", *trust.snapshot, now, "TUF 5.5.6")) return refusal;
-  const std::string name(by.name);
+  const std::string name(delegated.name);
   const auto meta = trust.snapshot->meta.find(name + ".json");
   if (meta == trust.snapshot->meta.end())
     return {RefusalReason::kUnlisted, "snapshot does not list " + name, "TUF 5.6.2"};
@@ -195,7 +196,8 @@
   MetadataFile file;
   if (Refusal refusal = read_metadata_file("targets", bytes, file)) return refusal;
   // Also for a known file: another delegator may name other keys.
-  if (Refusal refusal = check_threshold(name, by.role, by.keys, file, "TUF 5.6.3", update.verifications))
+  if (Refusal refusal =
+          check_threshold(name, delegated.role, delegated.keys, file, "TUF 5.6.3", update.verifications))
     return refusal;
   auto targets = std::make_shared<Targets>();
   if (Refusal refusal = read_targets(file, *targets)) return refusal;
@@ -213,17 +215,17 @@
   return {};
 }
 
-Refusal accept_top_targets(TrustUpdate& update, std::string_view bytes, Instant now) {
+Refusal accept_top_level_targets(TrustUpdate& update, std::string_view bytes, Instant now) {
   const TrustedMetadata& trust = update.trust;
-  if (!trust.root) return no_root();
+  if (!trust.root) return refuse_without_root();
   if (!trust.snapshot || !trust.timestamp)
     return {RefusalReason::kOutOfOrder, "targets before a snapshot", "TUF 5.6"};
   const std::shared_ptr<const Root> root = trust.root;
   return accept_targets(update, {"targets", root->role("targets"), root->keys}, bytes, now);
 }
 
-Refusal accept_delegated(TrustUpdate& update, std::string_view delegator, std::string_view role,
-                         std::string_view bytes, Instant now) {
+Refusal accept_delegated_targets(TrustUpdate& update, std::string_view delegator, std::string_view role,
+                                 std::string_view bytes, Instant now) {
   const TrustedMetadata& trust = update.trust;
   if (!trust.snapshot || !trust.timestamp)
     return {RefusalReason::kOutOfOrder, "targets before a snapshot", "TUF 5.6"};
@@ -231,11 +233,11 @@
   if (found == trust.targets.end())
     return {RefusalReason::kOutOfOrder, std::string(role) + " before " + std::string(delegator), "TUF 5.6.7"};
   // Kept alive: a role may delegate to itself, and its file is replaced here.
-  const std::shared_ptr<const Targets> delegating = found->second;
-  for (const Delegation& delegation : delegating->delegations) {
+  const std::shared_ptr<const Targets> delegating_targets = found->second;
+  for (const Delegation& delegation : delegating_targets->delegations) {
     for (const DelegatedRole& delegated : delegation.roles) {
       if (delegated.name == role)
-        return accept_targets(update, {role, delegated.role, delegating->keys}, bytes, now);
+        return accept_targets(update, {role, delegated.role, delegating_targets->keys}, bytes, now);
     }
   }
   return {RefusalReason::kUnlisted, std::string(delegator) + " does not delegate to " + std::string(role),
@@ -285,28 +287,28 @@
 
 TrustUpdate update_targets(const TrustedMetadata& trust, std::string_view bytes, Instant now) {
   TrustUpdate update = begin_update(trust);
-  update.refusal = accept_top_targets(update, bytes, now);
+  update.refusal = accept_top_level_targets(update, bytes, now);
   return update;
 }
 
 TrustUpdate update_delegated_targets(const TrustedMetadata& trust, std::string_view delegator,
                                      std::string_view role, std::string_view bytes, Instant now) {
   TrustUpdate update = begin_update(trust);
-  update.refusal = accept_delegated(update, delegator, role, bytes, now);
+  update.refusal = accept_delegated_targets(update, delegator, role, bytes, now);
   return update;
 }
 
 bool recovers_from_fast_forward(const Root& trusted, const Root& next) {
-  return rotates(trusted, next, "timestamp") || rotates(trusted, next, "snapshot");
+  return rotates_keys_of(trusted, next, "timestamp") || rotates_keys_of(trusted, next, "snapshot");
 }
 
-Refusal check_expiry(std::string_view what, const MetadataHeader& file, Instant now, const char* section) {
+Refusal check_expiry(std::string_view subject, const MetadataHeader& file, Instant now, const char* section) {
   if (now < file.expires) return {};
-  return Refusal::expired(what, file.version, file.expires, section);
+  return Refusal::expired(subject, file.version, file.expires, section);
 }
 
 Refusal check_unexpired(const TrustedMetadata& trust, Instant now) {
-  if (!trust.root) return no_root();
+  if (!trust.root) return refuse_without_root();
   if (Refusal refusal = check_expiry("root", *trust.root, now, "TUF 5.3.10")) return refusal;
   if (trust.timestamp) {
     if (Refusal refusal = check_expiry("timestamp", *trust.timestamp, now, "TUF 5.4.4")) return refusal;
@@ -315,8 +317,8 @@
   return {};
 }
 
-Refusal check_target(const Target& target, std::string_view bytes) {
-  const std::string difference = content_difference(target.length, target.hashes, bytes);
+Refusal check_target_content(const Target& target, std::string_view bytes) {
+  const std::string difference = describe_content_difference(target.length, target.hashes, bytes);
   if (difference.empty()) return {};
   return {RefusalReason::kTarget, difference, "TUF 5.7.2"};
 }
--- a/src/metadata/trusted_metadata.hpp
+++ b/src/metadata/trusted_metadata.hpp
@@ -50,11 +50,11 @@
 bool recovers_from_fast_forward(const Root& trusted, const Root& next);
 
 // Refuses a file whose time is over; `what` is its role.
-Refusal check_expiry(std::string_view what, const MetadataHeader& file, Instant now, const char* section);
+Refusal check_expiry(std::string_view subject, const MetadataHeader& file, Instant now, const char* section);
 // Refuses where root, timestamp or snapshot have expired since they were accepted.
 Refusal check_unexpired(const TrustedMetadata& trust, Instant now);
 
 // Is this the target's content (section 5.7.2)?
-Refusal check_target(const Target& target, std::string_view bytes);
+Refusal check_target_content(const Target& target, std::string_view bytes);
 
 }  // namespace ashbeam::metadata
--- a/src/metadata/uptane.cpp
+++ b/src/metadata/uptane.cpp
@@ -15,7 +15,8 @@
 
 // ---- Targets ----
 
-Refusal check_ecu(std::string_view path, const Target& target, const Ecu& ecu, const char* section) {
+Refusal check_target_for_ecu(std::string_view path, const Target& target, const Ecu& ecu,
+                             const char* section) {
   const std::string name(path);
   if (target.ecu_id != ecu.id)
     return {RefusalReason::kEcu, name + " is for ECU " + target.ecu_id + ", not " + ecu.id, section};
@@ -35,17 +36,17 @@
   return {RefusalReason::kDelegation, "a director delegates", section};
 }
 
-Refusal two_targets_for(const std::string& ecu, const char* section) {
+Refusal refuse_two_targets_for(const std::string& ecu, const char* section) {
   return {RefusalReason::kEcu, "two targets for ECU " + ecu, section};
 }
 
-Refusal foreign_ecu(const std::string& path, const std::string& ecu, const char* section) {
+Refusal refuse_foreign_ecu(const std::string& path, const std::string& ecu, const char* section) {
   return {RefusalReason::kEcu, path + " is for ECU " + ecu + ", which is not of this vehicle", section};
 }
 
 // How the hashes of one file differ; empty where all common ones are equal. One must be common: files that
 // share none can't be distinguished.
-std::string hash_disagreement(const Hashes& director, const Hashes& image) {
+std::string describe_hash_disagreement(const Hashes& director, const Hashes& image) {
   bool any_common = false;
   for (const auto& [algorithm, hash] : director) {
     const auto other = image.find(algorithm);
@@ -61,10 +62,10 @@
 }
 
 // How director and image repository differ on a target; empty where they agree.
-std::string disagreement(const Target& director, const Target& image) {
+std::string describe_disagreement(const Target& director, const Target& image) {
   if (director.length != image.length)
     return "length " + std::to_string(director.length) + ", image repository " + std::to_string(image.length);
-  std::string hashes = hash_disagreement(director.hashes, image.hashes);
+  std::string hashes = describe_hash_disagreement(director.hashes, image.hashes);
   if (!hashes.empty()) return hashes;
   if (director.hardware_id != image.hardware_id)
     return "hardware " + director.hardware_id + ", image repository " + image.hardware_id;
@@ -75,15 +76,15 @@
 }
 
 // The target that the director lists for this ECU, in its top-level role.
-Refusal find_directed(const TrustedMetadata& director, std::string_view path, const Ecu& ecu, Instant now,
-                      const Target*& target) {
+Refusal find_director_target(const TrustedMetadata& director, std::string_view path, const Ecu& ecu,
+                             Instant now, const Target*& target) {
   TargetLookup lookup = find_target(director, path, now);
   if (lookup.refusal) return std::move(lookup.refusal);
   if (!lookup.target || lookup.role != "targets")
     return {RefusalReason::kUnlisted, std::string(path) + ": the director does not list it",
             "Uptane 5.4.4.2"};
   target = lookup.target;
-  return check_ecu(path, *target, ecu, "Uptane 5.4.4.6");
+  return check_target_for_ecu(path, *target, ecu, "Uptane 5.4.4.6");
 }
 
 // ---- Signed envelopes that are no TUF role ----
@@ -97,7 +98,7 @@
 Refusal parse_envelope(std::string_view bytes, std::size_t max_bytes, const EnvelopeKind& kind,
                        JsonNode& envelope) {
   JsonLimits limits;
-  limits.bytes = max_bytes;
+  limits.max_bytes = max_bytes;
   std::string problem;
   auto node = parse_json(bytes, limits, problem);
   if (!node) return {kind.malformed, problem, kind.section};
@@ -106,28 +107,28 @@
 }
 
 // The signed part, where enough keys of the role have signed it.
-Refusal open_envelope(const JsonNode& envelope, const Role& role, const Keys& keys, const std::string& what,
-                      const EnvelopeKind& kind, const JsonNode*& signed_part) {
+Refusal open_envelope(const JsonNode& envelope, const Role& role, const KeysById& keys,
+                      const std::string& subject, const EnvelopeKind& kind, const JsonNode*& signed_part) {
   signed_part = envelope.find("signed", Kind::kObject);
-  const JsonNode* const signatures = envelope.find("signatures", Kind::kList);
+  const JsonNode* const signatures = envelope.find("signatures", Kind::kArray);
   if (!signed_part || !signatures)
-    return {kind.malformed, what + ": wanted signed and signatures", kind.section};
+    return {kind.malformed, subject + ": wanted signed and signatures", kind.section};
   SignedEnvelope opened;
   if (Refusal refusal = read_signatures(*signatures, opened.signatures)) return refusal;
-  opened.signed_bytes = signed_part->canonical();
+  opened.signed_bytes = signed_part->to_canonical_json();
   std::uint64_t verifications = 0;
-  return check_threshold(what, role, keys, opened, kind.section, verifications);
+  return check_threshold(subject, role, keys, opened, kind.section, verifications);
 }
 
 // ---- Vehicle version manifests ----
 
 constexpr EnvelopeKind kManifest{RefusalReason::kManifest, "Uptane 5.4.2.1"};
 
-Refusal bad_manifest(std::string detail) {
+Refusal refuse_manifest(std::string detail) {
   return {RefusalReason::kManifest, std::move(detail), kManifest.section};
 }
 
-Refusal wrong_ecu(std::string detail) { return {RefusalReason::kEcu, std::move(detail), kManifest.section}; }
+Refusal refuse_ecu(std::string detail) { return {RefusalReason::kEcu, std::move(detail), kManifest.section}; }
 
 // Checks the manifest's own members, without the reports in it.
 Refusal check_manifest_header(const VehicleRecord& vehicle, const JsonNode& manifest,
@@ -136,10 +137,10 @@
   const JsonNode* const primary = manifest.find("primary_ecu_serial", Kind::kString);
   reports = manifest.find("ecu_version_manifests", Kind::kObject);
   if (!vin || !primary || !reports || reports->members.size() > kMaxEcus)
-    return bad_manifest("wanted vin, primary_ecu_serial and ecu_version_manifests");
-  if (vin->text != vehicle.vin) return bad_manifest("of vehicle " + vin->text + ", not " + vehicle.vin);
-  if (primary->text != vehicle.primary)
-    return wrong_ecu("primary " + primary->text + ", not " + vehicle.primary);
+    return refuse_manifest("wanted vin, primary_ecu_serial and ecu_version_manifests");
+  if (vin->text != vehicle.vin) return refuse_manifest("of vehicle " + vin->text + ", not " + vehicle.vin);
+  if (primary->text != vehicle.primary_serial)
+    return refuse_ecu("primary " + primary->text + ", not " + vehicle.primary_serial);
   return {};
 }
 
@@ -153,7 +154,7 @@
   const JsonNode* const length = info ? info->find("length", Kind::kNumber) : nullptr;
   const JsonNode* const hashes = info ? info->find("hashes", Kind::kObject) : nullptr;
   if (!serial || !counter || !path || !length || !hashes) return false;
-  report.ecu = serial->text;
+  report.serial = serial->text;
   report.counter = counter->number;
   report.path = path->text;
   report.length = length->number;
@@ -166,24 +167,24 @@
 // One ECU's report, which the manifest has under `serial`.
 Refusal check_report(const VehicleRecord& vehicle, const std::string& serial, const JsonNode& envelope,
                      EcuReport& report) {
-  const auto ecu = vehicle.ecus.find(serial);
-  if (ecu == vehicle.ecus.end()) return wrong_ecu("ECU " + serial + " is not of this vehicle");
+  const auto ecu = vehicle.ecu_roles.find(serial);
+  if (ecu == vehicle.ecu_roles.end()) return refuse_ecu("ECU " + serial + " is not of this vehicle");
   const JsonNode* signed_part = nullptr;
   if (Refusal refusal = open_envelope(envelope, ecu->second, vehicle.keys, serial, kManifest, signed_part))
     return refusal;
   if (!read_report(*signed_part, report))
-    return bad_manifest(serial + ": wanted ecu_serial, counter and installed_image");
-  if (report.ecu != serial) return wrong_ecu("a report of " + report.ecu + " under " + serial);
+    return refuse_manifest(serial + ": wanted ecu_serial, counter and installed_image");
+  if (report.serial != serial) return refuse_ecu("a report of " + report.serial + " under " + serial);
   const auto last = vehicle.last_counters.find(serial);
   if (last != vehicle.last_counters.end() && report.counter <= last->second)
-    return bad_manifest(serial + ": counter " + std::to_string(report.counter) +
-                        " <= " + std::to_string(last->second));
+    return refuse_manifest(serial + ": counter " + std::to_string(report.counter) +
+                           " <= " + std::to_string(last->second));
   return {};
 }
 
 }  // namespace
 
-Refusal check_director(const Targets& director, const std::vector<Ecu>& vehicle) {
+Refusal check_director_targets(const Targets& director, const std::vector<Ecu>& vehicle) {
   constexpr const char* kSection = "Uptane 5.4.4.6";
   if (Refusal refusal = check_no_delegations(director, kSection)) return refusal;
   std::set<std::string> listed_ecus;
@@ -191,9 +192,9 @@
     const std::string& wanted = target.ecu_id;
     const auto ecu = std::find_if(vehicle.begin(), vehicle.end(),
                                   [&](const Ecu& candidate) { return candidate.id == wanted; });
-    if (ecu == vehicle.end()) return foreign_ecu(path, wanted, kSection);
-    if (!listed_ecus.insert(wanted).second) return two_targets_for(wanted, kSection);
-    if (Refusal refusal = check_ecu(path, target, *ecu, kSection)) return refusal;
+    if (ecu == vehicle.end()) return refuse_foreign_ecu(path, wanted, kSection);
+    if (!listed_ecus.insert(wanted).second) return refuse_two_targets_for(wanted, kSection);
+    if (Refusal refusal = check_target_for_ecu(path, target, *ecu, kSection)) return refusal;
   }
   return {};
 }
@@ -203,7 +204,7 @@
   constexpr const char* kSection = "Uptane 5.4.4.2";
   InstallDecision decision;
   const Target* directed = nullptr;
-  decision.refusal = find_directed(director, path, ecu, now, directed);
+  decision.refusal = find_director_target(director, path, ecu, now, directed);
   if (decision.refusal) return decision;
   TargetLookup listed = find_target(image, path, now);
   if (!listed.missing_role.empty()) {
@@ -218,7 +219,7 @@
                         std::string(path) + ": the image repository does not list it", kSection};
     return decision;
   }
-  const std::string difference = disagreement(*directed, *listed.target);
+  const std::string difference = describe_disagreement(*directed, *listed.target);
   if (!difference.empty())
     decision.refusal = {RefusalReason::kDisagreement, std::string(path) + ": " + difference, kSection};
   else decision.target = directed;
@@ -244,31 +245,32 @@
   for (const auto& [path, target] : found.targets) {
     if (target.ecu_id != ecu.id) continue;
     ++for_this_ecu;
-    if (for_this_ecu > 1) return two_targets_for(ecu.id, kSection);
-    if (Refusal refusal = check_ecu(path, target, ecu, kSection)) return refusal;
+    if (for_this_ecu > 1) return refuse_two_targets_for(ecu.id, kSection);
+    if (Refusal refusal = check_target_for_ecu(path, target, ecu, kSection)) return refusal;
   }
   targets = std::move(found);
   return {};
 }
 
-Refusal verify_time_attestation(const Role& server, const Keys& keys, std::string_view bytes,
-                                std::string_view nonce, Instant last, Instant& time) {
+Refusal verify_time_attestation(const Role& server, const KeysById& keys, std::string_view bytes,
+                                std::string_view nonce, Instant last_attested, Instant& time) {
   constexpr EnvelopeKind kTime{RefusalReason::kTime, "Uptane deployment practices, time"};
   JsonNode envelope;
   if (Refusal refusal = parse_envelope(bytes, kMaxTimeAttestationBytes, kTime, envelope)) return refusal;
   const JsonNode* signed_part = nullptr;
   if (Refusal refusal = open_envelope(envelope, server, keys, "time", kTime, signed_part)) return refusal;
-  const JsonNode* const nonces = signed_part->find("nonces", Kind::kList);
+  const JsonNode* const nonces = signed_part->find("nonces", Kind::kArray);
   const JsonNode* const date = signed_part->find("time", Kind::kString);
   const auto attested = date ? parse_date(date->text) : std::nullopt;
   if (!nonces || !attested) return {kTime.malformed, "wanted nonces and a time", kTime.section};
   // An attestation without our nonce may have been recorded earlier.
-  const bool has_our_nonce =
-      std::any_of(nonces->items.begin(), nonces->items.end(),
-                  [&](const JsonNode& item) { return item.kind == Kind::kString && item.text == nonce; });
-  if (!has_our_nonce) return {kTime.malformed, "not with our nonce", kTime.section};
-  if (*attested < last)
-    return {kTime.malformed, format_date(*attested) + " is before " + format_date(last), kTime.section};
+  const bool has_nonce = std::any_of(nonces->items.begin(), nonces->items.end(), [&](const JsonNode& item) {
+    return item.kind == Kind::kString && item.text == nonce;
+  });
+  if (!has_nonce) return {kTime.malformed, "not with our nonce", kTime.section};
+  if (*attested < last_attested)
+    return {kTime.malformed, format_date(*attested) + " is before " + format_date(last_attested),
+            kTime.section};
   time = *attested;
   return {};
 }
@@ -277,8 +279,8 @@
                                 std::vector<EcuReport>& reports) {
   JsonNode envelope;
   if (Refusal refusal = parse_envelope(bytes, kMaxManifestBytes, kManifest, envelope)) return refusal;
-  const auto primary = vehicle.ecus.find(vehicle.primary);
-  if (primary == vehicle.ecus.end()) return bad_manifest("no primary is known");
+  const auto primary = vehicle.ecu_roles.find(vehicle.primary_serial);
+  if (primary == vehicle.ecu_roles.end()) return refuse_manifest("no primary is known");
   const JsonNode* manifest = nullptr;
   if (Refusal refusal =
           open_envelope(envelope, primary->second, vehicle.keys, "manifest", kManifest, manifest))
@@ -289,8 +291,8 @@
   for (const auto& [serial, report] : listed->members) {
     if (Refusal refusal = check_report(vehicle, serial, report, checked.emplace_back())) return refusal;
   }
-  if (!listed->find(vehicle.primary)) return bad_manifest("no report of the primary itself");
-  for (const EcuReport& report : checked) vehicle.last_counters[report.ecu] = report.counter;
+  if (!listed->find(vehicle.primary_serial)) return refuse_manifest("no report of the primary itself");
+  for (const EcuReport& report : checked) vehicle.last_counters[report.serial] = report.counter;
   reports = std::move(checked);
   return {};
 }
--- a/src/metadata/uptane.hpp
+++ b/src/metadata/uptane.hpp
@@ -21,7 +21,7 @@
 
 // The director's targets by themselves (5.4.4.6): no delegations, each ECU of this vehicle at most once and
 // none of another, the right hardware, no release older than the installed one.
-Refusal check_director(const Targets& director, const std::vector<Ecu>& vehicle);
+Refusal check_director_targets(const Targets& director, const std::vector<Ecu>& vehicle);
 
 struct InstallDecision {
   const Target* target = nullptr;  // may be installed; stands as long as the director's trusted metadata
@@ -43,12 +43,12 @@
 
 // A time server's attestation (deployment practices, 5.3.2): signed, with our nonce, not before the `last`
 // one. `time` is set where nothing is refused.
-Refusal verify_time_attestation(const Role& server, const Keys& keys, std::string_view bytes,
-                                std::string_view nonce, Instant last, Instant& time);
+Refusal verify_time_attestation(const Role& server, const KeysById& keys, std::string_view bytes,
+                                std::string_view nonce, Instant last_attested, Instant& time);
 
 // What an ECU says that it runs.
 struct EcuReport {
-  std::string ecu;
+  std::string serial;
   std::string path;
   std::int64_t length = 0;
   std::int64_t counter = 0;
@@ -57,10 +57,10 @@
 // What is known of one vehicle.
 struct VehicleRecord {
   std::string vin;
-  std::string primary;                                             // serial of its primary ECU
-  std::map<std::string, Role, std::less<>> ecus;                   // by serial: the keys that sign for it
+  std::string primary_serial;                                      // serial of its primary ECU
+  std::map<std::string, Role, std::less<>> ecu_roles;              // by serial: the keys that sign for it
   std::map<std::string, std::int64_t, std::less<>> last_counters;  // by serial: of its last report
-  Keys keys;
+  KeysById keys;
 };
 // A vehicle version manifest (5.4.2.1): signed by the primary, each ECU's report by that ECU, with counters
 // that only rise. `vehicle` and `reports` change only where nothing is refused.
--- a/src/program/access_config_loader.cpp
+++ b/src/program/access_config_loader.cpp
@@ -76,7 +76,7 @@
 void AccessConfigLoader::install_metadata_verifier() {
   std::vector<metadata::RepositorySettings> repositories = config_.metadata->repositories;
   for (metadata::RepositorySettings& repository : repositories) {
-    repository.root = read_file(repository.root, metadata::max_file_bytes("root"));
+    repository.pinned_root = read_file(repository.pinned_root, metadata::max_file_bytes("root"));
   }
   service_.set_metadata_verifier(
       std::make_unique<metadata::MetadataVerifier>(std::move(repositories), config_.metadata->max_clients));
--- a/src/program/operator_config.hpp
+++ b/src/program/operator_config.hpp
@@ -26,7 +26,7 @@
 
 // Signed update metadata that is checked on its way to clients.
 struct MetadataConfig {
-  std::vector<metadata::RepositorySettings> repositories;  // `root` is a path here
+  std::vector<metadata::RepositorySettings> repositories;  // `pinned_root` is a path here
   std::size_t max_clients = 0;                             // whose last timestamp is remembered
 };
 
--- a/src/routing/metadata_check.cpp
+++ b/src/routing/metadata_check.cpp
@@ -26,7 +26,7 @@
 std::unique_ptr<MetadataRequest> MetadataCheck::match(std::string_view path, std::uint64_t client) const {
   if (!verifier_) return nullptr;
   std::string_view file;
-  const std::uint32_t repository = verifier_->repository_of(path, file);
+  const std::uint32_t repository = verifier_->find_repository(path, file);
   if (repository == metadata::MetadataVerifier::kNoRepository) return nullptr;
   return std::make_unique<MetadataRequest>(MetadataRequest{repository, std::string(file), client, {}});
 }
--- a/tests/access_config_loader_test.cpp
+++ b/tests/access_config_loader_test.cpp
@@ -202,7 +202,7 @@
   const Folder folder;
   using namespace metadata;
   Publisher p(Instant::at_us(4'000'000'000'000'000));
-  p.contents["targets"]["app"] = "1";
+  p.target_contents["targets"]["app"] = "1";
   p.delegations.push_back(
       {"targets", "part", {{SigningKey::generate(SigningKey::Kind::kEcdsa)}, 1}, {"p/*"}, {}, false, {}, 1});
   const auto put = [&] {
@@ -224,7 +224,7 @@
   EXPECT_EQ(testing::internal::GetCapturedStderr(),
             "ashbeam metadata: 2.root.json: threshold root by the trusted root: 0 of 1 distinct keys (TUF "
             "5.3.4)\n");
-  write_file(folder.at("2.root.json"), p.root(&old), 0644);
+  write_file(folder.at("2.root.json"), p.root_file(&old), 0644);
   testing::internal::CaptureStdout();
   EXPECT_EQ(metadata_check(pinned, folder.path), 0);
   testing::internal::GetCapturedStdout();
--- a/tests/former_repository_test.cpp
+++ b/tests/former_repository_test.cpp
@@ -40,14 +40,15 @@
 // A client that has followed the files from the pinned root.
 TufClient updated_client() {
   TufClient client;
-  EXPECT_TRUE(client.take_root(former_file("1.root.json"))) << client.refusal_line();
-  EXPECT_TRUE(client.take_root(former_file("2.root.json"))) << client.refusal_line();
-  EXPECT_TRUE(client.take_timestamp(former_file("1.timestamp.json"))) << client.refusal_line();
-  EXPECT_TRUE(client.take_timestamp(former_file("timestamp.json"))) << client.refusal_line();
-  EXPECT_TRUE(client.take_snapshot(former_file("2.snapshot.json"))) << client.refusal_line();
-  EXPECT_TRUE(client.take_targets(former_file("2.targets.json"))) << client.refusal_line();
+  EXPECT_TRUE(client.apply_root(former_file("1.root.json"))) << client.refusal_line();
+  EXPECT_TRUE(client.apply_root(former_file("2.root.json"))) << client.refusal_line();
+  EXPECT_TRUE(client.apply_timestamp(former_file("1.timestamp.json"))) << client.refusal_line();
+  EXPECT_TRUE(client.apply_timestamp(former_file("timestamp.json"))) << client.refusal_line();
+  EXPECT_TRUE(client.apply_snapshot(former_file("2.snapshot.json"))) << client.refusal_line();
+  EXPECT_TRUE(client.apply_targets(former_file("2.targets.json"))) << client.refusal_line();
   for (const char* role : {"several", "agreeing", "hashed"}) {
-    EXPECT_TRUE(client.take_delegated("targets", role, former_file("1." + std::string(role) + ".json")))
+    EXPECT_TRUE(
+        client.apply_delegated_targets("targets", role, former_file("1." + std::string(role) + ".json")))
         << client.refusal_line();
   }
   return client;
@@ -63,7 +64,7 @@
     std::string problem;
     const auto node = parse_json(bytes, {}, problem);
     ASSERT_TRUE(node) << file.name << ": " << problem;
-    EXPECT_EQ(node->json(), bytes) << file.name;
+    EXPECT_EQ(node->to_json(), bytes) << file.name;
   }
 }
 
@@ -82,22 +83,22 @@
     const TargetLookup lookup = find_target(client.trust, content.path, kNow);
     ASSERT_TRUE(lookup.target) << content.path << ": " << lookup.refusal.line();
     EXPECT_EQ(lookup.role, content.role);
-    EXPECT_FALSE(check_target(*lookup.target, content.bytes)) << content.path;
+    EXPECT_FALSE(check_target_content(*lookup.target, content.bytes)) << content.path;
   }
   EXPECT_FALSE(find_target(client.trust, "lib/b.bin", kNow).target);
-  EXPECT_EQ(find_target(client.trust, "app.bin", kLater).refusal.line(),
+  EXPECT_EQ(find_target(client.trust, "app.bin", kDefaultExpiry).refusal.line(),
             "expired root 2 expired 2027-01-16T08:00:00Z (TUF 5.3.10)");
 }
 
 TEST(FormerRepository, OlderFilesAreRefusedForTheSameReasons) {
   TufClient client = updated_client();
-  EXPECT_FALSE(client.take_root(former_file("1.root.json")));
+  EXPECT_FALSE(client.apply_root(former_file("1.root.json")));
   EXPECT_EQ(client.refusal_line(), "threshold root by the trusted root: 0 of 1 distinct keys (TUF 5.3.4)");
-  EXPECT_FALSE(client.take_timestamp(former_file("1.timestamp.json")));
+  EXPECT_FALSE(client.apply_timestamp(former_file("1.timestamp.json")));
   EXPECT_EQ(client.refusal_line(), "rollback timestamp 1 < 2 (TUF 5.4.3.1)");
-  EXPECT_FALSE(client.take_snapshot(former_file("1.snapshot.json")));
+  EXPECT_FALSE(client.apply_snapshot(former_file("1.snapshot.json")));
   EXPECT_TRUE(client.refusal_line().starts_with("mismatch snapshot: ")) << client.refusal_line();
-  EXPECT_FALSE(client.take_targets(former_file("1.targets.json")));
+  EXPECT_FALSE(client.apply_targets(former_file("1.targets.json")));
   EXPECT_TRUE(client.refusal_line().starts_with("mismatch targets: ")) << client.refusal_line();
 }
 
--- a/tests/metadata_json_test.cpp
+++ b/tests/metadata_json_test.cpp
@@ -10,9 +10,9 @@
   std::string problem;
   const auto node = parse_json(R"( {"b": [1, -2, true, null], "a": "q\"\\\u00e9\n"} )", {}, problem);
   ASSERT_TRUE(node) << problem;
-  EXPECT_EQ(node->canonical(), "{\"a\":\"q\\\"\\\\\xc3\xa9\n\",\"b\":[1,-2,true,null]}");
+  EXPECT_EQ(node->to_canonical_json(), "{\"a\":\"q\\\"\\\\\xc3\xa9\n\",\"b\":[1,-2,true,null]}");
   JsonLimits small;
-  small.nodes = 50;
+  small.max_nodes = 50;
   for (const std::string& bad :
        {std::string(R"({"a":1,"a":1})"), std::string(R"({"a":1e0})"), std::string(R"({"a":1.0})"),
         std::string("{} x"), std::string("{}{}"), std::string("{\"a\":\"\xff\"}"),
--- a/tests/metadata_router_test.cpp
+++ b/tests/metadata_router_test.cpp
@@ -16,7 +16,7 @@
   void open() {
     before_start_ = [this] {
       service_->set_metadata_verifier(std::make_unique<MetadataVerifier>(
-          std::vector<RepositorySettings>{{"/look/u/", repository_.root(), Duration()}}, 100));
+          std::vector<RepositorySettings>{{"/look/u/", repository_.root_file(), Duration()}}, 100));
     };
     start_router(all_endpoints());
   }
@@ -36,7 +36,7 @@
 
 TEST_F(MetadataRouterTest, ARolledBackFileIsRetriedElsewhereAndItsBytesNeverGoOn) {
   open();
-  const std::string old = repository_.timestamp();
+  const std::string old = repository_.timestamp_file();
   Stream c = connect_client();
   const auto serve = [&](const std::string& name, const std::vector<std::string>& answers) {
     c.send(ask_for(name));
@@ -49,7 +49,7 @@
   };
   EXPECT_TRUE(serve("timestamp.json", {file(old)}).ends_with(old));
   ++repository_.versions["timestamp"];
-  const std::string newest = repository_.timestamp();
+  const std::string newest = repository_.timestamp_file();
   EXPECT_EQ(status_of(serve("timestamp.json", {chunked(newest)})), 200U);
   while (c.received.find(newest + "\r\n0\r\n\r\n") == std::string::npos) ASSERT_TRUE(c.receive(500));
   c.received.clear();
@@ -86,8 +86,8 @@
 TEST_F(MetadataRouterTest, ATruncatedOrCodedFileIsRefused) {
   open();
   const std::string coded = "HTTP/1.1 200 OK\r\nContent-Encoding: gzip\r\nContent-Length: 2\r\n\r\nxx";
-  for (const std::string& bad :
-       {file(repository_.timestamp().substr(0, 100)), file("{}"), coded, file(std::string(60000, '['))}) {
+  for (const std::string& bad : {file(repository_.timestamp_file().substr(0, 100)), file("{}"), coded,
+                                 file(std::string(60000, '['))}) {
     Stream c = connect_client();
     c.send(ask_for("timestamp.json"));
     for (Stream h = take_attempt(); h.fd >= 0; h = take_attempt(100)) h.read_message(), h.send(bad);
--- a/tests/metadata_verifier_test.cpp
+++ b/tests/metadata_verifier_test.cpp
@@ -19,7 +19,7 @@
 
   explicit VerifiedRepository(Duration lag = Duration::s(30), std::size_t max_clients = 100) {
     verifier = std::make_unique<MetadataVerifier>(
-        std::vector<RepositorySettings>{{"/look/u/", repository.root(), lag}}, max_clients);
+        std::vector<RepositorySettings>{{"/look/u/", repository.root_file(), lag}}, max_clients);
   }
   // The refusal's reason; empty where the file may go on.
   std::string check(const std::string& file, const std::string& bytes, std::uint64_t client = 1) {
@@ -27,34 +27,35 @@
     return refusal ? std::string(name_of(refusal.reason)) : "";
   }
   std::string check_timestamp(std::uint64_t client = 1) {
-    return check("timestamp.json", repository.timestamp(), client);
+    return check("timestamp.json", repository.timestamp_file(), client);
   }
 };
 
 TEST(MetadataVerifier, FindsTheRepositoryOfTheLongestPrefix) {
   const Publisher publisher(kNow + Duration::s(9));
-  const MetadataVerifier verifier({{"/look/", publisher.root(), {}}, {"/look/u/", publisher.root(), {}}}, 10);
+  const MetadataVerifier verifier(
+      {{"/look/", publisher.root_file(), {}}, {"/look/u/", publisher.root_file(), {}}}, 10);
   std::string_view file;
-  EXPECT_EQ(verifier.repository_of("/look/u/timestamp.json", file), 1U);
+  EXPECT_EQ(verifier.find_repository("/look/u/timestamp.json", file), 1U);
   EXPECT_EQ(file, "timestamp.json");
-  EXPECT_EQ(verifier.repository_of("/look/x", file), 0U);
-  EXPECT_EQ(verifier.repository_of("/book/u/", file), MetadataVerifier::kNoRepository);
+  EXPECT_EQ(verifier.find_repository("/look/x", file), 0U);
+  EXPECT_EQ(verifier.find_repository("/book/u/", file), MetadataVerifier::kNoRepository);
   EXPECT_THROW(MetadataVerifier({{"/look/", "{}", {}}}, 10), std::runtime_error);
 }
 
 TEST(MetadataVerifier, AnEndpointThatLagsIsServedForAWhileAndNeverBehindWhatAClientSaw) {
   VerifiedRepository served;
-  const std::string old = served.repository.timestamp();
-  const std::string old_snapshot = served.repository.snapshot();
-  const std::string old_targets = served.repository.targets();
+  const std::string old = served.repository.timestamp_file();
+  const std::string old_snapshot = served.repository.snapshot_file();
+  const std::string old_targets = served.repository.targets_file();
   EXPECT_EQ(served.check_timestamp(1) + served.check_timestamp(2), "");
-  served.repository.publish_next();
+  served.repository.increment_versions();
   EXPECT_EQ(served.check_timestamp(1), "");
   EXPECT_EQ(served.check("timestamp.json", old, 2), "");            // 2 has seen nothing newer
   EXPECT_EQ(served.check("timestamp.json", old, 1), "rollback");    // 1 has
   EXPECT_EQ(served.check("1.snapshot.json", old_snapshot, 2), "");  // between two versions
   EXPECT_EQ(served.check("1.targets.json", old_targets, 2), "");
-  EXPECT_EQ(served.check("2.snapshot.json", served.repository.snapshot(), 1), "");
+  EXPECT_EQ(served.check("2.snapshot.json", served.repository.snapshot_file(), 1), "");
   EXPECT_EQ(served.check("2.snapshot.json", old_snapshot, 1), "mismatch");  // good, and not in this place
   EXPECT_EQ(served.check("2.targets.json", old_targets, 1), "mismatch");
   served.now = served.now + Duration::s(31);
@@ -67,15 +68,15 @@
 
 TEST(MetadataVerifier, AFileWithoutItsTimestampMustBeValidByItself) {
   VerifiedRepository served;
-  EXPECT_EQ(served.check("1.snapshot.json", served.repository.snapshot()), "");
-  EXPECT_EQ(served.check("2.snapshot.json", served.repository.snapshot()), "mismatch");
+  EXPECT_EQ(served.check("1.snapshot.json", served.repository.snapshot_file()), "");
+  EXPECT_EQ(served.check("2.snapshot.json", served.repository.snapshot_file()), "mismatch");
   const Publisher stranger(kNow + Duration::s(86400));
-  EXPECT_EQ(served.check("1.snapshot.json", stranger.snapshot()), "threshold");
-  EXPECT_EQ(served.check("1.snapshot.json", served.repository.snapshot().substr(0, 200)), "unreadable");
-  EXPECT_EQ(served.check("1.part.json", served.repository.targets()), "out-of-order");
+  EXPECT_EQ(served.check("1.snapshot.json", stranger.snapshot_file()), "threshold");
+  EXPECT_EQ(served.check("1.snapshot.json", served.repository.snapshot_file().substr(0, 200)), "unreadable");
+  EXPECT_EQ(served.check("1.part.json", served.repository.targets_file()), "out-of-order");
   EXPECT_EQ(served.check("app", "anything"), "");  // no metadata
   EXPECT_EQ(served.check_timestamp(), "");
-  EXPECT_EQ(served.check("1.snapshot.json", stranger.snapshot()), "mismatch");
+  EXPECT_EQ(served.check("1.snapshot.json", stranger.snapshot_file()), "mismatch");
 }
 
 TEST(MetadataVerifier, RootsInTheirOrderAndTheRecoveryFromFastForward) {
@@ -87,31 +88,32 @@
   served.repository.roles["root"].keys = {new_key()};
   served.repository.roles["timestamp"].keys = {new_key()};
   served.repository.versions["root"] = 2;
-  EXPECT_EQ(served.check("2.root.json", served.repository.root()),
+  EXPECT_EQ(served.check("2.root.json", served.repository.root_file()),
             "threshold");  // the former keys have not signed
-  EXPECT_EQ(served.check("2.root.json", served.repository.root(&former)), "");
-  EXPECT_EQ(served.verifier->trust(0).root->version, 2);
+  EXPECT_EQ(served.check("2.root.json", served.repository.root_file(&former)), "");
+  EXPECT_EQ(served.verifier->trusted_metadata(0).root->version, 2);
   served.repository.versions["timestamp"] = 3;
   served.repository.versions["snapshot"] = 3;
   EXPECT_EQ(served.check_timestamp(1), "");  // what 1 saw of the old keys binds it no more
   served.repository.versions["root"] = 4;
-  EXPECT_EQ(served.check("4.root.json", served.repository.root()), "");  // 3 may have come another way
-  EXPECT_EQ(served.verifier->trust(0).root->version, 2);
-  EXPECT_EQ(served.check("5.root.json", served.repository.root()), "root-version");  // under another name
+  EXPECT_EQ(served.check("4.root.json", served.repository.root_file()), "");  // 3 may have come another way
+  EXPECT_EQ(served.verifier->trusted_metadata(0).root->version, 2);
+  EXPECT_EQ(served.check("5.root.json", served.repository.root_file()),
+            "root-version");  // under another name
 }
 
 TEST(MetadataVerifier, ClientsAreBoundedAndEvictionNeverLetsARollbackThrough) {
   VerifiedRepository served(Duration::s(3600), 16);
-  const std::string old = served.repository.timestamp();
+  const std::string old = served.repository.timestamp_file();
   EXPECT_EQ(served.check_timestamp(1), "");
-  served.repository.publish_next();
+  served.repository.increment_versions();
   for (std::uint64_t client = 1; client <= 400; ++client) EXPECT_EQ(served.check_timestamp(client), "");
-  EXPECT_EQ(served.verifier->clients(), 16U);
+  EXPECT_EQ(served.verifier->client_count(), 16U);
   for (std::uint64_t client = 1; client <= 400; ++client)
     EXPECT_EQ(served.check("timestamp.json", old, client), "rollback") << client;
-  const auto before = served.verifier->verifications();
+  const auto before = served.verifier->verification_count();
   for (int i = 0; i < 100; ++i) EXPECT_EQ(served.check_timestamp(7), "");
-  EXPECT_EQ(served.verifier->verifications(), before);  // known bytes cost none
+  EXPECT_EQ(served.verifier->verification_count(), before);  // known bytes cost none
 }
 
 }  // namespace
--- a/tests/trusted_metadata_model_test.cpp
+++ b/tests/trusted_metadata_model_test.cpp
@@ -133,8 +133,8 @@
     const std::vector<SigningKey> keys = choose_signing_keys(type);
     for (const auto& key : keys) file.signing_keys.insert(key.id());
     if (type == "root") add_roles(file);
-    if (type == "timestamp") file.listed = {publisher_.versions["snapshot"], publisher_.snapshot()};
-    if (type == "snapshot") file.listed = {publisher_.versions["targets"], publisher_.targets()};
+    if (type == "timestamp") file.listed = {publisher_.versions["snapshot"], publisher_.snapshot_file()};
+    if (type == "snapshot") file.listed = {publisher_.versions["targets"], publisher_.targets_file()};
     file.bytes = Publisher::sign_envelope(publisher_.signed_part(type), keys);
     files_.push_back(file);
     return files_.back();
@@ -157,7 +157,8 @@
         publisher_.versions["root"] = trusted_root_version + 1;
         break;
       case 4:
-        publisher_.contents["targets"]["f" + std::to_string(random_.next_below(4))] = std::to_string(step);
+        publisher_.target_contents["targets"]["f" + std::to_string(random_.next_below(4))] =
+            std::to_string(step);
         break;
       default:
         break;
@@ -202,7 +203,7 @@
 
   Pcg random_;
   const std::vector<SigningKey>& pool_;
-  Publisher publisher_{kLater};
+  Publisher publisher_{kDefaultExpiry};
   std::deque<FileFacts> files_;  // references to them stay valid
 };
 
@@ -210,7 +211,7 @@
   constexpr int kTries = 50;
   for (int i = 0; i < kTries; ++i) {
     const FileFacts& file = repository.make_file("root");
-    if (client.take_root(file.bytes)) return &file;
+    if (client.apply_root(file.bytes)) return &file;
   }
   return nullptr;
 }
--- a/tests/uptane_test.cpp
+++ b/tests/uptane_test.cpp
@@ -34,22 +34,22 @@
 
 // Trusted metadata with this targets file in place of the publisher's: the snapshot lists no hashes here.
 TrustedMetadata trust_of(const Publisher& publisher, const std::string& targets) {
-  TrustedMetadata trust = pin_root(publisher.root()).trust;
-  trust = update_timestamp(trust, publisher.timestamp(), kNow).trust;
-  trust = update_snapshot(trust, publisher.snapshot(), kNow).trust;
+  TrustedMetadata trust = pin_root(publisher.root_file()).trust;
+  trust = update_timestamp(trust, publisher.timestamp_file(), kNow).trust;
+  trust = update_snapshot(trust, publisher.snapshot_file(), kNow).trust;
   const TrustUpdate update = update_targets(trust, targets, kNow);
   EXPECT_FALSE(update.refusal) << update.refusal.line();
   return update.trust;
 }
 
 struct Repositories {
-  Publisher director{kLater};
-  Publisher image{kLater};
+  Publisher director{kDefaultExpiry};
+  Publisher image{kDefaultExpiry};
   const Ecu ecu{"ecu-1", "hw-a", 3};
   Repositories() {
     for (Publisher* const publisher : {&director, &image}) {
       publisher->list_hashes = false;
-      publisher->contents["targets"]["brake.img"] = "brake 4";
+      publisher->target_contents["targets"]["brake.img"] = "brake 4";
     }
   }
   std::string install(const std::string& from_director, const std::string& from_image) const {
@@ -75,23 +75,23 @@
                                  with_custom(repositories.image, "brake.img", custom("", "hw-b", 4))),
             "disagreement");
   Repositories longer;
-  longer.image.contents["targets"]["brake.img"] = "brake 4 and more";
+  longer.image.target_contents["targets"]["brake.img"] = "brake 4 and more";
   EXPECT_EQ(longer.install(with_custom(longer.director, "brake.img", custom("ecu-1", "hw-a", 4)),
                            with_custom(longer.image, "brake.img", custom("", "hw-a", 4))),
             "disagreement");
   Repositories other;
-  other.image.contents["targets"]["brake.img"] = "brake 5";
+  other.image.target_contents["targets"]["brake.img"] = "brake 5";
   EXPECT_EQ(other.install(with_custom(other.director, "brake.img", custom("ecu-1", "hw-a", 4)),
                           with_custom(other.image, "brake.img", custom("", "hw-a", 4))),
             "disagreement");
   Repositories alone;  // a director can't install what the image repository does not list
-  alone.image.contents["targets"].clear();
+  alone.image.target_contents["targets"].clear();
   EXPECT_EQ(alone.install(with_custom(alone.director, "brake.img", custom("ecu-1", "hw-a", 4)),
-                          alone.image.targets()),
+                          alone.image.targets_file()),
             "unlisted");
   Repositories silent;
-  silent.director.contents["targets"].clear();
-  EXPECT_EQ(silent.install(silent.director.targets(),
+  silent.director.target_contents["targets"].clear();
+  EXPECT_EQ(silent.install(silent.director.targets_file(),
                            with_custom(silent.image, "brake.img", custom("", "hw-a", 4))),
             "unlisted");
 }
@@ -100,7 +100,7 @@
   Repositories repositories;
   const auto check = [&](const std::string& bytes, const std::vector<Ecu>& vehicle) {
     const TrustedMetadata t = trust_of(repositories.director, bytes);
-    return std::string(name_of(check_director(*t.targets.at("targets"), vehicle).reason));
+    return std::string(name_of(check_director_targets(*t.targets.at("targets"), vehicle).reason));
   };
   const std::vector<Ecu> vehicle{repositories.ecu, {"ecu-2", "hw-b", -1}};
   EXPECT_EQ(check(with_custom(repositories.director, "brake.img", custom("ecu-1", "hw-a", 3)), vehicle),
@@ -115,12 +115,12 @@
                   vehicle),
             "ecu");
   repositories.director.delegations.push_back({"targets", "part", {{new_key()}, 1}, {"*"}, {}, false, {}, 1});
-  EXPECT_EQ(check(repositories.director.targets(), vehicle), "delegation");
+  EXPECT_EQ(check(repositories.director.targets_file(), vehicle), "delegation");
 }
 
 TEST(Uptane, PartialVerificationOfTheDirectorsTargets) {
   Repositories repositories;
-  const TrustedMetadata pinned = pin_root(repositories.director.root()).trust;
+  const TrustedMetadata pinned = pin_root(repositories.director.root_file()).trust;
   Targets accepted;
   const auto accept = [&](const std::string& bytes, std::int64_t trusted_version, Instant now = kNow) {
     return std::string(name_of(
@@ -131,7 +131,7 @@
   EXPECT_EQ(accepted.targets.size(), 1U);
   EXPECT_EQ(accept(good, 2), "rollback");
   EXPECT_EQ(accept(good, 0, kNow + Duration::s(90000)), "expired");
-  EXPECT_EQ(accept(repositories.image.targets(), 0), "threshold");
+  EXPECT_EQ(accept(repositories.image.targets_file(), 0), "threshold");
   EXPECT_EQ(accept(with_custom(repositories.director, "brake.img", custom("ecu-1", "hw-b", 4)), 0), "ecu");
   EXPECT_EQ(
       accept(with_custom(repositories.director, "brake.img", custom("ecu-1", "hw-a", 4), "second.img"), 0),
@@ -141,12 +141,12 @@
 TEST(Uptane, TimeIsAcceptedWithOurNonceOnly) {
   const SigningKey key = SigningKey::generate(SigningKey::Kind::kEcdsa);
   const SigningKey stranger = SigningKey::generate(SigningKey::Kind::kEcdsa);
-  Keys keys;
-  keys.emplace(key.id(), PublicKey::from_json(key.object()));
+  KeysById keys;
+  keys.emplace(key.id(), PublicKey::from_json(key.public_key_object()));
   const Role server{{key.id()}, 1};
   const auto attestation = [&](const SigningKey& by, const std::string& nonce, Instant when) {
     return Publisher::sign_envelope(
-        json_object({{"nonces", json_list({json_string("x"), json_string(nonce)})},
+        json_object({{"nonces", json_array({json_string("x"), json_string(nonce)})},
                      {"time", json_string(format_date(when))}}),
         {by});
   };
@@ -178,10 +178,10 @@
   const SigningKey second = new_key();
   VehicleRecord vehicle;
   vehicle.vin = "vin-1";
-  vehicle.primary = "p";
+  vehicle.primary_serial = "p";
   const auto add_ecu = [&](const std::string& serial, const SigningKey& key) {
-    vehicle.keys.emplace(key.id(), PublicKey::from_json(key.object()));
-    vehicle.ecus[serial] = {{key.id()}, 1};
+    vehicle.keys.emplace(key.id(), PublicKey::from_json(key.public_key_object()));
+    vehicle.ecu_roles[serial] = {{key.id()}, 1};
   };
   add_ecu("p", primary);
   add_ecu("s", second);
