--- a/src/metadata/client_history.cpp
+++ b/src/metadata/client_history.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-// One key for a client in a repository; hashed by the map as well.
+// Combines client and repository into one key. The map hashes the key once more.
 std::uint64_t client_key(std::uint32_t repository, std::uint64_t client) {
-  constexpr std::uint64_t kGoldenRatio = 0x9e3779b97f4a7c15ULL;  // 2^64 divided by it
-  return (client ^ (client >> 32U)) * kGoldenRatio + repository;
+  constexpr std::uint64_t kMultiplier = 0x9e3779b97f4a7c15ULL;  // 2^64 divided by the golden ratio
+  return (client ^ (client >> 32U)) * kMultiplier + repository;
 }
 
 }  // namespace
--- a/src/metadata/date.hpp
+++ b/src/metadata/date.hpp
@@ -1,4 +1,5 @@
-// Dates of metadata files (TUF 1.0, section 4.2.1): "2030-01-01T00:00:00Z" and no other form.
+// Reads and writes the dates of metadata files (TUF 1.0, section 4.2.1). The only accepted format is
+// "2030-01-01T00:00:00Z".
 #pragma once
 #include <optional>
 #include <string>
@@ -8,9 +9,11 @@
 
 namespace ashbeam::metadata {
 
-// Nothing where the form is another one, or there is no such day or time (from 1970 on).
+// Returns nothing if the text has another format, or names a day or time that does not exist or lies before
+// 1970.
 std::optional<Instant> parse_date(std::string_view text);
-// In whole seconds; what is below one is cut off.
+
+// Formats an instant from 1970 on. Fractions of a second are cut off.
 std::string format_date(Instant when);
 
 }  // namespace ashbeam::metadata
--- a/src/metadata/json.cpp
+++ b/src/metadata/json.cpp
@@ -12,8 +12,9 @@
 bool name_less(const JsonMember& a, const JsonMember& b) { return a.name < b.name; }
 bool name_equal(const JsonMember& a, const JsonMember& b) { return a.name == b.name; }
 
-// Receives the parser's events. nlohmann's parser is not recursive and checks UTF-8; what it accepts beyond
-// canonical JSON (repeated members, fractions, any depth) is refused here.
+// Creates a tree of values from the events of nlohmann's parser. That parser is not recursive and checks
+// UTF-8. What it accepts beyond canonical JSON is refused here: repeated members, fractions and unlimited
+// depth.
 class NodeBuilder : public nlohmann::json_sax<nlohmann::json> {
  public:
   NodeBuilder(const JsonLimits& limits, std::string& error) : limits_(limits), error_(error) {}
@@ -27,7 +28,8 @@
     if (value > static_cast<number_unsigned_t>(INT64_MAX)) return fail("a number over 2^63");
     return add_node(json_number(static_cast<std::int64_t>(value))) != nullptr;
   }
-  // 1e0 and 1.0 have more than one reading, so that their signed form would be ambiguous.
+  // Also refuses 1e0 and 1.0: such a number can be written in several ways, so that the form over which the
+  // signature is computed would be ambiguous.
   bool number_float(number_float_t, const string_t&) override { return fail("a number that is not whole"); }
   bool string(string_t& value) override { return add_node(json_string(std::move(value))) != nullptr; }
   bool binary(binary_t&) override { return fail("binary"); }
@@ -59,7 +61,7 @@
     if (error_.empty()) error_ = error;
     return false;
   }
-  // Null where there are too many.
+  // Adds a value to the innermost open container. Returns null if the text has too many values.
   JsonNode* add_node(JsonNode node) {
     if (++node_count_ > limits_.max_nodes) {
       fail("more than " + std::to_string(limits_.max_nodes) + " values");
@@ -85,9 +87,9 @@
   const JsonLimits& limits_;
   std::string& error_;
   JsonNode root_;
-  std::vector<JsonNode*>
-      open_containers_;  // stay valid: a container grows only while it is the innermost open one
-  std::vector<std::string> pending_names_;  // of members whose value has not come yet
+  // The pointers stay valid, because a container grows only while it is the innermost open one.
+  std::vector<JsonNode*> open_containers_;
+  std::vector<std::string> pending_names_;  // of members whose value has not been parsed yet
   std::size_t node_count_ = 0;
 };
 
--- a/src/metadata/keys.cpp
+++ b/src/metadata/keys.cpp
@@ -53,7 +53,7 @@
   return OwnedKey(EVP_PKEY_new_raw_public_key(EVP_PKEY_ED25519, nullptr, as_bytes(*bytes), bytes->size()));
 }
 
-// Null where the key is not on P-256.
+// Returns null if the key is not an ECDSA key on P-256.
 OwnedKey parse_ecdsa_key(const std::string& pem) {
   OwnedKey key = parse_pem_public_key(pem);
   if (!key || EVP_PKEY_get_base_id(key.get()) != EVP_PKEY_EC) return nullptr;
@@ -70,7 +70,7 @@
   return bits >= kMinRsaBits && bits <= kMaxRsaBits ? std::move(key) : nullptr;
 }
 
-// SHA-256 of the key's DER form; empty where it has none.
+// Returns the SHA-256 of the key's DER form in hex, or an empty string if OpenSSL can't encode the key.
 std::string compute_identity(EVP_PKEY* key) {
   unsigned char* der = nullptr;
   const int size = i2d_PUBKEY(key, &der);
@@ -87,8 +87,8 @@
   return -1;
 }
 
-// How many distinct public keys of the role have signed. Each is counted once, and no key that has counted is
-// verified again.
+// Returns the number of distinct public keys of the role that have signed. A key that is already counted is
+// not verified again.
 std::size_t count_signing_keys(const Role& role, const KeysById& keys, const SignedEnvelope& envelope,
                                std::uint64_t& verifications) {
   std::set<std::string> identities;
--- a/src/metadata/keys.hpp
+++ b/src/metadata/keys.hpp
@@ -1,4 +1,5 @@
-// Keys and signatures of metadata (TUF 1.0, section 4.2): Ed25519, ECDSA on P-256, RSA-PSS with SHA-256.
+// Public keys, signatures and signature thresholds of metadata files (TUF 1.0, section 4.2). Supported are
+// Ed25519, ECDSA on P-256, and RSA-PSS with SHA-256.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -17,17 +18,21 @@
 
 std::string sha256_hex(std::string_view bytes);
 std::string sha512_hex(std::string_view bytes);
-// In lower case.
+// Returns the bytes as lower-case hex digits.
 std::string to_hex(std::string_view bytes);
-// Nothing where a character is no hex digit, or their number is odd.
+// Accepts digits of either case. Returns nothing if a character is not a hex digit or their number is odd.
 std::optional<std::string> from_hex(std::string_view text);
 
 class PublicKey {
  public:
-  // Of a key object: {"keytype", "scheme", "keyval": {"public"}}. Null where it can't be used.
+  // Reads a key object, {"keytype", "scheme", "keyval": {"public"}}. Returns null if the object is malformed,
+  // its type or scheme is not supported, or the key is not valid.
   static std::shared_ptr<const PublicKey> from_json(const JsonNode& object);
-  // SHA-256 of the key itself (DER), whatever its id or its object's other members: what a threshold counts.
+
+  // Returns the SHA-256 of the key's DER form in hex. It does not depend on the key id or on other members of
+  // the key object, so thresholds count keys by it.
   const std::string& identity() const { return identity_; }
+
   bool verify(std::string_view bytes, std::string_view signature) const;
 
  private:
@@ -37,12 +42,14 @@
   std::string identity_;
 };
 
-constexpr std::size_t kMaxKeys = 128;
-constexpr std::size_t kMaxSignatures = 128;
+constexpr std::size_t kMaxKeys = 128;        // in one list of keys or key ids
+constexpr std::size_t kMaxSignatures = 128;  // of one file
 
-// Keys by their id. An id is the SHA-256 of the key object's canonical form; it is always computed, and a
-// file that has another one is refused. Keys of unknown kinds are left out.
 using KeysById = std::map<std::string, std::shared_ptr<const PublicKey>, std::less<>>;
+
+// Reads an object of key objects by key id. A key id is the SHA-256 of the key object's canonical form; it is
+// always computed, and a file that gives another one is refused. Keys that PublicKey::from_json() can't read
+// are left out.
 Refusal read_keys(const JsonNode& objects, KeysById& keys);
 
 struct Signature {
@@ -51,13 +58,13 @@
 };
 Refusal read_signatures(const JsonNode& list, std::vector<Signature>& signatures);
 
-// A signed part and who claims to have signed it.
+// The signed part of a file, and the signatures that the file gives for it. They are not verified yet.
 struct SignedEnvelope {
   std::vector<Signature> signatures;
-  std::string signed_bytes;  // canonical form of the signed part
+  std::string signed_bytes;  // the canonical form of the signed part
 };
 
-// Which keys may sign for a role, and how many of them must.
+// The keys that may sign for a role, and the number of them that must.
 struct Role {
   std::vector<std::string> keyids;  // sorted
   std::int64_t threshold = 1;
@@ -65,9 +72,10 @@
 };
 Refusal read_role(const JsonNode& object, Role& role);
 
-// Have enough distinct public keys of the role signed? Neither ids nor signatures count: one key under two
-// ids is one. `what` and `section` go into the refusal; `verifications` rises by the signatures computed, at
-// most one for each signature of the envelope.
+// Refuses the envelope unless enough distinct public keys of the role have signed it. Neither key ids nor
+// signatures are counted: one key under two ids counts once. `subject` names the file in the refusal, and
+// `section` is the specification's. `verifications` increases by the number of signatures that were verified,
+// which is at most one for each signature of the envelope.
 Refusal check_threshold(std::string_view subject, const Role& role, const KeysById& keys,
                         const SignedEnvelope& envelope, const char* section, std::uint64_t& verifications);
 
--- a/src/metadata/metadata_verifier.cpp
+++ b/src/metadata/metadata_verifier.cpp
@@ -8,15 +8,18 @@
 
 namespace {
 
-// A file under the name of another version: each is valid under its own name alone (section 5.6.2).
+// Refuses a file whose name gives another version than its content: a file is valid only under its own name
+// (section 5.6.2). `named` is 0 if the name has no version.
 Refusal check_named_version(const std::string& role, std::int64_t found, std::int64_t named) {
   if (named == 0 || found == named) return {};
   return Refusal::file_name_mismatch(role, found, named, "TUF 5.6.2");
 }
 
+// Whether the root itself lists the keys of this role. Timestamp and root are never passed here.
 bool is_top_level_role(const std::string& role) { return role == "snapshot" || role == "targets"; }
 
-// Under the first delegator that trusts the file; the refusal of the last one otherwise.
+// Updates a delegated role by the first delegator that accepts the file. If none does, returns the refusal of
+// the last one.
 TrustUpdate update_by_any_delegator(const TrustedMetadata& trust, const std::string& role,
                                     std::string_view bytes, Instant now) {
   TrustUpdate last;
@@ -81,7 +84,8 @@
   return kNoRepository;
 }
 
-// "12.snapshot.json" is the role snapshot in version 12, "snapshot.json" without one. False: no metadata.
+// Reads role and version from a file name: "12.snapshot.json" is the snapshot of version 12, and
+// "snapshot.json" the snapshot without a version. Returns false if the name is not that of a metadata file.
 bool MetadataVerifier::parse_file_name(std::string_view name, ServedFile& file) {
   constexpr std::string_view kExtension = ".json";
   if (!name.ends_with(kExtension) || name.find('/') != std::string_view::npos) return false;
@@ -126,8 +130,8 @@
   TrustUpdate update = update_root(repository.trust, file.bytes);
   verifications_ += update.verifications;
   if (update.refusal) {
-    // The roots between may have come to the client another way: a later one that the trusted keys have
-    // signed may be served, and changes no trust.
+    // The client may have received the roots in between through another router. A later root that the trusted
+    // keys have signed may therefore be served, but it does not change the trusted metadata.
     if (update.refusal.reason != RefusalReason::kRootVersion || named <= trusted) return update.refusal;
     MetadataFile later;
     if (Refusal refusal = read_metadata_file("root", file.bytes, later)) return refusal;
@@ -147,7 +151,8 @@
     retire_timestamps(repository, now);
   }
   repository.trust = std::move(next);
-  // The newest timestamp goes on under the new root: files that it leads to must not bring the old one back.
+  // The newest timestamp continues under the new root. Otherwise the next file accepted with it would restore
+  // the previous root, because check_below_timestamp() replaces the repository's trusted metadata.
   auto& timestamps = repository.timestamps;
   if (!timestamps.empty() && timestamps.back().servable_until == Instant::never())
     timestamps.back().trust = repository.trust;
@@ -158,12 +163,14 @@
 
 // ---- Timestamp (section 5.4) ----
 
+// Removes the timestamps that may no longer be served.
 void MetadataVerifier::expire_timestamps(Repository& repository, Instant now) {
   std::erase_if(repository.timestamps,
                 [&](const AcceptedTimestamp& accepted) { return accepted.servable_until <= now; });
 }
 
-// None of them is the newest any more.
+// Called when a newer timestamp or a root with other keys replaces the accepted timestamps: from now on each
+// may be served for `max_lag` at most.
 void MetadataVerifier::retire_timestamps(Repository& repository, Instant now) {
   for (AcceptedTimestamp& accepted : repository.timestamps)
     accepted.servable_until = std::min(accepted.servable_until, now + repository.settings.max_lag);
@@ -174,7 +181,7 @@
   const std::string digest = sha256_hex(file.bytes);
   for (const AcceptedTimestamp& accepted : repository.timestamps) {
     if (accepted.timestamp->digest != digest) continue;
-    // The very bytes that were accepted before: no signature is computed.
+    // The same bytes were accepted before, so no signature is verified again.
     const Timestamp& timestamp = *accepted.timestamp;
     if (file.now >= timestamp.expires)
       return Refusal::expired("timestamp", timestamp.version, timestamp.expires, "TUF 5.4.4");
@@ -198,7 +205,8 @@
       {repository.trust.timestamp, Instant::never(), repository.trust, repository.key_generation});
 }
 
-// No client may be served an older timestamp than before (rollback, section 5.4.3.1).
+// Refuses a timestamp that is older than one that the client was served before (rollback, section 5.4.3.1),
+// and records the served version otherwise.
 Refusal MetadataVerifier::serve_timestamp(const Repository& repository, const ServedFile& file,
                                           ServedVersion offered) {
   const ServedVersion newest = client_history_.newest_served(repository.index, file.client);
@@ -219,8 +227,8 @@
   expire_timestamps(repository, file.now);
   auto& timestamps = repository.timestamps;
   const bool top_level = is_top_level_role(file.role);
-  // Under the newest timestamp first, then under older ones: a client may be between two versions. The newest
-  // one's refusal is returned.
+  // The file is checked with the newest timestamp first, and then with older ones, because the client may
+  // still be following an older timestamp. If all refuse it, the refusal by the newest one is returned.
   Refusal newest_refusal{RefusalReason::kOutOfOrder, file.role + " before a timestamp", "TUF 5.5"};
   for (std::size_t i = timestamps.size(); i-- > 0;) {
     AcceptedTimestamp& accepted = timestamps[i];
@@ -237,6 +245,8 @@
   return newest_refusal;
 }
 
+// Checks the file with one accepted timestamp, and adds it to the metadata that is trusted with that
+// timestamp.
 Refusal MetadataVerifier::check_with_timestamp(AcceptedTimestamp& accepted, const ServedFile& file) {
   TrustUpdate update = update_role(accepted.trust, file.role, file.bytes, file.now);
   verifications_ += update.verifications;
@@ -247,6 +257,7 @@
   return {};
 }
 
+// Checks a snapshot or targets file by itself: its form, signatures, expiry date and name.
 Refusal MetadataVerifier::check_without_timestamp(const Repository& repository, const ServedFile& file) {
   MetadataFile found;
   if (Refusal refusal = read_metadata_file(file.role, file.bytes, found)) return refusal;
--- a/src/metadata/publisher.cpp
+++ b/src/metadata/publisher.cpp
@@ -27,7 +27,7 @@
   return {{"keyids", json_string_array(keyids)}, {"threshold", json_number(role.threshold)}};
 }
 
-// Each key once, by its id.
+// Adds the role's keys by key id, except those that are in `keys` already.
 void add_keys(const Publisher::RoleKeys& role, std::vector<JsonMember>& keys) {
   for (const auto& key : role.keys) {
     const bool known = std::any_of(keys.begin(), keys.end(),
@@ -59,7 +59,7 @@
   for (const DelegationSettings& delegated : delegations) {
     if (delegated.role == role) return delegated.keys;
   }
-  throw std::runtime_error("no role " + role);
+  throw std::runtime_error("role " + role + " has no keys: it is neither a top-level nor a delegated role");
 }
 
 std::int64_t Publisher::version_of(const std::string& role) const {
--- a/src/metadata/roles.cpp
+++ b/src/metadata/roles.cpp
@@ -24,7 +24,7 @@
     std::transform(hex.begin(), hex.end(), hex.begin(), [](unsigned char c) { return std::tolower(c); });
     if (algorithm == "sha256" || algorithm == "sha512") hashes.emplace(algorithm, hex);
   }
-  // A file whose hashes can't be computed here would go unchecked.
+  // Without a hash that can be computed here, the content of the file would not be checked.
   if (hashes.empty()) return Refusal::unreadable("no hash that we know", "TUF 4.4");
   return {};
 }
@@ -57,7 +57,7 @@
   return {};
 }
 
-// Role names become file names: none may lead to another folder.
+// Whether a role name is safe as part of a file name. It must not lead to another folder.
 bool is_valid_role_name(std::string_view name) {
   const auto is_control = [](unsigned char c) { return c < ' ' || c == 0x7f; };
   return !name.empty() && name.size() <= kMaxRoleNameBytes && name.find('/') == std::string_view::npos &&
@@ -141,7 +141,8 @@
   header.digest = file.digest;
 }
 
-// The members that every role's signed part has (section 4.2): type, specification, version and expiry.
+// Reads the members that the signed part of every role has (section 4.2): type, version of the specification,
+// version and expiry date.
 Refusal read_header(std::string_view type, const JsonNode& signed_part, MetadataFile& file) {
   const JsonNode* const found_type = signed_part.find("_type", Kind::kString);
   const JsonNode* const spec_version = signed_part.find("spec_version", Kind::kString);
--- a/src/metadata/roles.hpp
+++ b/src/metadata/roles.hpp
@@ -1,8 +1,8 @@
-// The roles' metadata files (TUF 1.0, sections 4.3 to 4.6) as plain values. Reading checks their form alone:
-// signatures, versions and dates are checked by trusted_metadata.hpp.
+// Reads the metadata files of TUF's roles (TUF 1.0, sections 4.3 to 4.6) into plain values. Reading checks
+// only the form of a file; signatures, versions and expiry dates are checked by trusted_metadata.hpp.
 //
-// Order: read_metadata_file(), then read_root(), read_timestamp(), read_snapshot() or read_targets() with
-// what it gave.
+// Call read_metadata_file() first, and pass its result to read_root(), read_timestamp(), read_snapshot() or
+// read_targets(). Each of them returns a refusal if the file does not have the form of its role.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -19,15 +19,17 @@
 
 namespace ashbeam::metadata {
 
-constexpr std::size_t kMaxDelegations = 256;    // of a targets role
-constexpr std::size_t kMaxPathPatterns = 1024;  // of a delegation
-constexpr std::size_t kMaxListedFiles = 20'000;
-constexpr std::size_t kMaxRolesInAgreement = 8;
+constexpr std::size_t kMaxDelegations = 256;     // of a targets role
+constexpr std::size_t kMaxPathPatterns = 1024;   // of a delegation
+constexpr std::size_t kMaxListedFiles = 20'000;  // of a snapshot, or targets of a targets role
+constexpr std::size_t kMaxRolesInAgreement = 8;  // of a delegation (TAP 3)
 
-// By algorithm ("sha256", "sha512"), lower-case hex; at least one.
+// Hashes in lower-case hex by algorithm, "sha256" or "sha512". A file's hashes are never empty once they are
+// read.
 using Hashes = std::map<std::string, std::string>;
 
-// What a role lists of a metadata file below it (section 4.4).
+// What a timestamp or a snapshot lists about a metadata file below it (section 4.4). Length and hashes are
+// optional.
 struct FileMeta {
   std::int64_t version = 0;
   std::optional<std::int64_t> length;
@@ -35,21 +37,22 @@
   bool operator==(const FileMeta&) const = default;
 };
 
+// What a targets role lists about a target file (section 4.5).
 struct Target {
   std::int64_t length = 0;
   Hashes hashes;
-  // Of the custom part (Uptane 5.2.3.1); empty or -1 where it says nothing.
+  // From the custom part (Uptane 5.2.3.1); empty or -1 if it does not give them.
   std::string hardware_id;
   std::string ecu_id;
   std::int64_t release_counter = -1;
   bool operator==(const Target&) const = default;
 };
 
-// What every role's file has.
+// The values that the file of every role has.
 struct MetadataHeader {
   std::int64_t version = 0;
   Instant expires;
-  std::string digest;  // SHA-256 of the file's bytes, hex
+  std::string digest;  // SHA-256 of the file's bytes, in hex
 };
 
 struct Root : MetadataHeader {
@@ -57,16 +60,16 @@
   std::map<std::string, Role, std::less<>> roles;  // root, timestamp, snapshot, targets
   bool consistent_snapshot = false;
 
-  // One of the four top-level roles.
+  // `name` must be one of the four top-level roles.
   const Role& role(std::string_view name) const { return roles.find(name)->second; }
 };
 
 struct Timestamp : MetadataHeader {
-  FileMeta snapshot;
+  FileMeta snapshot;  // the listed snapshot
 };
 
 struct Snapshot : MetadataHeader {
-  std::map<std::string, FileMeta, std::less<>> meta;  // by file name, "targets.json"
+  std::map<std::string, FileMeta, std::less<>> meta;  // by file name, for example "targets.json"
 };
 
 struct DelegatedRole {
@@ -74,16 +77,16 @@
   Role role;
 };
 
-// One entry of a targets role's delegations (section 4.5.1). Several roles: a target counts where
-// `min_roles_in_agreement` of them list the same (TAP 3).
+// One entry of a targets role's delegations (section 4.5.1). If it names several roles, a target is accepted
+// only if at least `min_roles_in_agreement` of them list it with the same values (TAP 3).
 struct Delegation {
   std::vector<DelegatedRole> roles;
   unsigned min_roles_in_agreement = 1;
-  bool terminating = false;
-  std::vector<std::string> paths;  // patterns; either these or hash prefixes
+  bool terminating = false;        // a lookup of a covered path does not go on after this entry
+  std::vector<std::string> paths;  // path patterns; an entry has either these or hash prefixes
   std::vector<std::string> hash_prefixes;
 
-  // `path_hash`: SHA-256 of the path, hex.
+  // Whether the entry delegates this path. `path_hash` is the SHA-256 of the path in hex.
   bool covers(std::string_view path, const std::string& path_hash) const;
 };
 
@@ -93,17 +96,18 @@
   std::vector<Delegation> delegations;
 };
 
-// A file taken apart: its signatures, and what it says.
+// A file whose common members are read, and whose signatures are not verified yet.
 struct MetadataFile : SignedEnvelope {
-  std::string digest;    // SHA-256 of the file's bytes, hex
-  JsonNode signed_part;  // what `signed_bytes` is the canonical form of
+  std::string digest;    // SHA-256 of the file's bytes, in hex
+  JsonNode signed_part;  // `signed_bytes` is its canonical form
   std::int64_t version = 0;
   Instant expires;
 };
 
-// Of a file of that type, at most; delegated roles are of the type targets.
+// Returns the maximum size of a file of that type. The files of delegated roles have the type "targets".
 std::size_t max_file_bytes(std::string_view type);
 
+// Reads the members that every role's file has. `type` is the expected type of the file.
 Refusal read_metadata_file(std::string_view type, std::string_view bytes, MetadataFile& file);
 Refusal read_root(const MetadataFile& file, Root& root);
 Refusal read_timestamp(const MetadataFile& file, Timestamp& timestamp);
--- a/src/metadata/signing_key.cpp
+++ b/src/metadata/signing_key.cpp
@@ -31,7 +31,7 @@
     case SigningKey::Kind::kRsa:
       return {"rsa", "rsassa-pss-sha256"};
   }
-  throw std::runtime_error("no such kind of key");
+  throw std::runtime_error("unknown kind of signing key: " + std::to_string(static_cast<int>(kind)));
 }
 
 EVP_PKEY* generate_key(SigningKey::Kind kind) {
@@ -67,7 +67,9 @@
   SigningKey key;
   key.kind_ = kind;
   key.key_.reset(generate_key(kind), EVP_PKEY_free);
-  if (!key.key_) throw std::runtime_error("no key can be made");
+  if (!key.key_)
+    throw std::runtime_error("OpenSSL can't generate a key of type " +
+                             std::string(type_and_scheme_of(kind).type));
   EVP_PKEY* const generated = key.key_.get();
   const std::string public_text = kind == Kind::kEd25519 ? raw_public_hex(generated) : public_pem(generated);
   const KeyTypeAndScheme type_and_scheme = type_and_scheme_of(kind);
@@ -103,7 +105,7 @@
   std::size_t size = sizeof signature;
   const auto* const message = reinterpret_cast<const unsigned char*>(bytes.data());
   if (EVP_DigestSign(context.get(), signature, &size, message, bytes.size()) != 1)
-    throw std::runtime_error("signing failed");
+    throw std::runtime_error("OpenSSL can't sign " + std::to_string(bytes.size()) + " bytes with key " + id_);
   return to_hex({reinterpret_cast<char*>(signature), size});
 }
 
--- a/src/metadata/signing_key.hpp
+++ b/src/metadata/signing_key.hpp
@@ -1,4 +1,5 @@
-// Private keys that sign metadata, made anew each time: for repositories of tests, fault tests and the demo.
+// Private keys that sign metadata files, for the repositories of tests and fault tests. Each key is generated
+// anew.
 #pragma once
 #include <memory>
 #include <string>
@@ -12,15 +13,22 @@
 
 class SigningKey {
  public:
-  enum class Kind { kEd25519, kEcdsa, kRsa };  // ECDSA on P-256, RSA of 2048 bits
-  // Throws std::runtime_error where no key can be made.
+  enum class Kind { kEd25519, kEcdsa, kRsa };  // ECDSA is on P-256, RSA has 2048 bits
+
+  // Throws std::runtime_error if OpenSSL can't generate the key.
   static SigningKey generate(Kind kind);
+
+  // Returns the key id: the SHA-256 of the public key object's canonical form, in hex.
   const std::string& id() const { return id_; }
-  // The public key's object, as metadata has it.
+
+  // Returns the public key as the key object that metadata files hold.
   const JsonNode& public_key_object() const { return public_key_object_; }
-  // The same key as another object, so under another id: `member` is the name of a member without meaning.
+
+  // Returns the same key with a further member in its key object, and therefore with another key id. `name`
+  // is the name of a member that the specification does not define.
   SigningKey with_extra_member(const std::string& name) const;
-  // The signature in hex. Throws std::runtime_error where signing fails.
+
+  // Returns the signature in hex. Throws std::runtime_error if signing fails.
   std::string sign(std::string_view bytes) const;
 
  private:
--- a/src/metadata/target_lookup.cpp
+++ b/src/metadata/target_lookup.cpp
@@ -10,7 +10,8 @@
 
 class DelegationSearch {
  public:
-  enum class VisitResult { kFound, kNotFound, kStopped };  // kStop: the search is over without a target
+  // kNotFound lets the search go on with the next role; kStopped ends the search without a target.
+  enum class VisitResult { kFound, kNotFound, kStopped };
 
   DelegationSearch(const TrustedMetadata& trust, std::string_view path, Instant now)
       : trust_(trust), path_(path), path_hash_(sha256_hex(path)), now_(now) {}
@@ -40,7 +41,7 @@
  private:
   struct ListedTarget {
     const Target* target;
-    unsigned role_count;  // that list exactly this
+    unsigned role_count;  // number of roles that list the target with the same values
   };
 
   VisitResult stop_at_limit() {
@@ -61,14 +62,15 @@
     return VisitResult::kNotFound;
   }
 
-  // TAP 3: a target counts where enough of the roles list the same.
+  // Accepts a target if enough of the delegation's roles list it with the same values (TAP 3).
   VisitResult visit_roles_in_agreement(const Delegation& delegation, const std::string& delegator) {
     std::vector<ListedTarget> listed;
     for (const DelegatedRole& delegated : delegation.roles) {
       const auto visited_before = visited_;
       const VisitResult visit_result = visit(delegated.name, delegator);
       if (visit_result == VisitResult::kStopped) return visit_result;
-      visited_ = visited_before;  // each role of the agreement has the same ones before it
+      // The roles of an agreement are searched independently, so each begins with the same visited roles.
+      visited_ = visited_before;
       if (visit_result == VisitResult::kFound) count_listing(listed, result_.target);
     }
     result_.target = nullptr;
--- a/src/metadata/target_lookup.hpp
+++ b/src/metadata/target_lookup.hpp
@@ -1,4 +1,5 @@
-// Which target a repository names by a path (TUF 1.0, section 5.6.7; TAP 3 where several roles must agree).
+// Finds the target that a repository lists under a path, through the delegations of its targets roles
+// (TUF 1.0, section 5.6.7, and TAP 3 where several roles must agree).
 #pragma once
 #include <string>
 #include <string_view>
@@ -9,20 +10,22 @@
 
 namespace ashbeam::metadata {
 
-// Roles that one lookup visits, at most.
+// Bounds the roles that one lookup visits, so that long chains of delegations are refused.
 constexpr unsigned kMaxDelegationVisits = 32;
 
 struct TargetLookup {
-  const Target* target = nullptr;  // stands as long as the trusted metadata; null: not found
-  std::string role;                // that lists it
-  // A role whose file must be fetched before the lookup can go on, and who delegates to it; empty: none.
+  const Target* target = nullptr;  // valid as long as the trusted metadata; null: not found
+  std::string role;                // the role that lists the target
+  // A role whose file must be fetched before the lookup can go on, and the role that delegates to it. Both
+  // are empty if none is missing.
   std::string missing_role;
   std::string missing_delegator;
   Refusal refusal;
 };
 
-// Walks the delegations in pre-order, each role once. Nothing is found, missing or refused where no role
-// lists the path.
+// Visits the roles in pre-order and each role once, starting with the top-level targets role. The roles of
+// one agreement (TAP 3) are searched independently of each other. If no role lists the path, the result has
+// no target, no missing role and no refusal.
 TargetLookup find_target(const TrustedMetadata& trust, std::string_view path, Instant now);
 
 }  // namespace ashbeam::metadata
--- a/src/metadata/trusted_metadata.cpp
+++ b/src/metadata/trusted_metadata.cpp
@@ -9,7 +9,7 @@
 
 Refusal refuse_without_root() { return {RefusalReason::kOutOfOrder, "no root is trusted", "TUF 5.2"}; }
 
-// How content differs from what is listed of it; empty where it does not.
+// Describes how content differs from its listed length and hashes. Returns an empty string if it does not.
 std::string describe_content_difference(std::optional<std::int64_t> length, const Hashes& hashes,
                                         std::string_view bytes) {
   if (length && static_cast<std::int64_t>(bytes.size()) != *length)
@@ -37,20 +37,23 @@
   return Refusal::version_mismatch(subject, found, listed, section);
 }
 
-// Two files with one version.
+// Refuses a file that has the version of the trusted file but other bytes.
 Refusal check_equivocation(std::string_view subject, const MetadataHeader& found,
                            const MetadataHeader& trusted, const char* section) {
   if (found.version != trusted.version || found.digest == trusted.digest) return {};
   return Refusal::equivocation(subject, found.version, found.digest, trusted.digest, section);
 }
 
-// Key ids are hashes of the keys: equal ids are equal keys.
+// Whether the next root changes the keys or the threshold of a role. Comparing key ids is enough, because
+// they are hashes of the keys.
 bool rotates_keys_of(const Root& trusted, const Root& next, const char* role) {
   return !(trusted.role(role) == next.role(role));
 }
 
-// ---- The checks of each role, in the specification's order. Each changes `update.trust` as its last step,
-// where nothing is refused. ----
+// ---- Checks of each role ----
+//
+// The accept functions make the checks in the specification's order. Each changes `update.trust` as its last
+// step, and only if nothing is refused.
 
 Refusal check_root_version(const Root& root, const Root& trusted) {
   if (root.version < trusted.version)
@@ -69,7 +72,7 @@
   if (Refusal refusal = read_metadata_file("root", bytes, file)) return refusal;
   const Root& trusted = *trust.root;
   if (file.digest == trusted.digest) return {};
-  // Section 5.3.4: signed by the trusted root's keys, before anything else in it is looked at.
+  // The keys of the trusted root must have signed the file before its content is read (section 5.3.4).
   if (Refusal refusal = check_threshold("root by the trusted root", trusted.role("root"), trusted.keys, file,
                                         "TUF 5.3.4", update.verifications))
     return refusal;
@@ -137,7 +140,8 @@
   return {};
 }
 
-// Targets that the snapshot lists in another version have to be fetched again.
+// Removes the trusted targets files that the snapshot does not list, or lists with another version: they have
+// to be fetched again.
 void drop_unlisted_targets(TrustedMetadata& trust, const Snapshot& snapshot) {
   std::erase_if(trust.targets, [&](const auto& entry) {
     const auto listed = snapshot.meta.find(entry.first + ".json");
@@ -175,14 +179,14 @@
   return {};
 }
 
-// A targets role with the keys that its delegator names for it.
+// A targets role, with the keys that its delegator (or the root) lists for it.
 struct TargetsRole {
   std::string_view name;
   const Role& role;
   const KeysById& keys;
 };
 
-// Needs a timestamp and a snapshot.
+// A timestamp and a snapshot must be trusted already.
 Refusal accept_targets(TrustUpdate& update, const TargetsRole& delegated, std::string_view bytes,
                        Instant now) {
   TrustedMetadata& trust = update.trust;
@@ -195,7 +199,8 @@
   if (Refusal refusal = check_listed_content(name, meta->second, bytes, "TUF 5.6.2")) return refusal;
   MetadataFile file;
   if (Refusal refusal = read_metadata_file("targets", bytes, file)) return refusal;
-  // Also for a known file: another delegator may name other keys.
+  // A file that is already trusted is checked, too, because another delegator may list other keys for the
+  // role.
   if (Refusal refusal =
           check_threshold(name, delegated.role, delegated.keys, file, "TUF 5.6.3", update.verifications))
     return refusal;
@@ -232,7 +237,8 @@
   const auto found = trust.targets.find(delegator);
   if (found == trust.targets.end())
     return {RefusalReason::kOutOfOrder, std::string(role) + " before " + std::string(delegator), "TUF 5.6.7"};
-  // Kept alive: a role may delegate to itself, and its file is replaced here.
+  // Held until the end of this function: a role may delegate to itself, and accept_targets() then replaces
+  // its file.
   const std::shared_ptr<const Targets> delegating_targets = found->second;
   for (const Delegation& delegation : delegating_targets->delegations) {
     for (const DelegatedRole& delegated : delegation.roles) {
@@ -244,6 +250,7 @@
           "TUF 5.6.7"};
 }
 
+// Returns an update that has not changed the trusted metadata yet.
 TrustUpdate begin_update(const TrustedMetadata& trust) {
   TrustUpdate update;
   update.trust = trust;
--- a/src/metadata/trusted_metadata.hpp
+++ b/src/metadata/trusted_metadata.hpp
@@ -1,9 +1,11 @@
-// What is trusted of a repository, and how a file changes that (TUF 1.0, section 5, the client's workflow). A
-// value: trusted metadata, a file and the time give new trusted metadata or one refusal. No I/O.
+// The metadata that is trusted of a repository, and its updates by further files: the client workflow of
+// TUF 1.0, section 5. Each update is a function of the trusted metadata, a file and the time. It returns new
+// trusted metadata or one refusal, and does no I/O.
 //
-// Order: pin_root() with the root that came by another way; then update_root() with each next version until
-// there is none, update_timestamp(), update_snapshot(), update_targets(), and update_delegated_targets() for
-// the roles that find_target() (target_lookup.hpp) misses.
+// Call pin_root() first, with a root that was obtained through a trusted channel. Then call update_root()
+// with each following version until there is none, then update_timestamp(), update_snapshot() and
+// update_targets(), and at last update_delegated_targets() for each role that find_target()
+// (target_lookup.hpp) reports as missing.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -17,6 +19,7 @@
 
 namespace ashbeam::metadata {
 
+// A role that no accepted file exists for is null, or not in `targets`.
 struct TrustedMetadata {
   std::shared_ptr<const Root> root;
   std::shared_ptr<const Timestamp> timestamp;
@@ -25,36 +28,40 @@
 };
 
 struct TrustUpdate {
-  TrustedMetadata trust;            // as before where refused
-  Refusal refusal;                  // none: `trust` is the new one
-  bool changed = false;             // false without a refusal: the very file that is trusted already
-  std::uint64_t verifications = 0;  // signatures computed
+  TrustedMetadata trust;  // the updated metadata, or the unchanged metadata if the file is refused
+  Refusal refusal;        // empty if the file is accepted
+  bool changed = false;   // false if the file is refused, or was already trusted with the same bytes
+  std::uint64_t verifications = 0;  // number of signatures that were verified
 };
 
-// A pinned root is signed by nobody else; that it signs itself keeps out what is merely broken.
+// Trusts the first root of a repository. No other key vouches for it, so that its signatures by its own keys
+// prove only that the file is not corrupted.
 TrustUpdate pin_root(std::string_view bytes);
-// Section 5.3. An expired root is accepted, as an intermediate one may be, and refused in use (5.3.10).
+// Section 5.3. An expired root is accepted, because an intermediate root may have expired. An expired root is
+// refused when it is used: update_timestamp() and check_unexpired() check it (section 5.3.10).
 TrustUpdate update_root(const TrustedMetadata& trust, std::string_view bytes);
 // Section 5.4.
 TrustUpdate update_timestamp(const TrustedMetadata& trust, std::string_view bytes, Instant now);
 // Section 5.5.
 TrustUpdate update_snapshot(const TrustedMetadata& trust, std::string_view bytes, Instant now);
-// Section 5.6: the top-level targets role.
+// Section 5.6, for the top-level targets role.
 TrustUpdate update_targets(const TrustedMetadata& trust, std::string_view bytes, Instant now);
-// Section 5.6.7: a role that `delegator` names. One delegator may trust a file of it, another one not.
+// Section 5.6.7, for a role that the targets role `delegator` delegates to. Delegators name their own keys
+// for a role, so that a file may be valid for one delegator and not for another.
 TrustUpdate update_delegated_targets(const TrustedMetadata& trust, std::string_view delegator,
                                      std::string_view role, std::string_view bytes, Instant now);
 
-// Does the next root rotate the timestamp's or the snapshot's keys? Then files of the former keys lose their
-// trust, since who had those keys may have raised the versions out of reach (section 5.3.11).
+// Whether the next root rotates the keys of the timestamp or the snapshot role. If so, files that were signed
+// with the previous keys are no longer trusted: an attacker who had those keys may have raised the version
+// numbers so far that no later file is accepted (fast-forward attack, section 5.3.11).
 bool recovers_from_fast_forward(const Root& trusted, const Root& next);
 
-// Refuses a file whose time is over; `what` is its role.
+// Refuses a file whose expiry date has passed. `subject` is its role.
 Refusal check_expiry(std::string_view subject, const MetadataHeader& file, Instant now, const char* section);
-// Refuses where root, timestamp or snapshot have expired since they were accepted.
+// Refuses if there is no trusted root, or if the trusted root, timestamp or snapshot has expired by now.
 Refusal check_unexpired(const TrustedMetadata& trust, Instant now);
 
-// Is this the target's content (section 5.7.2)?
+// Refuses content that does not have the target's length and hashes (section 5.7.2).
 Refusal check_target_content(const Target& target, std::string_view bytes);
 
 }  // namespace ashbeam::metadata
--- a/src/metadata/uptane.hpp
+++ b/src/metadata/uptane.hpp
@@ -1,6 +1,7 @@
-// Uptane (Standard 2.0) on top of TUF's workflow: what director and image repository must agree on, what a
-// vehicle reports, and attested time for an ECU whose clock can't be trusted. No I/O. Each repository's own
-// files are checked by trusted_metadata.hpp first. Refusals name the section.
+// The checks that Uptane (Standard 2.0) adds to TUF's client workflow: what the director and the image
+// repository must agree on, what a vehicle reports about its ECUs, and attested time for an ECU whose own
+// clock can't be trusted. The files of each repository are checked by trusted_metadata.hpp first. Refusals
+// name the section of the standard. No I/O.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -16,54 +17,63 @@
 struct Ecu {
   std::string id;
   std::string hardware_id;
-  std::int64_t release_counter = -1;  // of the installed image; -1: none is installed
+  std::int64_t release_counter = -1;  // of the installed image; -1 if none is installed
 };
 
-// The director's targets by themselves (5.4.4.6): no delegations, each ECU of this vehicle at most once and
-// none of another, the right hardware, no release older than the installed one.
+// Checks the director's targets on their own (5.4.4.6). There must be no delegations, each target must be for
+// an ECU of this vehicle and its hardware, each ECU may have one target at most, and no target may have an
+// older release than the installed one.
 Refusal check_director_targets(const Targets& director, const std::vector<Ecu>& vehicle);
 
 struct InstallDecision {
-  const Target* target = nullptr;  // may be installed; stands as long as the director's trusted metadata
-  // A delegated role of the image repository that must be fetched first, and its delegator; empty: none.
+  // The target that may be installed, or null. Valid as long as the director's trusted metadata.
+  const Target* target = nullptr;
+  // A delegated role of the image repository whose file must be fetched before a decision is possible, and
+  // the role that delegates to it. Both are empty if none is missing.
   std::string missing_role;
   std::string missing_delegator;
   Refusal refusal;
 };
-// May this ECU install that target (5.4.4.2)? The director has to list it for this ECU, and both repositories
-// with the same length, hashes, hardware and release counter. A director alone installs nothing.
+
+// Decides whether this ECU may install the target (5.4.4.2). The director must list it for this ECU, and both
+// repositories must list it with the same length, hashes, hardware id and release counter. A target that only
+// the director lists is never installed.
 InstallDecision check_install(const TrustedMetadata& director, const TrustedMetadata& image,
                               std::string_view path, const Ecu& ecu, Instant now);
 
-// Partial verification (5.4.4.1): the director's targets file alone, by the keys of a root that the ECU
-// holds. `trusted_version`: of the file that it accepted last; 0: none. `targets` is set where nothing is
-// refused.
+// Partial verification (5.4.4.1): checks the director's targets file alone, with the keys of a root that the
+// ECU has stored. `trusted_version` is the version of the file that the ECU accepted last, or 0 if there is
+// none. `targets` is set only if nothing is refused.
 Refusal verify_partial(const Root& root, std::string_view bytes, std::int64_t trusted_version, const Ecu& ecu,
                        Instant now, Targets& targets);
 
-// A time server's attestation (deployment practices, 5.3.2): signed, with our nonce, not before the `last`
-// one. `time` is set where nothing is refused.
+// Checks the attestation of a time server (deployment practices, 5.3.2). It must be signed by `server`,
+// contain the nonce that was sent to the server, and not be earlier than `last_attested`. `time` is set only
+// if nothing is refused.
 Refusal verify_time_attestation(const Role& server, const KeysById& keys, std::string_view bytes,
                                 std::string_view nonce, Instant last_attested, Instant& time);
 
-// What an ECU says that it runs.
+// The image that an ECU reports as installed.
 struct EcuReport {
-  std::string serial;
-  std::string path;
+  std::string serial;  // of the ECU
+  std::string path;    // of the image
   std::int64_t length = 0;
-  std::int64_t counter = 0;
+  std::int64_t counter = 0;  // rises with each report of the ECU
   Hashes hashes;
 };
-// What is known of one vehicle.
+
+// What is stored about one vehicle.
 struct VehicleRecord {
   std::string vin;
-  std::string primary_serial;                                      // serial of its primary ECU
-  std::map<std::string, Role, std::less<>> ecu_roles;              // by serial: the keys that sign for it
-  std::map<std::string, std::int64_t, std::less<>> last_counters;  // by serial: of its last report
+  std::string primary_serial;                          // of the primary ECU
+  std::map<std::string, Role, std::less<>> ecu_roles;  // by serial: the keys that sign for the ECU
+  std::map<std::string, std::int64_t, std::less<>> last_counters;  // by serial: of the ECU's last report
   KeysById keys;
 };
-// A vehicle version manifest (5.4.2.1): signed by the primary, each ECU's report by that ECU, with counters
-// that only rise. `vehicle` and `reports` change only where nothing is refused.
+
+// Checks a vehicle version manifest (5.4.2.1). The primary ECU must have signed it, each ECU must have signed
+// its own report, and the counter of each report must be higher than that of the ECU's last one. `vehicle`
+// and `reports` change only if nothing is refused.
 Refusal accept_vehicle_manifest(VehicleRecord& vehicle, std::string_view bytes,
                                 std::vector<EcuReport>& reports);
 
