--- a/tests/former_repository_test.cpp
+++ b/tests/former_repository_test.cpp
@@ -1,5 +1,7 @@
-// A repository that an earlier version of the publisher wrote is still read: tests/data/former_repository,
-// with keys of all kinds, a second root, roles in agreement and a delegation by hash prefix.
+// Tests that files signed by an earlier version of the publisher are still accepted. A change of the
+// canonical form, of key ids or of a parser would make them invalid. The files are in
+// tests/data/former_repository, with keys of all kinds, a second root, roles in agreement and a delegation by
+// hash prefix.
 #include <gtest/gtest.h>
 
 #include <fstream>
@@ -13,7 +15,7 @@
 namespace ashbeam::metadata {
 namespace {
 
-std::string former_file(const std::string& name) {
+std::string read_former_file(const std::string& name) {
   std::ifstream file(std::string(ASHBEAM_TEST_DATA) + "/former_repository/" + name, std::ios::binary);
   EXPECT_TRUE(file) << name;
   return {std::istreambuf_iterator<char>(file), std::istreambuf_iterator<char>()};
@@ -37,79 +39,80 @@
     {"timestamp.json", "0428b4b92b1529e9af4a81e23b98f6fc703579b725b2fb7d45a3c89834bd0e24"},
 };
 
-// A client that has followed the files from the pinned root.
+// Returns a client that has accepted all current files, beginning with the pinned root.
 TufClient updated_client() {
   TufClient client;
-  EXPECT_TRUE(client.apply_root(former_file("1.root.json"))) << client.refusal_line();
-  EXPECT_TRUE(client.apply_root(former_file("2.root.json"))) << client.refusal_line();
-  EXPECT_TRUE(client.apply_timestamp(former_file("1.timestamp.json"))) << client.refusal_line();
-  EXPECT_TRUE(client.apply_timestamp(former_file("timestamp.json"))) << client.refusal_line();
-  EXPECT_TRUE(client.apply_snapshot(former_file("2.snapshot.json"))) << client.refusal_line();
-  EXPECT_TRUE(client.apply_targets(former_file("2.targets.json"))) << client.refusal_line();
+  EXPECT_TRUE(client.apply_root(read_former_file("1.root.json"))) << client.refusal_line();
+  EXPECT_TRUE(client.apply_root(read_former_file("2.root.json"))) << client.refusal_line();
+  EXPECT_TRUE(client.apply_timestamp(read_former_file("1.timestamp.json"))) << client.refusal_line();
+  EXPECT_TRUE(client.apply_timestamp(read_former_file("timestamp.json"))) << client.refusal_line();
+  EXPECT_TRUE(client.apply_snapshot(read_former_file("2.snapshot.json"))) << client.refusal_line();
+  EXPECT_TRUE(client.apply_targets(read_former_file("2.targets.json"))) << client.refusal_line();
   for (const char* role : {"several", "agreeing", "hashed"}) {
     EXPECT_TRUE(
-        client.apply_delegated_targets("targets", role, former_file("1." + std::string(role) + ".json")))
+        client.apply_delegated_targets("targets", role, read_former_file("1." + std::string(role) + ".json")))
         << client.refusal_line();
   }
   return client;
 }
 
-TEST(FormerRepository, FilesAreTheOnesThatWereWritten) {
-  for (const FormerFile& file : kFormerFiles) EXPECT_EQ(sha256_hex(former_file(file.name)), file.sha256);
+TEST(FormerRepository, FilesHaveTheirRecordedHashes) {
+  for (const FormerFile& file : kFormerFiles) EXPECT_EQ(sha256_hex(read_former_file(file.name)), file.sha256);
 }
 
-TEST(FormerRepository, JsonIsReadAndWrittenBackByteForByte) {
+TEST(FormerRepository, WritesParsedJsonBackByteForByte) {
   for (const FormerFile& file : kFormerFiles) {
-    const std::string bytes = former_file(file.name);
-    std::string problem;
-    const auto node = parse_json(bytes, {}, problem);
-    ASSERT_TRUE(node) << file.name << ": " << problem;
+    const std::string bytes = read_former_file(file.name);
+    std::string error;
+    const auto node = parse_json(bytes, {}, error);
+    ASSERT_TRUE(node) << file.name << ": " << error;
     EXPECT_EQ(node->to_json(), bytes) << file.name;
   }
 }
 
-TEST(FormerRepository, IsAcceptedAndItsTargetsAreFound) {
+TEST(FormerRepository, ClientAcceptsFilesAndFindsTargets) {
   const TufClient client = updated_client();
   EXPECT_EQ(client.trust.root->version, 2);
   EXPECT_EQ(client.trust.timestamp->version, 2);
   EXPECT_TRUE(client.trust.root->consistent_snapshot);
-  struct Content {
+  struct ExpectedTarget {
     const char* path;
     const char* role;
     const char* bytes;
   };
-  for (const Content& content : {Content{"app.bin", "targets", "app, second version"},
-                                 Content{"lib/a.bin", "agreeing", "a"}, Content{"by hash", "hashed", "h"}}) {
-    const TargetLookup lookup = find_target(client.trust, content.path, kNow);
-    ASSERT_TRUE(lookup.target) << content.path << ": " << lookup.refusal.line();
-    EXPECT_EQ(lookup.role, content.role);
-    EXPECT_FALSE(check_target_content(*lookup.target, content.bytes)) << content.path;
+  for (const ExpectedTarget& expected :
+       {ExpectedTarget{"app.bin", "targets", "app, second version"},
+        ExpectedTarget{"lib/a.bin", "agreeing", "a"}, ExpectedTarget{"by hash", "hashed", "h"}}) {
+    const TargetLookup lookup = find_target(client.trust, expected.path, kNow);
+    ASSERT_TRUE(lookup.target) << expected.path << ": " << lookup.refusal.line();
+    EXPECT_EQ(lookup.role, expected.role);
+    EXPECT_FALSE(check_target_content(*lookup.target, expected.bytes)) << expected.path;
   }
   EXPECT_FALSE(find_target(client.trust, "lib/b.bin", kNow).target);
   EXPECT_EQ(find_target(client.trust, "app.bin", kDefaultExpiry).refusal.line(),
             "expired root 2 expired 2027-01-16T08:00:00Z (TUF 5.3.10)");
 }
 
-TEST(FormerRepository, OlderFilesAreRefusedForTheSameReasons) {
+TEST(FormerRepository, RefusesOlderFilesWithUnchangedMessages) {
   TufClient client = updated_client();
-  EXPECT_FALSE(client.apply_root(former_file("1.root.json")));
+  EXPECT_FALSE(client.apply_root(read_former_file("1.root.json")));
   EXPECT_EQ(client.refusal_line(), "threshold root by the trusted root: 0 of 1 distinct keys (TUF 5.3.4)");
-  EXPECT_FALSE(client.apply_timestamp(former_file("1.timestamp.json")));
+  EXPECT_FALSE(client.apply_timestamp(read_former_file("1.timestamp.json")));
   EXPECT_EQ(client.refusal_line(), "rollback timestamp 1 < 2 (TUF 5.4.3.1)");
-  EXPECT_FALSE(client.apply_snapshot(former_file("1.snapshot.json")));
+  EXPECT_FALSE(client.apply_snapshot(read_former_file("1.snapshot.json")));
   EXPECT_TRUE(client.refusal_line().starts_with("mismatch snapshot: ")) << client.refusal_line();
-  EXPECT_FALSE(client.apply_targets(former_file("1.targets.json")));
+  EXPECT_FALSE(client.apply_targets(read_former_file("1.targets.json")));
   EXPECT_TRUE(client.refusal_line().starts_with("mismatch targets: ")) << client.refusal_line();
 }
 
-TEST(FormerRepository, PassesTheVerifierInTheOrderOfAClient) {
-  MetadataVerifier verifier({{"/look/u/", former_file("1.root.json"), Duration::s(30)}}, 10);
+TEST(FormerRepository, VerifierAcceptsFilesInTheOrderOfAClient) {
+  MetadataVerifier verifier({{"/look/u/", read_former_file("1.root.json"), Duration::s(30)}}, 10);
   for (const char* name : {"1.root.json", "2.root.json", "timestamp.json", "2.snapshot.json",
                            "2.targets.json", "1.several.json", "1.agreeing.json", "1.hashed.json"}) {
-    const Refusal refusal = verifier.check(0, name, former_file(name), 1, kNow);
+    const Refusal refusal = verifier.check(0, name, read_former_file(name), 1, kNow);
     EXPECT_FALSE(refusal) << name << ": " << refusal.line();
   }
-  EXPECT_EQ(verifier.check(0, "timestamp.json", former_file("1.timestamp.json"), 1, kNow).line(),
+  EXPECT_EQ(verifier.check(0, "timestamp.json", read_former_file("1.timestamp.json"), 1, kNow).line(),
             "rollback timestamp 1 < 2 (TUF 5.4.3.1)");
 }
 
--- a/tests/metadata_fixtures.hpp
+++ b/tests/metadata_fixtures.hpp
@@ -1,4 +1,4 @@
-// A TUF client and a repository for tests of the metadata modules.
+// A repository and a TUF client for the tests of the metadata module.
 #pragma once
 #include <string>
 #include <vector>
@@ -15,16 +15,16 @@
 inline SigningKey new_key() { return SigningKey::generate(SigningKey::Kind::kEd25519); }
 inline Publisher::RoleKeys role_with_new_key() { return {{new_key()}, 1}; }
 
-// A delegation to one role with one key of its own.
+// Returns a delegation from `delegator` to `role`, which gets one new key.
 inline Publisher::DelegationSettings make_delegation(const std::string& delegator, const std::string& role,
                                                      const std::vector<std::string>& paths) {
   return {delegator, role, role_with_new_key(), paths, {}, false, {}, 1};
 }
 
-// A repository with one target.
+// A repository whose targets role lists one target, app.bin.
 struct TestRepository : Publisher {
   TestRepository() : Publisher(kDefaultExpiry) { target_contents["targets"]["app.bin"] = "app"; }
-  // Targets, and so everything above it, in the next version.
+  // Raises the versions of targets and of the roles that lead to it, as a new release of a target does.
   void increment_versions() {
     ++versions["targets"];
     ++versions["snapshot"];
@@ -32,7 +32,8 @@
   }
 };
 
-// Keeps what it trusts, and the refusal of the last file. Each function says whether the file was accepted.
+// Keeps the trusted metadata and the refusal of the last file. Each apply function returns whether the file
+// was accepted; a refused file leaves the trusted metadata as it was.
 struct TufClient {
   TrustedMetadata trust;
   Refusal last_refusal;
@@ -58,10 +59,12 @@
                                const std::string& bytes) {
     return apply(update_delegated_targets(trust, delegator, role, bytes, kNow));
   }
+  // Applies timestamp, snapshot and targets, and stops at the first that is refused.
   bool update_all(const Publisher& repository) {
     return apply_timestamp(repository.timestamp_file()) && apply_snapshot(repository.snapshot_file()) &&
            apply_targets(repository.targets_file());
   }
+  // Returns the refusal of the last file, for failure messages and comparisons.
   std::string refusal_line() const { return last_refusal ? last_refusal.line() : "none"; }
 };
 
--- a/tests/target_lookup_test.cpp
+++ b/tests/target_lookup_test.cpp
@@ -1,4 +1,4 @@
-// Lookups of targets through delegations.
+// Tests of target lookups through delegations.
 #include "metadata/target_lookup.hpp"
 
 #include <gtest/gtest.h>
@@ -11,14 +11,14 @@
 namespace ashbeam::metadata {
 namespace {
 
-struct Fetched {
-  TargetLookup lookup;  // `target` only says whether one was found: its metadata is gone
-  unsigned files = 0;
+struct ChainLookup {
+  TargetLookup lookup;  // `target` must not be dereferenced: its metadata no longer exists
+  unsigned fetched_files = 0;
 };
 
-// Looks up "deep.bin" below a chain of delegations, and fetches what is missing. `cycle`: the last role
-// delegates back to the first.
-Fetched fetch_through_chain(unsigned roles, bool cycle) {
+// Looks up "deep.bin", which the last role of a chain of delegations lists, and fetches the files that are
+// missing. With `cycle`, the last role delegates back to the first one.
+ChainLookup look_up_through_chain(unsigned roles, bool cycle) {
   constexpr unsigned kMaxFiles = 100;
   TestRepository repository;
   const Publisher::RoleKeys keys = role_with_new_key();
@@ -32,28 +32,28 @@
   TufClient client;
   EXPECT_TRUE(client.apply_root(repository.root_file()) && client.update_all(repository))
       << client.refusal_line();
-  Fetched fetched;
+  ChainLookup result;
   for (;;) {
-    fetched.lookup = find_target(client.trust, "deep.bin", kNow);
-    const std::string& missing = fetched.lookup.missing_role;
+    result.lookup = find_target(client.trust, "deep.bin", kNow);
+    const std::string& missing = result.lookup.missing_role;
     if (missing.empty()) break;
-    ++fetched.files;
-    EXPECT_TRUE(client.apply_delegated_targets(fetched.lookup.missing_delegator, missing,
+    ++result.fetched_files;
+    EXPECT_TRUE(client.apply_delegated_targets(result.lookup.missing_delegator, missing,
                                                repository.targets_file(missing)))
         << client.refusal_line();
-    if (fetched.files > kMaxFiles) break;
+    if (result.fetched_files > kMaxFiles) break;
   }
-  return fetched;
+  return result;
 }
 
-TEST(TargetLookup, CyclesAreWalkedOnceAndVisitsAreBounded) {
-  EXPECT_TRUE(fetch_through_chain(4, true).lookup.target);
-  const Fetched far = fetch_through_chain(40, false);
-  EXPECT_FALSE(far.lookup.target);
-  EXPECT_EQ(far.lookup.refusal.reason, RefusalReason::kDelegation);
-  EXPECT_LE(far.files, kMaxDelegationVisits);
+TEST(TargetLookup, VisitsCyclesOnceAndBoundsVisitedRoles) {
+  EXPECT_TRUE(look_up_through_chain(4, true).lookup.target);
+  const ChainLookup long_chain = look_up_through_chain(40, false);
+  EXPECT_FALSE(long_chain.lookup.target);
+  EXPECT_EQ(long_chain.lookup.refusal.reason, RefusalReason::kDelegation);
+  EXPECT_LE(long_chain.fetched_files, kMaxDelegationVisits);
 
-  // Nothing at the end of a cycle of four.
+  // A cycle in which no role lists the path: nothing is found, missing or refused.
   struct Edge {
     std::string from;
     std::string to;
@@ -67,11 +67,11 @@
   for (const Edge& edge : std::vector<Edge>{{"targets", "a"}, {"a", "b"}, {"b", "c"}})
     ASSERT_TRUE(client.apply_delegated_targets(edge.from, edge.to, repository.targets_file(edge.to)))
         << client.refusal_line();
-  const TargetLookup none = find_target(client.trust, "x", kNow);
-  EXPECT_TRUE(!none.target && none.missing_role.empty() && !none.refusal);
+  const TargetLookup not_found = find_target(client.trust, "x", kNow);
+  EXPECT_TRUE(!not_found.target && not_found.missing_role.empty() && !not_found.refusal);
 }
 
-TEST(TargetLookup, TerminatingOnesPathsAndHashPrefixes) {
+TEST(TargetLookup, FollowsTerminatingDelegationsPathPatternsAndHashPrefixes) {
   TestRepository repository;
   Publisher::DelegationSettings first = make_delegation("targets", "first", {"a/*.bin"});
   first.terminating = true;
@@ -90,23 +90,23 @@
     const TargetLookup lookup = find_target(client.trust, path, kNow);
     return lookup.target ? lookup.role : "nowhere";
   };
-  EXPECT_EQ(role_of("a/x.bin"), "nowhere");  // the first one ends the search
+  EXPECT_EQ(role_of("a/x.bin"), "nowhere");  // the first delegation is terminating
   EXPECT_EQ(role_of("a/x.txt"), "second");
-  EXPECT_EQ(role_of("a/b/x"), "nowhere");  // * does not match a /
+  EXPECT_EQ(role_of("a/b/x"), "nowhere");  // '*' does not match '/'
   EXPECT_EQ(role_of("b/1/c"), "second");
   EXPECT_EQ(role_of("hashed"), "third");
   EXPECT_EQ(role_of("other"), "nowhere");
 }
 
-TEST(TargetLookup, SeveralRolesMustAgree) {
-  for (const bool agree : {true, false}) {
+TEST(TargetLookup, AcceptsTargetOnlyIfAllRolesInAgreementListIt) {
+  for (const bool roles_agree : {true, false}) {
     TestRepository repository;
     Publisher::DelegationSettings entry = make_delegation("targets", "a", {"*"});
     entry.agreeing_roles = {"b"};
     entry.min_roles_in_agreement = 2;
     repository.delegations = {entry, make_delegation("elsewhere", "b", {"*"})};
     repository.target_contents["a"]["x"] = "x";
-    repository.target_contents["b"]["x"] = agree ? "x" : "y";
+    repository.target_contents["b"]["x"] = roles_agree ? "x" : "y";
     TufClient client;
     ASSERT_TRUE(client.apply_root(repository.root_file()) && client.update_all(repository))
         << client.refusal_line();
@@ -114,8 +114,8 @@
       ASSERT_TRUE(client.apply_delegated_targets("targets", role, repository.targets_file(role)))
           << client.refusal_line();
     const TargetLookup lookup = find_target(client.trust, "x", kNow);
-    EXPECT_EQ(lookup.target != nullptr, agree);
-    EXPECT_EQ(lookup.refusal.reason, agree ? RefusalReason::kNone : RefusalReason::kDelegation);
+    EXPECT_EQ(lookup.target != nullptr, roles_agree);
+    EXPECT_EQ(lookup.refusal.reason, roles_agree ? RefusalReason::kNone : RefusalReason::kDelegation);
   }
 }
 
--- a/tests/trusted_metadata_model_test.cpp
+++ b/tests/trusted_metadata_model_test.cpp
@@ -1,4 +1,5 @@
-// Trusted metadata beside a slow plain model, which knows the facts of each file rather than its bytes.
+// Compares trusted metadata with a reference model on random repositories. The model does not parse or verify
+// files: it is given the facts of each file and states the rules of the TUF workflow in the plainest form.
 #include <gtest/gtest.h>
 
 #include <deque>
@@ -26,14 +27,14 @@
   std::set<std::string> signing_keys;
   std::map<std::string, std::set<std::string>> keys;  // of a root, by role
   std::map<std::string, std::int64_t> thresholds;     // of a root, by role
-  ListedFile listed;                                  // by a timestamp or a snapshot: the role below
+  ListedFile listed;                                  // of a timestamp or a snapshot: the file that it lists
 };
 
-class PlainModel {
+class ReferenceModel {
  public:
-  explicit PlainModel(const FileFacts* root) : root_(root) {}
+  explicit ReferenceModel(const FileFacts* root) : root_(root) {}
 
-  // Says whether the file is accepted.
+  // Returns whether the file is accepted.
   bool update(const FileFacts& file, Instant now) {
     if (file.type == "root") return update_root(file);
     if (file.type == "timestamp") return update_timestamp(file, now);
@@ -45,23 +46,23 @@
   bool has_snapshot() const { return snapshot_ != nullptr; }
 
  private:
-  static bool enough_keys(const FileFacts& root, const std::string& role, const FileFacts& file) {
+  static bool has_enough_keys(const FileFacts& root, const std::string& role, const FileFacts& file) {
     std::int64_t signing = 0;
     for (const auto& key : root.keys.at(role)) signing += file.signing_keys.contains(key);
     return signing >= root.thresholds.at(role);
   }
 
-  bool rotates(const FileFacts& next, const std::string& role) const {
+  bool rotates_keys_of(const FileFacts& next, const std::string& role) const {
     return next.keys.at(role) != root_->keys.at(role) ||
            next.thresholds.at(role) != root_->thresholds.at(role);
   }
 
   bool update_root(const FileFacts& file) {
     if (file.bytes == root_->bytes) return true;
-    if (!enough_keys(*root_, "root", file) || !enough_keys(file, "root", file)) return false;
+    if (!has_enough_keys(*root_, "root", file) || !has_enough_keys(file, "root", file)) return false;
     if (file.version != root_->version + 1) return false;
-    const bool recovers = rotates(file, "timestamp") || rotates(file, "snapshot");
-    const bool rotates_targets = rotates(file, "targets");
+    const bool recovers = rotates_keys_of(file, "timestamp") || rotates_keys_of(file, "snapshot");
+    const bool rotates_targets = rotates_keys_of(file, "targets");
     root_ = &file;
     if (recovers) {
       timestamp_ = nullptr;
@@ -73,7 +74,7 @@
 
   bool update_timestamp(const FileFacts& file, Instant now) {
     if (now >= root_->expires || now >= file.expires) return false;
-    if (!enough_keys(*root_, "timestamp", file)) return false;
+    if (!has_enough_keys(*root_, "timestamp", file)) return false;
     if (timestamp_) {
       if (file.version < timestamp_->version) return false;
       if (file.version == timestamp_->version && file.bytes != timestamp_->bytes) return false;
@@ -85,7 +86,7 @@
 
   bool is_listed(const FileFacts& file, const FileFacts& by, Instant now) const {
     if (file.bytes != by.listed.bytes || file.version != by.listed.version) return false;
-    return now < file.expires && enough_keys(*root_, file.type, file);
+    return now < file.expires && has_enough_keys(*root_, file.type, file);
   }
 
   bool update_snapshot(const FileFacts& file, Instant now) {
@@ -117,14 +118,16 @@
 
 constexpr const char* kTypes[] = {"root", "timestamp", "snapshot", "targets"};
 
-// A repository that changes at random, and files of it with random signatures.
+// A repository that changes at random and signs its files with random keys.
 class RandomRepository {
  public:
-  RandomRepository(std::uint64_t seed, const std::vector<SigningKey>& pool) : random_(seed), pool_(pool) {
+  RandomRepository(std::uint64_t seed, const std::vector<SigningKey>& key_pool)
+      : random_(seed), key_pool_(key_pool) {
     for (const char* role : kTypes) choose_keys(role);
   }
 
-  // A file as the repository has it now, mostly signed by its role's keys.
+  // Writes the file of the repository's current state. Seven of eight files are signed by their role's keys
+  // (a root by all keys of the pool), the others by random keys.
   const FileFacts& make_file(const std::string& type) {
     FileFacts file;
     file.type = type;
@@ -165,7 +168,7 @@
     }
   }
 
-  // An old file again, or a new one.
+  // Returns a random earlier file in one of four cases, and a new one otherwise.
   const FileFacts& next_file(const std::string& type, int step) {
     if (random_.next_below(4) == 0)
       return files_[random_.next_below(static_cast<std::uint32_t>(files_.size()))];
@@ -178,17 +181,17 @@
   void choose_keys(const std::string& role_name) {
     auto& role = publisher_.roles[role_name];
     role.keys.clear();
-    for (const auto& key : pool_) {
+    for (const auto& key : key_pool_) {
       if (random_.next_below(3) == 0) role.keys.push_back(key);
     }
-    if (role.keys.empty()) role.keys.push_back(pool_[random_.next_below(6)]);
+    if (role.keys.empty()) role.keys.push_back(key_pool_[random_.next_below(6)]);
     role.threshold = 1 + random_.next_below(static_cast<std::uint32_t>(role.keys.size()));
   }
 
   std::vector<SigningKey> choose_signing_keys(const std::string& type) {
-    if (random_.next_below(8) != 0) return type == "root" ? pool_ : publisher_.roles[type].keys;
+    if (random_.next_below(8) != 0) return type == "root" ? key_pool_ : publisher_.roles[type].keys;
     std::vector<SigningKey> keys;
-    for (const auto& key : pool_) {
+    for (const auto& key : key_pool_) {
       if (random_.next_below(2) == 0) keys.push_back(key);
     }
     return keys;
@@ -202,14 +205,14 @@
   }
 
   Pcg random_;
-  const std::vector<SigningKey>& pool_;
+  const std::vector<SigningKey>& key_pool_;
   Publisher publisher_{kDefaultExpiry};
   std::deque<FileFacts> files_;  // references to them stay valid
 };
 
 const FileFacts* pin_first_valid_root(RandomRepository& repository, TufClient& client) {
-  constexpr int kTries = 50;
-  for (int i = 0; i < kTries; ++i) {
+  constexpr int kMaxTries = 50;
+  for (int i = 0; i < kMaxTries; ++i) {
     const FileFacts& file = repository.make_file("root");
     if (client.apply_root(file.bytes)) return &file;
   }
@@ -223,17 +226,17 @@
   return update_targets(trust, file.bytes, now);
 }
 
-TEST(TrustedMetadata, AgreesWithThePlainModelOnGeneratedRepositories) {
-  std::vector<SigningKey> pool;
-  for (int i = 0; i < 6; ++i) pool.push_back(new_key());
+TEST(TrustedMetadata, AgreesWithReferenceModelOnRandomRepositories) {
+  std::vector<SigningKey> key_pool;
+  for (int i = 0; i < 6; ++i) key_pool.push_back(new_key());
   unsigned accepted = 0;
   unsigned refused = 0;
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
-    RandomRepository repository(seed, pool);
+    RandomRepository repository(seed, key_pool);
     TufClient client;
     const FileFacts* const first = pin_first_valid_root(repository, client);
     ASSERT_TRUE(first);
-    PlainModel model(first);
+    ReferenceModel model(first);
     for (int step = 0; step < 120; ++step) {
       const std::string type = kTypes[repository.random().next_below(4)];
       repository.change(type, step, model.root_version());
--- a/tests/trusted_metadata_test.cpp
+++ b/tests/trusted_metadata_test.cpp
@@ -1,4 +1,4 @@
-// Trusted metadata: the client's workflow, and named attacks on it.
+// Tests of trusted metadata: the client workflow of TUF, and known attacks on it.
 #include "metadata/trusted_metadata.hpp"
 
 #include <gtest/gtest.h>
@@ -12,7 +12,7 @@
 namespace ashbeam::metadata {
 namespace {
 
-TEST(TrustedMetadata, AWholeUpdateWithKeysOfAllKinds) {
+TEST(TrustedMetadata, AcceptsCompleteUpdateWithKeysOfAllKinds) {
   TestRepository repository;
   for (const auto kind : {SigningKey::Kind::kEcdsa, SigningKey::Kind::kRsa}) {
     for (auto& [name, role] : repository.roles) {
@@ -32,11 +32,11 @@
   EXPECT_TRUE(!again.refusal && !again.changed && again.verifications == 0);
 }
 
-// What an attacker does after a client has followed the repository to its second state, and the refusal.
+// An attack on a client that has accepted two versions of the repository, and the expected refusal.
 struct Attack {
   const char* name;
   RefusalReason reason;
-  std::function<bool(TufClient&, TestRepository&)> run;  // true: it got through
+  std::function<bool(TufClient&, TestRepository&)> run;  // returns whether the client accepted the file
 };
 
 void expect_refused(const std::vector<Attack>& attacks) {
@@ -58,18 +58,18 @@
 
 TEST(TrustedMetadata, RefusesRollbackAndEquivocation) {
   expect_refused({
-      {"timestamp goes back", RefusalReason::kRollback,
+      {"older timestamp", RefusalReason::kRollback,
        [](TufClient& client, TestRepository& repository) {
          repository.versions["timestamp"] = 1;
          return client.apply_timestamp(repository.timestamp_file());
        }},
-      {"snapshot in timestamp goes back", RefusalReason::kRollback,
+      {"timestamp lists an older snapshot", RefusalReason::kRollback,
        [](TufClient& client, TestRepository& repository) {
          ++repository.versions["timestamp"];
          repository.versions["snapshot"] = 1;
          return client.apply_timestamp(repository.timestamp_file());
        }},
-      {"targets in snapshot goes back", RefusalReason::kRollback,
+      {"snapshot lists older targets", RefusalReason::kRollback,
        [](TufClient& client, TestRepository& repository) {
          ++repository.versions["timestamp"];
          ++repository.versions["snapshot"];
@@ -77,12 +77,12 @@
          return client.apply_timestamp(repository.timestamp_file()) &&
                 client.apply_snapshot(repository.snapshot_file());
        }},
-      {"same timestamp, other bytes", RefusalReason::kEquivocation,
+      {"timestamp of the same version with other bytes", RefusalReason::kEquivocation,
        [](TufClient& client, TestRepository& repository) {
          repository.expires["timestamp"] = kDefaultExpiry + Duration::s(60);
          return client.apply_timestamp(repository.timestamp_file());
        }},
-      {"a role is listed no more", RefusalReason::kMissing,
+      {"snapshot no longer lists a role", RefusalReason::kMissing,
        [](TufClient& client, TestRepository& repository) {
          repository.delegations.clear();
          repository.increment_versions();
@@ -94,26 +94,26 @@
 
 TEST(TrustedMetadata, RefusesExpiredFiles) {
   expect_refused({
-      {"freeze: timestamp expired", RefusalReason::kExpired,
+      {"freeze attack: expired timestamp", RefusalReason::kExpired,
        [](TufClient& client, TestRepository& repository) {
          return client.apply_timestamp(repository.timestamp_file(), kDefaultExpiry + Duration::s(1));
        }},
-      {"snapshot expired", RefusalReason::kExpired,
+      {"expired snapshot", RefusalReason::kExpired,
        [](TufClient& client, TestRepository& repository) {
          repository.increment_versions();
          repository.expires["snapshot"] = kNow - Duration::s(1);
          return client.apply_timestamp(repository.timestamp_file()) &&
                 client.apply_snapshot(repository.snapshot_file());
        }},
-      {"targets expired", RefusalReason::kExpired,
+      {"expired targets", RefusalReason::kExpired,
        [](TufClient& client, TestRepository& repository) {
          repository.increment_versions();
          repository.expires["targets"] = kNow - Duration::s(1);
          return client.update_all(repository);
        }},
-      {"root expired", RefusalReason::kExpired,
+      {"expired root", RefusalReason::kExpired,
        [](TufClient& client, TestRepository& repository) {
-         const auto old = repository.roles["root"];
+         const auto previous_root_keys = repository.roles["root"];
          repository.versions["root"] = 2;
          repository.expires["root"] = kNow - Duration::s(1);
          client.apply_root(repository.root_file());
@@ -122,15 +122,15 @@
   });
 }
 
-TEST(TrustedMetadata, RefusesFilesThatAreNotListed) {
+TEST(TrustedMetadata, RefusesFilesThatTheRoleAboveDoesNotList) {
   expect_refused({
-      {"mix and match: an older snapshot", RefusalReason::kMismatch,
+      {"mix-and-match attack: older snapshot", RefusalReason::kMismatch,
        [](TufClient& client, TestRepository& repository) {
          const std::string older = repository.snapshot_file();
          repository.increment_versions();
          return client.apply_timestamp(repository.timestamp_file()) && client.apply_snapshot(older);
        }},
-      {"mix and match: older targets", RefusalReason::kMismatch,
+      {"mix-and-match attack: older targets", RefusalReason::kMismatch,
        [](TufClient& client, TestRepository& repository) {
          const std::string older = repository.targets_file();
          repository.increment_versions();
@@ -142,7 +142,7 @@
          client.trust.timestamp = nullptr;
          return client.apply_snapshot(repository.snapshot_file());
        }},
-      {"a role that nobody delegates to", RefusalReason::kUnlisted,
+      {"role without a delegation", RefusalReason::kUnlisted,
        [](TufClient& client, TestRepository& repository) {
          return client.apply_delegated_targets("targets", "stranger", repository.targets_file("part"));
        }},
@@ -151,42 +151,42 @@
 
 TEST(TrustedMetadata, RefusesFilesWithTooFewSigningKeys) {
   expect_refused({
-      {"threshold one key short", RefusalReason::kThreshold,
+      {"one key fewer than the threshold", RefusalReason::kThreshold,
        [](TufClient& client, TestRepository& repository) {
          ++repository.versions["timestamp"];
          return client.apply_timestamp(Publisher::sign_envelope(repository.signed_part("timestamp"),
                                                                 {repository.roles["timestamp"].keys[0]}));
        }},
-      {"one key twice", RefusalReason::kThreshold,
+      {"several signatures by one key", RefusalReason::kThreshold,
        [](TufClient& client, TestRepository& repository) {
          ++repository.versions["timestamp"];
-         const auto& k = repository.roles["timestamp"].keys[0];
+         const auto& key = repository.roles["timestamp"].keys[0];
          return client.apply_timestamp(
-             Publisher::sign_envelope(repository.signed_part("timestamp"), {k, k, k}));
+             Publisher::sign_envelope(repository.signed_part("timestamp"), {key, key, key}));
        }},
-      {"signed by keys of another role", RefusalReason::kThreshold,
+      {"signatures by keys of another role", RefusalReason::kThreshold,
        [](TufClient& client, TestRepository& repository) {
          ++repository.versions["timestamp"];
          return client.apply_timestamp(Publisher::sign_envelope(repository.signed_part("timestamp"),
                                                                 repository.roles["snapshot"].keys));
        }},
-      {"signed by a stranger under a good id", RefusalReason::kThreshold,
+      {"signature by an unknown key under a valid key id", RefusalReason::kThreshold,
        [](TufClient& client, TestRepository& repository) {
          ++repository.versions["timestamp"];
          std::string file = repository.timestamp_file();
-         const JsonNode body = repository.signed_part("timestamp");
-         const auto sig = repository.roles["timestamp"].keys[0].sign(body.to_canonical_json());
-         const std::string other = new_key().sign(body.to_canonical_json());
-         return client.apply_timestamp(file.replace(file.find(sig), sig.size(), other));
+         const JsonNode signed_part = repository.signed_part("timestamp");
+         const auto signature = repository.roles["timestamp"].keys[0].sign(signed_part.to_canonical_json());
+         const std::string other = new_key().sign(signed_part.to_canonical_json());
+         return client.apply_timestamp(file.replace(file.find(signature), signature.size(), other));
        }},
-      {"a byte of the signed part", RefusalReason::kThreshold,
+      {"one byte of the signed part changed", RefusalReason::kThreshold,
        [](TufClient& client, TestRepository& repository) {
          ++repository.versions["timestamp"];
          std::string file = repository.timestamp_file();
          const std::size_t at = file.rfind("\"version\":3");
          return client.apply_timestamp(file.replace(at, 11, "\"version\":9"));
        }},
-      {"a delegated role by the wrong keys", RefusalReason::kThreshold,
+      {"delegated role signed by the delegator's keys", RefusalReason::kThreshold,
        [](TufClient& client, TestRepository& repository) {
          repository.list_hashes = false;
          repository.increment_versions();
@@ -204,31 +204,31 @@
        [](TufClient& client, TestRepository& repository) {
          return client.apply_timestamp(repository.snapshot_file());
        }},
-      {"trailing bytes", RefusalReason::kUnreadable,
+      {"bytes after the JSON value", RefusalReason::kUnreadable,
        [](TufClient& client, TestRepository& repository) {
          return client.apply_timestamp(repository.timestamp_file() + "{}");
        }},
-      {"a member twice", RefusalReason::kUnreadable,
+      {"repeated member", RefusalReason::kUnreadable,
        [](TufClient& client, TestRepository& repository) {
          std::string file = repository.timestamp_file();
          return client.apply_timestamp(file.replace(file.rfind('}'), 1, ",\"signed\":{}}"));
        }},
-      {"version as 1e0", RefusalReason::kUnreadable,
+      {"version in exponent notation", RefusalReason::kUnreadable,
        [](TufClient& client, TestRepository& repository) {
          std::string file = repository.timestamp_file();
          return client.apply_timestamp(file.replace(file.find("\"version\":2"), 11, "\"version\":2e0"));
        }},
-      {"64 KiB of brackets", RefusalReason::kTooLong,
+      {"file over the size limit", RefusalReason::kTooLong,
        [](TufClient& client, TestRepository&) { return client.apply_timestamp(std::string(65536, '[')); }},
-      {"16 KiB of brackets", RefusalReason::kUnreadable,
+      {"JSON nested too deeply", RefusalReason::kUnreadable,
        [](TufClient& client, TestRepository&) { return client.apply_timestamp(std::string(16000, '[')); }},
-      {"a date that there is not", RefusalReason::kUnreadable,
+      {"date that does not exist", RefusalReason::kUnreadable,
        [](TufClient& client, TestRepository& repository) {
          std::string file = repository.timestamp_file();
          const std::size_t at = file.find("\"expires\":\"") + 11;
          return client.apply_timestamp(file.replace(at, 10, "2027-02-31"));
        }},
-      {"another specification", RefusalReason::kUnreadable,
+      {"unsupported version of the specification", RefusalReason::kUnreadable,
        [](TufClient& client, TestRepository& repository) {
          std::string file = repository.timestamp_file();
          return client.apply_timestamp(file.replace(file.find("1.0.31"), 6, "2.0.31"));
@@ -236,14 +236,14 @@
   });
 }
 
-TEST(TrustedMetadata, RefusesRootsThatTheTrustedRootDoesNotLeadTo) {
+TEST(TrustedMetadata, RefusesRootsThatDoNotFollowTheTrustedRoot) {
   expect_refused({
-      {"root skips a version", RefusalReason::kRootVersion,
+      {"root that skips a version", RefusalReason::kRootVersion,
        [](TufClient& client, TestRepository& repository) {
          repository.versions["root"] = 3;
          return client.apply_root(repository.root_file());
        }},
-      {"root goes back", RefusalReason::kRollback,
+      {"older root", RefusalReason::kRollback,
        [](TufClient& client, TestRepository& repository) {
          repository.versions["root"] = 2;
          client.apply_root(repository.root_file());
@@ -251,35 +251,35 @@
          repository.expires["root"] = kDefaultExpiry + Duration::s(5);
          return client.apply_root(repository.root_file());
        }},
-      {"the same root, other bytes", RefusalReason::kEquivocation,
+      {"root of the same version with other bytes", RefusalReason::kEquivocation,
        [](TufClient& client, TestRepository& repository) {
          repository.expires["root"] = kDefaultExpiry + Duration::s(5);
          return client.apply_root(repository.root_file());
        }},
-      {"root without the former keys", RefusalReason::kThreshold,
+      {"root not signed by the previous root's keys", RefusalReason::kThreshold,
        [](TufClient& client, TestRepository& repository) {
          repository.roles["root"].keys = {new_key()};
          repository.versions["root"] = 2;
          return client.apply_root(repository.root_file());
        }},
-      {"root without its own keys", RefusalReason::kThreshold,
+      {"root not signed by its own keys", RefusalReason::kThreshold,
        [](TufClient& client, TestRepository& repository) {
-         const auto old = repository.roles["root"].keys;
+         const auto previous_keys = repository.roles["root"].keys;
          repository.roles["root"].keys = {new_key()};
          repository.versions["root"] = 2;
-         return client.apply_root(Publisher::sign_envelope(repository.signed_part("root"), old));
+         return client.apply_root(Publisher::sign_envelope(repository.signed_part("root"), previous_keys));
        }},
-      {"a key under an id that is not its own", RefusalReason::kKey,
+      {"key under the id of another key", RefusalReason::kKey,
        [](TufClient& client, TestRepository& repository) {
          repository.versions["root"] = 2;
-         JsonNode body = repository.signed_part("root");
-         for (auto& [name, member] : body.members) {
+         JsonNode signed_part = repository.signed_part("root");
+         for (auto& [name, member] : signed_part.members) {
            if (name != "keys") continue;
            member.members[0].value = new_key().public_key_object();
          }
-         return client.apply_root(Publisher::sign_envelope(body, repository.roles["root"].keys));
+         return client.apply_root(Publisher::sign_envelope(signed_part, repository.roles["root"].keys));
        }},
-      {"a threshold of 0", RefusalReason::kUnreadable,
+      {"threshold of 0", RefusalReason::kUnreadable,
        [](TufClient& client, TestRepository& repository) {
          repository.versions["root"] = 2;
          repository.roles["timestamp"].threshold = 0;
@@ -288,7 +288,7 @@
   });
 }
 
-TEST(TrustedMetadata, OneKeyUnderTwoIdsCountsOnce) {
+TEST(TrustedMetadata, CountsOneKeyUnderTwoIdsOnce) {
   TestRepository repository;
   const SigningKey key = new_key();
   repository.roles["timestamp"].keys = {key, key.with_extra_member("x-note")};
@@ -299,34 +299,35 @@
   EXPECT_EQ(client.refusal_line(), "threshold timestamp: 1 of 2 distinct keys (TUF 5.4.2)");
 }
 
-TEST(TrustedMetadata, RootRotatesBetweenTimestampAndSnapshot) {
+TEST(TrustedMetadata, KeepsTimestampUnlessRootRotatesItsOrTheSnapshotsKeys) {
   TestRepository repository;
   TufClient client;
   ASSERT_TRUE(client.apply_root(repository.root_file()) &&
               client.apply_timestamp(repository.timestamp_file()));
-  const auto old = repository.roles["root"];
+  const auto previous_root_keys = repository.roles["root"];
   repository.roles["root"].keys = {new_key()};
   repository.versions["root"] = 2;
-  EXPECT_TRUE(client.apply_root(repository.root_file(&old)))
-      << client.refusal_line();  // only root's own keys: what was had stands
+  EXPECT_TRUE(client.apply_root(repository.root_file(&previous_root_keys)))
+      << client.refusal_line();  // rotates only the root's own keys, so the timestamp stays trusted
   EXPECT_TRUE(client.apply_snapshot(repository.snapshot_file()) &&
               client.apply_targets(repository.targets_file()))
       << client.refusal_line();
-  const auto second = repository.roles["root"];
+  const auto second_root_keys = repository.roles["root"];
   repository.roles["snapshot"].keys = {new_key()};
   repository.versions["root"] = 3;
-  EXPECT_TRUE(client.apply_root(repository.root_file(&second))) << client.refusal_line();
-  EXPECT_FALSE(client.trust.timestamp || client.trust.snapshot);  // the old key's word falls
+  EXPECT_TRUE(client.apply_root(repository.root_file(&second_root_keys))) << client.refusal_line();
+  EXPECT_FALSE(client.trust.timestamp ||
+               client.trust.snapshot);  // no longer trusted, because a key was rotated
   EXPECT_TRUE(client.update_all(repository)) << client.refusal_line();
 }
 
-TEST(TrustedMetadata, FastForwardAndTheRecoveryByRoot) {
+TEST(TrustedMetadata, RecoversFromFastForwardByRootThatRotatesKeys) {
   TestRepository repository;
   TufClient client;
   ASSERT_TRUE(client.apply_root(repository.root_file()) && client.update_all(repository));
   repository.versions["timestamp"] = INT64_MAX;
   repository.versions["snapshot"] = INT64_MAX;
-  ASSERT_TRUE(client.update_all(repository));  // who has the keys can do that
+  ASSERT_TRUE(client.update_all(repository));  // an attacker who has the keys can raise the versions
   repository.versions["timestamp"] = 3;
   repository.versions["snapshot"] = 3;
   EXPECT_FALSE(client.apply_timestamp(repository.timestamp_file()));
--- a/tests/uptane_test.cpp
+++ b/tests/uptane_test.cpp
@@ -1,4 +1,5 @@
-// Uptane: two repositories that must agree, what a vehicle reports, and a doubted clock.
+// Tests of the Uptane checks: agreement of director and image repository, vehicle version manifests, and
+// attested time.
 #include "metadata/uptane.hpp"
 
 #include <gtest/gtest.h>
@@ -8,7 +9,8 @@
 namespace ashbeam::metadata {
 namespace {
 
-// The publisher's targets file, with a custom part for one path. `second`: another path with the same target.
+// Returns the publisher's targets file with a custom part for the target `path`. Unless `second` is empty,
+// the file lists the same target under that path, too.
 std::string with_custom(const Publisher& publisher, const std::string& path, std::vector<JsonMember> custom,
                         const std::string& second = "") {
   JsonNode signed_part = publisher.signed_part("targets");
@@ -32,8 +34,9 @@
   return all;
 }
 
-// Trusted metadata with this targets file in place of the publisher's: the snapshot lists no hashes here.
-TrustedMetadata trust_of(const Publisher& publisher, const std::string& targets) {
+// Returns trusted metadata with this targets file in place of the publisher's. The client accepts it because
+// the snapshot lists no hashes here.
+TrustedMetadata trust_with_targets(const Publisher& publisher, const std::string& targets) {
   TrustedMetadata trust = pin_root(publisher.root_file()).trust;
   trust = update_timestamp(trust, publisher.timestamp_file(), kNow).trust;
   trust = update_snapshot(trust, publisher.snapshot_file(), kNow).trust;
@@ -54,53 +57,56 @@
   }
   std::string install(const std::string& from_director, const std::string& from_image) const {
     const InstallDecision decision =
-        check_install(trust_of(director, from_director), trust_of(image, from_image), "brake.img", ecu, kNow);
+        check_install(trust_with_targets(director, from_director), trust_with_targets(image, from_image),
+                      "brake.img", ecu, kNow);
     EXPECT_EQ(decision.target != nullptr, !decision.refusal);
     return std::string(name_of(decision.refusal.reason));
   }
 };
 
-TEST(Uptane, BothRepositoriesMustAgree) {
+TEST(Uptane, InstallsOnlyWhatBothRepositoriesListAlike) {
   Repositories repositories;
-  const std::string good = with_custom(repositories.image, "brake.img", custom("", "hw-a", 4));
+  const std::string valid = with_custom(repositories.image, "brake.img", custom("", "hw-a", 4));
   const auto director = [&](const std::string& ecu, const std::string& hardware, std::int64_t release) {
     return with_custom(repositories.director, "brake.img", custom(ecu, hardware, release));
   };
-  EXPECT_EQ(repositories.install(director("ecu-1", "hw-a", 4), good), "none");
-  EXPECT_EQ(repositories.install(director("ecu-2", "hw-a", 4), good), "ecu");
-  EXPECT_EQ(repositories.install(director("ecu-1", "hw-b", 4), good), "ecu");
-  EXPECT_EQ(repositories.install(director("ecu-1", "hw-a", 2), good), "rollback");
-  EXPECT_EQ(repositories.install(director("ecu-1", "hw-a", 5), good), "disagreement");
+  EXPECT_EQ(repositories.install(director("ecu-1", "hw-a", 4), valid), "none");
+  EXPECT_EQ(repositories.install(director("ecu-2", "hw-a", 4), valid), "ecu");
+  EXPECT_EQ(repositories.install(director("ecu-1", "hw-b", 4), valid), "ecu");
+  EXPECT_EQ(repositories.install(director("ecu-1", "hw-a", 2), valid), "rollback");
+  EXPECT_EQ(repositories.install(director("ecu-1", "hw-a", 5), valid), "disagreement");
   EXPECT_EQ(repositories.install(director("ecu-1", "hw-a", 4),
                                  with_custom(repositories.image, "brake.img", custom("", "hw-b", 4))),
             "disagreement");
-  Repositories longer;
-  longer.image.target_contents["targets"]["brake.img"] = "brake 4 and more";
-  EXPECT_EQ(longer.install(with_custom(longer.director, "brake.img", custom("ecu-1", "hw-a", 4)),
-                           with_custom(longer.image, "brake.img", custom("", "hw-a", 4))),
+  Repositories other_length;
+  other_length.image.target_contents["targets"]["brake.img"] = "brake 4 and more";
+  EXPECT_EQ(other_length.install(with_custom(other_length.director, "brake.img", custom("ecu-1", "hw-a", 4)),
+                                 with_custom(other_length.image, "brake.img", custom("", "hw-a", 4))),
             "disagreement");
-  Repositories other;
-  other.image.target_contents["targets"]["brake.img"] = "brake 5";
-  EXPECT_EQ(other.install(with_custom(other.director, "brake.img", custom("ecu-1", "hw-a", 4)),
-                          with_custom(other.image, "brake.img", custom("", "hw-a", 4))),
-            "disagreement");
-  Repositories alone;  // a director can't install what the image repository does not list
-  alone.image.target_contents["targets"].clear();
-  EXPECT_EQ(alone.install(with_custom(alone.director, "brake.img", custom("ecu-1", "hw-a", 4)),
-                          alone.image.targets_file()),
-            "unlisted");
-  Repositories silent;
-  silent.director.target_contents["targets"].clear();
-  EXPECT_EQ(silent.install(silent.director.targets_file(),
-                           with_custom(silent.image, "brake.img", custom("", "hw-a", 4))),
+  Repositories other_content;
+  other_content.image.target_contents["targets"]["brake.img"] = "brake 5";
+  EXPECT_EQ(
+      other_content.install(with_custom(other_content.director, "brake.img", custom("ecu-1", "hw-a", 4)),
+                            with_custom(other_content.image, "brake.img", custom("", "hw-a", 4))),
+      "disagreement");
+  Repositories director_only;  // only the director lists the target
+  director_only.image.target_contents["targets"].clear();
+  EXPECT_EQ(
+      director_only.install(with_custom(director_only.director, "brake.img", custom("ecu-1", "hw-a", 4)),
+                            director_only.image.targets_file()),
+      "unlisted");
+  Repositories image_only;
+  image_only.director.target_contents["targets"].clear();
+  EXPECT_EQ(image_only.install(image_only.director.targets_file(),
+                               with_custom(image_only.image, "brake.img", custom("", "hw-a", 4))),
             "unlisted");
 }
 
-TEST(Uptane, ADirectorListsThisVehiclesEcusAlone) {
+TEST(Uptane, RefusesDirectorTargetsForOtherEcusHardwareOrOlderReleases) {
   Repositories repositories;
   const auto check = [&](const std::string& bytes, const std::vector<Ecu>& vehicle) {
-    const TrustedMetadata t = trust_of(repositories.director, bytes);
-    return std::string(name_of(check_director_targets(*t.targets.at("targets"), vehicle).reason));
+    const TrustedMetadata trust = trust_with_targets(repositories.director, bytes);
+    return std::string(name_of(check_director_targets(*trust.targets.at("targets"), vehicle).reason));
   };
   const std::vector<Ecu> vehicle{repositories.ecu, {"ecu-2", "hw-b", -1}};
   EXPECT_EQ(check(with_custom(repositories.director, "brake.img", custom("ecu-1", "hw-a", 3)), vehicle),
@@ -118,7 +124,7 @@
   EXPECT_EQ(check(repositories.director.targets_file(), vehicle), "delegation");
 }
 
-TEST(Uptane, PartialVerificationOfTheDirectorsTargets) {
+TEST(Uptane, PartialVerificationRefusesInvalidDirectorTargets) {
   Repositories repositories;
   const TrustedMetadata pinned = pin_root(repositories.director.root_file()).trust;
   Targets accepted;
@@ -126,11 +132,11 @@
     return std::string(name_of(
         verify_partial(*pinned.root, bytes, trusted_version, repositories.ecu, now, accepted).reason));
   };
-  const std::string good = with_custom(repositories.director, "brake.img", custom("ecu-1", "hw-a", 4));
-  EXPECT_EQ(accept(good, 0), "none");
+  const std::string valid = with_custom(repositories.director, "brake.img", custom("ecu-1", "hw-a", 4));
+  EXPECT_EQ(accept(valid, 0), "none");
   EXPECT_EQ(accepted.targets.size(), 1U);
-  EXPECT_EQ(accept(good, 2), "rollback");
-  EXPECT_EQ(accept(good, 0, kNow + Duration::s(90000)), "expired");
+  EXPECT_EQ(accept(valid, 2), "rollback");
+  EXPECT_EQ(accept(valid, 0, kNow + Duration::s(90000)), "expired");
   EXPECT_EQ(accept(repositories.image.targets_file(), 0), "threshold");
   EXPECT_EQ(accept(with_custom(repositories.director, "brake.img", custom("ecu-1", "hw-b", 4)), 0), "ecu");
   EXPECT_EQ(
@@ -138,9 +144,9 @@
       "ecu");
 }
 
-TEST(Uptane, TimeIsAcceptedWithOurNonceOnly) {
+TEST(Uptane, AcceptsAttestedTimeOnlyWithSentNonceAndNotBeforeLastTime) {
   const SigningKey key = SigningKey::generate(SigningKey::Kind::kEcdsa);
-  const SigningKey stranger = SigningKey::generate(SigningKey::Kind::kEcdsa);
+  const SigningKey unknown_key = SigningKey::generate(SigningKey::Kind::kEcdsa);
   KeysById keys;
   keys.emplace(key.id(), PublicKey::from_json(key.public_key_object()));
   const Role server{{key.id()}, 1};
@@ -158,22 +164,22 @@
   EXPECT_EQ(attested, kNow + Duration::s(5));
   EXPECT_EQ(check(attestation(key, "n-0", kNow + Duration::s(5))), "time");
   EXPECT_EQ(check(attestation(key, "n-1", kNow - Duration::s(5))), "time");
-  EXPECT_EQ(check(attestation(stranger, "n-1", kNow + Duration::s(5))), "threshold");
+  EXPECT_EQ(check(attestation(unknown_key, "n-1", kNow + Duration::s(5))), "threshold");
   EXPECT_EQ(check("{}"), "time");
 }
 
-// An ECU's signed report.
+// Returns the signed report of an ECU.
 JsonNode report(const std::string& serial, std::int64_t counter, const SigningKey& key) {
   const JsonNode hashes = json_object({{"sha256", json_string("ab")}});
   const JsonNode info = json_object({{"length", json_number(1)}, {"hashes", hashes}});
   const JsonNode image = json_object({{"filepath", json_string("a.img")}, {"fileinfo", info}});
   const JsonNode signed_part = json_object(
       {{"ecu_serial", json_string(serial)}, {"counter", json_number(counter)}, {"installed_image", image}});
-  std::string problem;
-  return *parse_json(Publisher::sign_envelope(signed_part, {key}), {}, problem);
+  std::string error;
+  return *parse_json(Publisher::sign_envelope(signed_part, {key}), {}, error);
 }
 
-TEST(Uptane, AVehicleManifestIsAcceptedCompletelyOrNotAtAll) {
+TEST(Uptane, AcceptsVehicleManifestCompletelyOrNotAtAll) {
   const SigningKey primary = new_key();
   const SigningKey second = new_key();
   VehicleRecord vehicle;
