--- a/src/metadata/keys.hpp
+++ b/src/metadata/keys.hpp
@@ -56,6 +56,7 @@
   std::string keyid;
   std::string bytes;
 };
+// Reads a list of {"keyid", "sig"} objects with the signatures in hex.
 Refusal read_signatures(const JsonNode& list, std::vector<Signature>& signatures);
 
 // The signed part of a file, and the signatures that the file gives for it. They are not verified yet.
@@ -70,6 +71,7 @@
   std::int64_t threshold = 1;
   bool operator==(const Role&) const = default;
 };
+// Reads an object with the members "keyids" and "threshold".
 Refusal read_role(const JsonNode& object, Role& role);
 
 // Refuses the envelope unless enough distinct public keys of the role have signed it. Neither key ids nor
--- a/src/metadata/metadata_verifier.cpp
+++ b/src/metadata/metadata_verifier.cpp
@@ -15,7 +15,7 @@
   return Refusal::file_name_mismatch(role, found, named, "TUF 5.6.2");
 }
 
-// Whether the root itself lists the keys of this role. Timestamp and root are never passed here.
+// Whether the root lists the keys of this role. Not called for the root and the timestamp.
 bool is_top_level_role(const std::string& role) { return role == "snapshot" || role == "targets"; }
 
 // Updates a delegated role by the first delegator that accepts the file. If none does, returns the refusal of
@@ -130,8 +130,8 @@
   TrustUpdate update = update_root(repository.trust, file.bytes);
   verifications_ += update.verifications;
   if (update.refusal) {
-    // The client may have received the roots in between through another router. A later root that the trusted
-    // keys have signed may therefore be served, but it does not change the trusted metadata.
+    // The client may have received the roots in between from elsewhere. A later root that the trusted keys
+    // have signed may therefore be served, but it does not change the trusted metadata.
     if (update.refusal.reason != RefusalReason::kRootVersion || named <= trusted) return update.refusal;
     MetadataFile later;
     if (Refusal refusal = read_metadata_file("root", file.bytes, later)) return refusal;
--- a/src/metadata/roles.hpp
+++ b/src/metadata/roles.hpp
@@ -24,8 +24,8 @@
 constexpr std::size_t kMaxListedFiles = 20'000;  // of a snapshot, or targets of a targets role
 constexpr std::size_t kMaxRolesInAgreement = 8;  // of a delegation (TAP 3)
 
-// Hashes in lower-case hex by algorithm, "sha256" or "sha512". A file's hashes are never empty once they are
-// read.
+// Hashes in lower-case hex by algorithm, "sha256" or "sha512". If a file lists hashes, it must list at least
+// one of these.
 using Hashes = std::map<std::string, std::string>;
 
 // What a timestamp or a snapshot lists about a metadata file below it (section 4.4). Length and hashes are
--- a/src/metadata/trusted_metadata.hpp
+++ b/src/metadata/trusted_metadata.hpp
@@ -19,7 +19,7 @@
 
 namespace ashbeam::metadata {
 
-// A role that no accepted file exists for is null, or not in `targets`.
+// The accepted files of a repository. A role without an accepted file is null, or has no entry in `targets`.
 struct TrustedMetadata {
   std::shared_ptr<const Root> root;
   std::shared_ptr<const Timestamp> timestamp;
@@ -37,17 +37,23 @@
 // Trusts the first root of a repository. No other key vouches for it, so that its signatures by its own keys
 // prove only that the file is not corrupted.
 TrustUpdate pin_root(std::string_view bytes);
-// Section 5.3. An expired root is accepted, because an intermediate root may have expired. An expired root is
-// refused when it is used: update_timestamp() and check_unexpired() check it (section 5.3.10).
+
+// Updates the root to its next version (section 5.3). An expired root is accepted, because an intermediate
+// root may have expired. An expired root is refused when it is used: update_timestamp() and check_unexpired()
+// check it (section 5.3.10).
 TrustUpdate update_root(const TrustedMetadata& trust, std::string_view bytes);
-// Section 5.4.
+
+// Updates the timestamp (section 5.4). Refused if the trusted root has expired.
 TrustUpdate update_timestamp(const TrustedMetadata& trust, std::string_view bytes, Instant now);
-// Section 5.5.
+
+// Updates the snapshot (section 5.5). The trusted timestamp must list the file.
 TrustUpdate update_snapshot(const TrustedMetadata& trust, std::string_view bytes, Instant now);
-// Section 5.6, for the top-level targets role.
+
+// Updates the top-level targets role (section 5.6). The trusted snapshot must list the file.
 TrustUpdate update_targets(const TrustedMetadata& trust, std::string_view bytes, Instant now);
-// Section 5.6.7, for a role that the targets role `delegator` delegates to. Delegators name their own keys
-// for a role, so that a file may be valid for one delegator and not for another.
+
+// Updates a role that the targets role `delegator` delegates to (section 5.6.7). Delegators name their own
+// keys for a role, so that a file may be valid for one delegator and not for another.
 TrustUpdate update_delegated_targets(const TrustedMetadata& trust, std::string_view delegator,
                                      std::string_view role, std::string_view bytes, Instant now);
 
@@ -58,6 +64,7 @@
 
 // Refuses a file whose expiry date has passed. `subject` is its role.
 Refusal check_expiry(std::string_view subject, const MetadataHeader& file, Instant now, const char* section);
+
 // Refuses if there is no trusted root, or if the trusted root, timestamp or snapshot has expired by now.
 Refusal check_unexpired(const TrustedMetadata& trust, Instant now);
 
