--- a/src/program/operator_config.hpp
+++ b/src/program/operator_config.hpp
@@ -28,7 +28,7 @@
 
 // The section `metadata`: verification of TUF metadata that endpoints serve to clients.
 struct MetadataConfig {
-  // Here the field `root` holds the path of the pinned root, not its bytes.
+  // Here the field `pinned_root` holds the path of the pinned root, not its bytes.
   std::vector<metadata::RepositorySettings> repositories;
   // Maximum number of clients whose last timestamp is stored.
   std::size_t max_clients = 0;
--- a/src/routing/metadata_check.cpp
+++ b/src/routing/metadata_check.cpp
@@ -27,7 +27,7 @@
                                                               std::uint64_t client_id) const {
   if (!verifier_) return nullptr;
   std::string_view file;
-  const std::uint32_t repository = verifier_->repository_of(path, file);
+  const std::uint32_t repository = verifier_->find_repository(path, file);
   if (repository == metadata::MetadataVerifier::kNoRepository) return nullptr;
   return std::make_unique<MetadataRequest>(MetadataRequest{repository, std::string(file), client_id, {}});
 }
