--- a/benches/router_under_load.cpp
+++ b/benches/router_under_load.cpp
@@ -177,7 +177,7 @@
   }
   clients_[client]->send(request + "\r\n", [this, client](const fakes::Client::Answer& answer) {
     ++(answer.status == 200 ? result_.good : result_.other);
-    if (clients_[client]->resumed()) ++result_.resumed;
+    if (clients_[client]->has_resumed_session()) ++result_.resumed;
     if (kind_ >= LoadKind::kFullHandshake) clients_[client]->disconnect();
     loop_.post([this, client] { send(client); });
   });
--- a/proofs/access_load.cpp
+++ b/proofs/access_load.cpp
@@ -89,9 +89,9 @@
   end_timer_.schedule_after(Duration::s(proof_.seconds));
   loop_.run();
   for (const auto& client : clients_) {
-    counts_.answered_twice += client->client->unexpected();
+    counts_.answered_twice += client->client->unexpected_data_count();
     // A request that was sent less than the longest time ago may still be waiting.
-    if (client->client->busy() && loop_.now() - client->sent_at > kLongestAnswer) ++counts_.unanswered;
+    if (client->client->is_busy() && loop_.now() - client->sent_at > kLongestAnswer) ++counts_.unanswered;
   }
   return counts_;
 }
@@ -217,7 +217,7 @@
   std::erase_if(clients_, [&](const auto& client) {
     const auto& revocation = client->revocation;
     if (!revocation || revocation->in_force_us == 0) return false;
-    if (revocation->written_at >= now - kRevokedClientLifetime || client->client->busy()) return false;
+    if (revocation->written_at >= now - kRevokedClientLifetime || client->client->is_busy()) return false;
     const Duration took = Instant::at_us(revocation->in_force_us) - revocation->written_at;
     counts_.max_in_force_ms = std::max(counts_.max_in_force_ms, took.ms());
     std::erase_if(listed_keys_,
@@ -241,7 +241,7 @@
 void AccessLoad::begin_request(ProvenClient& client) {
   const Instant now = loop_.now();
   client.timer.schedule_after(Duration::ms(30 + chance_.next_below(30)));
-  if (client.client->busy()) return;
+  if (client.client->is_busy()) return;
   const bool renews = client.kind == ProofKind::kToken || client.kind == ProofKind::kBoundToken;
   if (renews && client.renew_token_at < now) {
     client.token = sign(signing_key_, client, kTokenLifetime);
@@ -283,7 +283,7 @@
 
 void AccessLoad::take_valid_answer(ProvenClient& client, const fakes::Client::Answer& answer) {
   if (answer.status == 200) {
-    if (client.client->resumed()) ++counts_.resumed;
+    if (client.client->has_resumed_session()) ++counts_.resumed;
     (flooding() ? counts_.flood_ms : counts_.calm_ms).push_back((loop_.now() - client.sent_at).ms());
     if (chance_.next_below(20) == 0) client.client->disconnect();
     return;
--- a/proofs/metadata.cpp
+++ b/proofs/metadata.cpp
@@ -121,8 +121,9 @@
     end_.schedule_after(Duration::s(proof_.seconds));
     loop_.run();
     for (const auto& client : clients_) {
-      counts_.repeated_answers += client->connection.unexpected();
-      const bool overdue = client->connection.busy() && loop_.now() - client->requested_at > Duration::s(3);
+      counts_.repeated_answers += client->connection.unexpected_data_count();
+      const bool overdue =
+          client->connection.is_busy() && loop_.now() - client->requested_at > Duration::s(3);
       if (overdue) ++counts_.missing_answers;
     }
     counts_.published = repository_.published();
@@ -188,7 +189,7 @@
   // ---- Clients ----
 
   void request_next(UpdatingClient& client) {
-    if (client.connection.busy()) return client.timer.schedule_after(Duration::ms(20));
+    if (client.connection.is_busy()) return client.timer.schedule_after(Duration::ms(20));
     client.file = file_name(client.step, client.trust);
     client.requested_at = loop_.now();
     client.retried = false;
--- a/proofs/token_flood.cpp
+++ b/proofs/token_flood.cpp
@@ -54,7 +54,7 @@
 
 void TokenFlood::send(Sender& sender) {
   sender.timer.schedule_after(Duration::ms(15 + chance_.next_below(18)));
-  if (sender.client.busy()) return;
+  if (sender.client.is_busy()) return;
   const std::string token = bad_token();
   ++result_.sent;
   sender.client.send("GET /look/1 HTTP/1.1\r\nX-Correlation-Id: f" + std::to_string(result_.sent) +
--- a/src/fakes/client.cpp
+++ b/src/fakes/client.cpp
@@ -24,14 +24,14 @@
   std::string_view bytes = connection_->unread();
   const std::size_t had = bytes.size();
   if (!on_answer_) {
-    ++unexpected_;
+    ++unexpected_data_count_;
     connection_->consume(had);
     return;
   }
   const auto got = answers_.feed(bytes);
   connection_->consume(had - bytes.size());
   if (got == http::ParseResult::kIncomplete) return;
-  if (!bytes.empty()) ++unexpected_;
+  if (!bytes.empty()) ++unexpected_data_count_;
   if (got == http::ParseResult::kInvalid) {
     disconnect();
     return finish({});
--- a/src/fakes/client.hpp
+++ b/src/fakes/client.hpp
@@ -35,11 +35,11 @@
   // The next request opens a new connection.
   void disconnect();
 
-  bool busy() const { return on_answer_ != nullptr; }
-  bool connected() const { return connection_ != nullptr; }
-  bool resumed() const { return tls_ && tls_->last_resumed(); }
+  bool is_busy() const { return on_answer_ != nullptr; }
+  bool is_connected() const { return connection_ != nullptr; }
+  bool has_resumed_session() const { return tls_ && tls_->has_resumed_session(); }
   // Bytes, or runs of them, that came without a request.
-  std::uint64_t unexpected() const { return unexpected_; }
+  std::uint64_t unexpected_data_count() const { return unexpected_data_count_; }
 
  private:
   void on_data() override;
@@ -53,7 +53,7 @@
   std::unique_ptr<Connection> connection_;
   http::MessageParser answers_;
   OnAnswer on_answer_;
-  std::uint64_t unexpected_ = 0;
+  std::uint64_t unexpected_data_count_ = 0;
 };
 
 }  // namespace ashbeam::fakes
--- a/src/fakes/tls_client.hpp
+++ b/src/fakes/tls_client.hpp
@@ -25,7 +25,7 @@
   // The stream of one connection, which must not outlive this.
   std::unique_ptr<TlsStream> make_stream(int fd);
   // Whether the last handshake resumed a session.
-  bool last_resumed() const { return last_resumed_; }
+  bool has_resumed_session() const { return last_resumed_; }
 
  private:
   friend class ClientTlsStream;
--- a/src/program/demo.cpp
+++ b/src/program/demo.cpp
@@ -230,7 +230,7 @@
     // Doubled, because busy clients send nothing.
     const double send_probability = kRequestsPerS * kSendInterval.s() / kClientCount * 2;
     for (const auto& client : clients_) {
-      if (client->busy() || random_.next_double() > send_probability) continue;
+      if (client->is_busy() || random_.next_double() > send_probability) continue;
       client->send(make_random_request(), [this](const fakes::Client::Answer& answer) {
         ++(answer.status == 200 ? answers_200_ : other_answers_);
       });
--- a/tests/client_connections_test.cpp
+++ b/tests/client_connections_test.cpp
@@ -25,12 +25,12 @@
     empty_lines.send("\r\n");
     usleep(60000);
   }
-  EXPECT_TRUE(silent.closed_by_peer(100) && empty_lines.closed_by_peer(100));
+  EXPECT_TRUE(silent.is_closed_by_peer(100) && empty_lines.is_closed_by_peer(100));
   EXPECT_EQ(status_of(partial_first.read_message(100)), 408U);
   EXPECT_EQ(status_of(partial_second.read_message(100)), 408U);
-  EXPECT_FALSE(kept_alive.closed_by_peer(50));
-  EXPECT_TRUE(kept_alive.closed_by_peer(600));
-  EXPECT_TRUE(extra_line.closed_by_peer(600));
+  EXPECT_FALSE(kept_alive.is_closed_by_peer(50));
+  EXPECT_TRUE(kept_alive.is_closed_by_peer(600));
+  EXPECT_TRUE(extra_line.is_closed_by_peer(600));
 }
 
 TEST_F(ClientConnectionsTest, DiscardsTooLargeBodyAndStillDeliversTheError) {
@@ -108,7 +108,7 @@
     EXPECT_EQ(status_of(answer), 200U);
     const bool kept_alive = answer.find("Connection: close") == std::string::npos;
     EXPECT_EQ(kept_alive, i < 4) << i;
-    EXPECT_EQ(!clients.back().closed_by_peer(kept_alive ? 20 : 500), kept_alive) << i;
+    EXPECT_EQ(!clients.back().is_closed_by_peer(kept_alive ? 20 : 500), kept_alive) << i;
   }
   for (std::size_t i = 0; i < 4; ++i) {
     clients[i].send(kHealthCheck);
@@ -149,7 +149,7 @@
   client.send(std::string(200000, 'x'));
   usleep(20000);
   client.close();
-  EXPECT_TRUE(attempt.closed_by_peer(300));  // cancelled long before its deadline
+  EXPECT_TRUE(attempt.is_closed_by_peer(300));  // cancelled long before its deadline
 }
 
 TEST_F(ClientConnectionsTest, ClosesAfterTheAnswerIfTooManyBytesAreUnread) {
@@ -176,7 +176,7 @@
   Stream client = connect_client();
   client.send(kHealthCheck);
   EXPECT_EQ(status_of(client.read_message()), 200U);
-  ASSERT_TRUE(client.closed_by_peer(1000));
+  ASSERT_TRUE(client.is_closed_by_peer(1000));
   client.send(kHealthCheck);  // as if it had been sent before the close arrived
   usleep(20000);
   char byte;
@@ -185,9 +185,9 @@
   run_on_loop([] {});
   begin_shutdown();
   thread_.join();
-  EXPECT_TRUE(
-      logged("shutdown: client connections closed while idle: 1, of these with a request received after the "
-             "close: 1"));
+  EXPECT_TRUE(has_logged(
+      "shutdown: client connections closed while idle: 1, of these with a request received after the "
+      "close: 1"));
 }
 
 }  // namespace
--- a/tests/endpoint_pools_test.cpp
+++ b/tests/endpoint_pools_test.cpp
@@ -57,7 +57,7 @@
              change.substr(0, 9));
   usleep(20000);
   watch.send(change.substr(9) + "\r\n1\r\n\n\r\n");
-  EXPECT_TRUE(attempt.closed_by_peer());
+  EXPECT_TRUE(attempt.is_closed_by_peer());
 }
 
 TEST_F(EndpointPoolsTest, RetriesUnsafeRequestIfTheConnectionWasNotEstablished) {
@@ -110,7 +110,7 @@
   Stream second_attempt = take_attempt();
   EXPECT_FALSE(second_attempt.read_message().empty());
   attempt.send(kOkAnswer);
-  EXPECT_TRUE(attempt.closed_by_peer());
+  EXPECT_TRUE(attempt.is_closed_by_peer());
   second_attempt.send(kOkAnswer);
   EXPECT_EQ(status_of(client.read_message()), 200U);
 }
--- a/tests/endpoint_registry_test.cpp
+++ b/tests/endpoint_registry_test.cpp
@@ -65,8 +65,8 @@
   }
   begin_shutdown();
   thread_.join();
-  EXPECT_TRUE(logged("endpoint list: 'x' is not one of the zones in the settings") &&
-              logged("endpoint list: 'n' is not one of the machine types in the settings"));
+  EXPECT_TRUE(has_logged("endpoint list: 'x' is not one of the zones in the settings") &&
+              has_logged("endpoint list: 'n' is not one of the machine types in the settings"));
   EXPECT_EQ(std::count_if(log_lines_.begin(), log_lines_.end(),
                           [](const auto& n) { return n.starts_with("endpoint list: 'n'"); }),
             1);
--- a/tests/endpoint_watch_test.cpp
+++ b/tests/endpoint_watch_test.cpp
@@ -30,7 +30,7 @@
     Stream watch = discovery_.accept(3000);
     ASSERT_FALSE(watch.read_message().empty());
     watch.send(answer);
-    EXPECT_TRUE(watch.closed_by_peer()) << answer;
+    EXPECT_TRUE(watch.is_closed_by_peer()) << answer;
   }
 }
 
@@ -45,19 +45,19 @@
   Stream second = discovery_.accept(), third = discovery_.accept();
   EXPECT_LT(loop_.now() - started_at, Duration::ms(600));  // only the two silence timeouts have passed
   EXPECT_FALSE(second.read_message().empty());
-  EXPECT_TRUE(watch.closed_by_peer(0) && second.closed_by_peer(0));
+  EXPECT_TRUE(watch.is_closed_by_peer(0) && second.is_closed_by_peer(0));
   EXPECT_FALSE(third.read_message().empty());
   third.send(kWatchHead + endpoint_list(endpoint_entry(0, "draining"), 42) + "\n");
   for (int i = 0; i < 4; ++i) {  // complete lines keep the watch open, including empty ones
     usleep(100000);
     third.send("\n");
   }
-  EXPECT_FALSE(third.closed_by_peer(0));
+  EXPECT_FALSE(third.is_closed_by_peer(0));
   EXPECT_EQ(reached_endpoints(12), (std::vector<bool>{false, true, true}));
   begin_shutdown();
   thread_.join();
-  EXPECT_TRUE(logged("discovery: watch ended: no complete line within the timeout") &&
-              logged("discovery: watch established again, watches ended before: 2"));
+  EXPECT_TRUE(has_logged("discovery: watch ended: no complete line within the timeout") &&
+              has_logged("discovery: watch established again, watches ended before: 2"));
 }
 
 TEST_F(EndpointWatchTest, ReplacesWatchWhoseLineNeverEnds) {
--- a/tests/graceful_shutdown_test.cpp
+++ b/tests/graceful_shutdown_test.cpp
@@ -25,7 +25,7 @@
   EXPECT_EQ(status_of(last_answer), 503U);
   EXPECT_NE(last_answer.find("Connection: close"), std::string::npos);
   EXPECT_EQ(status_of(answer_to(kHealthCheck)), 503U);
-  EXPECT_TRUE(idle.closed_by_peer());
+  EXPECT_TRUE(idle.is_closed_by_peer());
   // These connections are opened after the signal, and are served all the same.
   Stream late = connect_client(), partial = connect_client();
   late.send(get());
@@ -41,7 +41,7 @@
   EXPECT_EQ(status_of(late.read_message()), 200U);
   partial.send("\r\n");  // only part of the request was received before, and the router waits for the rest
   EXPECT_EQ(status_of(partial.read_message()), 503U);
-  EXPECT_TRUE(unused.closed_by_peer());  // an idle connection is closed once the listener is closed
+  EXPECT_TRUE(unused.is_closed_by_peer());  // an idle connection is closed once the listener is closed
   for (Stream* client : {&idle, &busy, &late, &partial, &unused}) client->close();
   thread_.join();
   EXPECT_TRUE(shut_down_);
--- a/tests/release_client_test.cpp
+++ b/tests/release_client_test.cpp
@@ -87,7 +87,7 @@
         EXPECT_NE(stream.read_line().find("abort"), std::string::npos);
         stream.reset();
       } else if (i < 3) {
-        EXPECT_TRUE(stream.closed_by_peer()) << i;
+        EXPECT_TRUE(stream.is_closed_by_peer()) << i;
       } else {
         stream.send("{\"method\":\"NEWS\",\"params\":{}}\n");
         usleep(20000);
@@ -110,7 +110,7 @@
     stream.send("{\"method\":\"NEWS\",\"params\":{}}\n");
     usleep(50000);
     stream.send("{\"id\":2,\"result\":{}}\n");
-    EXPECT_TRUE(stream.closed_by_peer());
+    EXPECT_TRUE(stream.is_closed_by_peer());
     EXPECT_FALSE(listener_.has_pending(200));
   });
   run(
@@ -140,7 +140,7 @@
   int sent = 0;
   for (; sent < 40 && !release_platform_.has_pending(20); ++sent) subscription.send(" ");
   EXPECT_LT(sent, 30);
-  EXPECT_TRUE(subscription.closed_by_peer());
+  EXPECT_TRUE(subscription.is_closed_by_peer());
 }
 
 }  // namespace
--- a/tests/request_lifecycle_test.cpp
+++ b/tests/request_lifecycle_test.cpp
@@ -33,7 +33,7 @@
     EXPECT_TRUE(answer.ends_with("\r\n\r\nbody"));
     EXPECT_NE(answer.find("X-Kept: 1\r\n"), std::string::npos);
     attempt.send("x");  // unsolicited, so the connection is not used again
-    EXPECT_TRUE(attempt.closed_by_peer());
+    EXPECT_TRUE(attempt.is_closed_by_peer());
   }
 }
 
@@ -103,7 +103,7 @@
   EXPECT_EQ(status_of(client.read_message()), 502U);
   // The client timeout of 200 ms, and a margin for a busy machine.
   EXPECT_LT(loop_.now() - sent_at, Duration::ms(450));
-  EXPECT_TRUE(attempt.closed_by_peer());  // an attempt is cancelled by closing its connection
+  EXPECT_TRUE(attempt.is_closed_by_peer());  // an attempt is cancelled by closing its connection
 }
 
 TEST_F(RequestLifecycleTest, CancelsAttemptWhenTheClientDisconnects) {
@@ -113,7 +113,7 @@
   Stream attempt = take_attempt();
   EXPECT_FALSE(attempt.read_message().empty());
   client.close();
-  EXPECT_TRUE(attempt.closed_by_peer());
+  EXPECT_TRUE(attempt.is_closed_by_peer());
 }
 
 TEST_F(RequestLifecycleTest, SendsTheTimeLeftAtTheOpeningOfTheConnection) {
--- a/tests/router_fixture.hpp
+++ b/tests/router_fixture.hpp
@@ -47,7 +47,7 @@
     if (size > 0) received.append(buffer, static_cast<std::size_t>(size));
     return size > 0;
   }
-  bool closed_by_peer(int wait_ms = 1500) {
+  bool is_closed_by_peer(int wait_ms = 1500) {
     pollfd readable{fd, POLLIN, 0};
     char byte;
     return ::poll(&readable, 1, wait_ms) == 1 && ::recv(fd, &byte, 1, MSG_PEEK) <= 0;
@@ -165,8 +165,8 @@
   std::atomic<const char*> new_release_platform_ = nullptr;
   std::string new_discovery_;
   std::function<void()> before_start_;  // the service is made, and not started yet
-  std::atomic<bool> on_loop_asked_ = false;
-  std::function<void()> on_loop_;       // run there once, see run_on_loop
+  std::atomic<bool> has_loop_task_ = false;
+  std::function<void()> loop_task_;     // run there once, see run_on_loop
   std::vector<std::string> log_lines_;  // read once the thread has ended
 
   std::string endpoint_entry(int endpoint, const std::string& state = "up", int version = 1,
@@ -213,10 +213,10 @@
   }
   // Runs `task` on the router's own thread, and returns once it has run.
   void run_on_loop(std::function<void()> task) {
-    on_loop_ = std::move(task);
-    on_loop_asked_ = true;
-    for (int i = 0; on_loop_asked_ && i < 25000; ++i) usleep(200);
-    ASSERT_FALSE(on_loop_asked_);
+    loop_task_ = std::move(task);
+    has_loop_task_ = true;
+    for (int i = 0; has_loop_task_ && i < 25000; ++i) usleep(200);
+    ASSERT_FALSE(has_loop_task_);
   }
   // Returns once the router's shutdown has begun.
   void begin_shutdown() {
@@ -224,7 +224,7 @@
     run_on_loop([] {});
   }
   // Has a line with that part been logged? After the thread has ended.
-  bool logged(const std::string& part) const {
+  bool has_logged(const std::string& part) const {
     return std::any_of(log_lines_.begin(), log_lines_.end(),
                        [&](const std::string& line) { return line.find(part) != std::string::npos; });
   }
@@ -273,12 +273,12 @@
 
  private:
   void run_loop() {
-    Timer look(loop_, [&] {
+    Timer poll_timer(loop_, [&] {
       if (const char* const address = new_release_platform_.exchange(nullptr))
         service_->change_addresses(new_discovery_, address);
-      if (on_loop_asked_) {
-        on_loop_();
-        on_loop_asked_ = false;
+      if (has_loop_task_) {
+        loop_task_();
+        has_loop_task_ = false;
       }
       if (stopping_) {
         service_->shut_down([this] {
@@ -286,9 +286,9 @@
           loop_.stop();
         });
       }
-      look.schedule_after(Duration::ms(5));
+      poll_timer.schedule_after(Duration::ms(5));
     });
-    look.schedule_after(Duration());
+    poll_timer.schedule_after(Duration());
     loop_.run();
   }
 };
--- a/tests/router_process.hpp
+++ b/tests/router_process.hpp
@@ -22,13 +22,13 @@
 }
 
 // Runs `step` again and again on a thread of its own until destroyed.
-class Background {
+class BackgroundThread {
  public:
-  explicit Background(std::function<void()> step)
+  explicit BackgroundThread(std::function<void()> step)
       : thread_([this, step = std::move(step)] {
           while (!stopping_) step();
         }) {}
-  ~Background() {
+  ~BackgroundThread() {
     stopping_ = true;
     thread_.join();
   }
@@ -46,7 +46,7 @@
     const std::lock_guard lock(mutex_);
     return requests_;
   }
-  std::size_t later_than(SteadyTime when) const {
+  std::size_t count_requests_after(SteadyTime when) const {
     const std::vector<SteadyTime> all = requests();
     return static_cast<std::size_t>(
         std::count_if(all.begin(), all.end(), [&](SteadyTime t) { return t > when; }));
@@ -58,10 +58,10 @@
   void serve() {
     std::vector<pollfd> in{{listener_.fd, POLLIN, 0}};
     for (const Stream& stream : streams_) in.push_back({stream.fd, POLLIN, 0});
-    if (::poll(in.data(), in.size(), kLookMs) <= 0) return;
+    if (::poll(in.data(), in.size(), kPollTimeoutMs) <= 0) return;
     for (std::size_t i = streams_.size(); i-- > 0;) {
       if (in[i + 1].revents == 0) continue;
-      if (streams_[i].read_message(kLookMs).empty()) {
+      if (streams_[i].read_message(kPollTimeoutMs).empty()) {
         streams_.erase(streams_.begin() + static_cast<std::ptrdiff_t>(i));
         continue;
       }
@@ -71,17 +71,17 @@
     }
     if (in[0].revents != 0) streams_.push_back(listener_.accept());
   }
-  static constexpr int kLookMs = 5;
+  static constexpr int kPollTimeoutMs = 5;
   FakeListener listener_;
   mutable std::mutex mutex_;
   std::vector<SteadyTime> requests_;
   std::atomic<bool> draining_ = false;
   std::vector<Stream> streams_;
-  Background background_{[this] { serve(); }};
+  BackgroundThread background_{[this] { serve(); }};
 };
 
 // Discovery that queues each call and then rejects it, as one with too many clients does.
-class CrowdedDiscovery {
+class OverloadedDiscovery {
  public:
   std::string address() const { return listener_.address(); }
   std::size_t calls() const { return calls_; }
@@ -106,15 +106,15 @@
   FakeListener listener_;
   std::atomic<std::size_t> calls_ = 0;
   std::vector<Call> waiting_;  // the oldest first
-  Background background_{[this] { serve(); }};
+  BackgroundThread background_{[this] { serve(); }};
 };
 
 // A client that asks for one thing after another on kept connections, and remembers each answer's status.
-class SteadyClient {
+class SequentialClient {
  public:
-  explicit SteadyClient(std::uint16_t port) : port_(port) {}
+  explicit SequentialClient(std::uint16_t port) : port_(port) {}
   struct Answer {
-    SteadyTime asked, answered;
+    SteadyTime sent_at, answered_at;
     unsigned status = 0;
   };
   std::vector<Answer> answers() const {
@@ -123,15 +123,15 @@
   }
 
  private:
-  void answer_to() {
+  void send_next_request() {
     if (stream_.fd < 0) stream_ = connect();
-    const SteadyTime asked = steady_now();
+    const SteadyTime sent_at = steady_now();
     stream_.send(get(1500));
     const std::string answer = stream_.read_message(2500);
     if (answer.empty() || answer.find("Connection: close") != std::string::npos) stream_.close();
     {
       const std::lock_guard lock(mutex_);
-      answers_.push_back({asked, steady_now(), status_of(answer)});
+      answers_.push_back({sent_at, steady_now(), status_of(answer)});
     }
     usleep(20000);
   }
@@ -148,7 +148,7 @@
   Stream stream_{-1};
   mutable std::mutex mutex_;
   std::vector<Answer> answers_;
-  Background background_{[this] { answer_to(); }};
+  BackgroundThread background_{[this] { send_next_request(); }};
 };
 
 // The program as a process of its own, from docs/example.json with what `change` makes of it.
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -19,9 +19,9 @@
   new_discovery_ = discovery.address();
   const std::string address = release_platform.address();
   new_release_platform_ = address.c_str();
-  EXPECT_TRUE(watch.read_message().starts_with("GET") && watch.closed_by_peer());
+  EXPECT_TRUE(watch.read_message().starts_with("GET") && watch.is_closed_by_peer());
   EXPECT_FALSE(subscription.read_line().empty());
-  EXPECT_TRUE(subscription.closed_by_peer());
+  EXPECT_TRUE(subscription.is_closed_by_peer());
   Stream second_watch = discovery.accept(), second_subscription = release_platform.accept();
   EXPECT_TRUE(second_watch.read_message().starts_with(
       "GET /registry/instances?follow=1&since=42 HTTP/1.1\r\nHost: " + discovery.address()));
@@ -48,7 +48,7 @@
                                 "{\"method\":\"NEW\",\"params\":{}}\n", "{\"id\":77,\"result\":true}\n"}) {
     Stream subscription = release_platform_.accept();
     subscription.send(malformed);
-    EXPECT_TRUE(!subscription.read_line().empty() && subscription.closed_by_peer()) << malformed;
+    EXPECT_TRUE(!subscription.read_line().empty() && subscription.is_closed_by_peer()) << malformed;
   }
   Stream subscription = release_platform_.accept();
   EXPECT_EQ(subscription.read_line(), R"({"jsonrpc":"2.0","id":4,"method":"subscribe"})");
@@ -72,11 +72,11 @@
   usleep(50000);
   stopping_ = true;
   thread_.join();
-  EXPECT_TRUE(logged("release 2: stage 1, phase canary, exposure cap 0.280"));
-  EXPECT_TRUE(logged("release 2: stage 1, phase rolling back, exposure cap 0.000"));
-  EXPECT_TRUE(logged("release platform: ignored an invalid release state: "));
-  EXPECT_TRUE(logged("release platform: ignored a notification that is unknown or invalid: NEW"));
-  EXPECT_TRUE(logged("endpoint list: ignored an entry without a uid or with an unknown state: "));
+  EXPECT_TRUE(has_logged("release 2: stage 1, phase canary, exposure cap 0.280"));
+  EXPECT_TRUE(has_logged("release 2: stage 1, phase rolling back, exposure cap 0.000"));
+  EXPECT_TRUE(has_logged("release platform: ignored an invalid release state: "));
+  EXPECT_TRUE(has_logged("release platform: ignored a notification that is unknown or invalid: NEW"));
+  EXPECT_TRUE(has_logged("endpoint list: ignored an entry without a uid or with an unknown state: "));
 }
 
 }  // namespace
--- a/tests/stale_endpoints_test.cpp
+++ b/tests/stale_endpoints_test.cpp
@@ -24,7 +24,7 @@
 
 TEST(StaleEndpointsProcessTest, SendsNothingOnceAnUnconfirmedListHasExpired) {
   RecordingEndpoint endpoint;
-  CrowdedDiscovery discovery;
+  OverloadedDiscovery discovery;
   RouterProcess router(discovery.address(), [&](nlohmann::json& configuration) {
     configuration["known"] = {
         {"rev", 1}, {"all", true}, {"targets", {listed_endpoint("h0", endpoint.address())}}};
@@ -32,13 +32,13 @@
   });
   const SteadyTime expiry = router.started() + to_ms(kMaxNotificationDelayS + kDrainGraceS + kToleranceS);
   sleep_until(router.started() + std::chrono::seconds(4));
-  const SteadyClient client(router.port());
+  const SequentialClient client(router.port());
   sleep_until(expiry + std::chrono::milliseconds(1500));
-  EXPECT_EQ(endpoint.later_than(expiry), 0U);
+  EXPECT_EQ(endpoint.count_requests_after(expiry), 0U);
   const auto answers = client.answers();
   ASSERT_FALSE(answers.empty());
   EXPECT_EQ(answers.back().status, 503U);
-  EXPECT_LT(seconds_between(answers.back().asked, answers.back().answered), 0.2);
+  EXPECT_LT(seconds_between(answers.back().sent_at, answers.back().answered_at), 0.2);
 }
 
 class StaleEndpointsTest : public RouterTest {
--- a/tests/tls_test.cpp
+++ b/tests/tls_test.cpp
@@ -174,7 +174,7 @@
     fakes_loop_.post_from_thread([&client, &request, response] {
       client->send(request, [client, response](const Client::Answer& answer) {
         const std::string body = answer.message ? answer.message->raw_body() : "";
-        response->set_value({answer.status, body, client->resumed(), !client->connected()});
+        response->set_value({answer.status, body, client->has_resumed_session(), !client->is_connected()});
       });
     });
     return future.get();
@@ -374,7 +374,7 @@
   for (int i = 0; i < 20; ++i) {
     Stream plain_http = open_connection();
     plain_http.send(get());
-    EXPECT_TRUE(plain_http.closed_by_peer());
+    EXPECT_TRUE(plain_http.is_closed_by_peer());
   }
   Stream invalid_bytes = open_connection();
   Stream long_record = open_connection();
@@ -387,10 +387,10 @@
   for (Stream* stream : {&invalid_bytes, &long_record}) {
     while (stream->receive(500)) {  // reads the TLS alert
     }
-    EXPECT_TRUE(stream->closed_by_peer());
+    EXPECT_TRUE(stream->is_closed_by_peer());
   }
-  EXPECT_TRUE(silent.closed_by_peer(600));
-  EXPECT_TRUE(partial_record.closed_by_peer(600));
+  EXPECT_TRUE(silent.is_closed_by_peer(600));
+  EXPECT_TRUE(partial_record.is_closed_by_peer(600));
   ClientPtr client = create_client(client_tls(&client_identity_));
   EXPECT_EQ(send(client).status, 200U);
   destroy(client);
@@ -413,7 +413,7 @@
   ASSERT_EQ(SSL_connect(ssl.get()), 1);
   SSL_renegotiate(ssl.get());
   EXPECT_NE(SSL_do_handshake(ssl.get()), 1);
-  EXPECT_TRUE(connection.closed_by_peer() || SSL_get_error(ssl.get(), -1) == SSL_ERROR_SSL);
+  EXPECT_TRUE(connection.is_closed_by_peer() || SSL_get_error(ssl.get(), -1) == SSL_ERROR_SSL);
   usleep(30000);
   stop_router();
   EXPECT_TRUE(has_log_line("tls: connection closed: client requested a renegotiation"));
