--- a/src/fakes/certificate_authority.cpp
+++ b/src/fakes/certificate_authority.cpp
@@ -16,29 +16,29 @@
 namespace {
 
 constexpr Duration kAuthorityLifetime = Duration::s(86400);
-constexpr long kValidSinceS = -60;
-constexpr long kNextRevocationListS = 86400;
+constexpr long kNotBeforeOffsetS = -60;
+constexpr long kRevocationListLifetimeS = 86400;
 constexpr int kSerialBits = 120;
 constexpr std::size_t kSha256Bytes = 32;
 
 template <auto Free>
-struct Freed {
+struct OpensslDeleter {
   template <class Object>
   void operator()(Object* object) const {
     Free(object);
   }
 };
-using BioPtr = std::unique_ptr<BIO, Freed<BIO_free>>;
-using BigNumberPtr = std::unique_ptr<BIGNUM, Freed<BN_free>>;
-using IntegerPtr = std::unique_ptr<ASN1_INTEGER, Freed<ASN1_INTEGER_free>>;
-using TimePtr = std::unique_ptr<ASN1_TIME, Freed<ASN1_TIME_free>>;
-using ExtensionPtr = std::unique_ptr<X509_EXTENSION, Freed<X509_EXTENSION_free>>;
-using RevocationListPtr = std::unique_ptr<X509_CRL, Freed<X509_CRL_free>>;
+using BioPtr = std::unique_ptr<BIO, OpensslDeleter<BIO_free>>;
+using BigNumberPtr = std::unique_ptr<BIGNUM, OpensslDeleter<BN_free>>;
+using IntegerPtr = std::unique_ptr<ASN1_INTEGER, OpensslDeleter<ASN1_INTEGER_free>>;
+using TimePtr = std::unique_ptr<ASN1_TIME, OpensslDeleter<ASN1_TIME_free>>;
+using ExtensionPtr = std::unique_ptr<X509_EXTENSION, OpensslDeleter<X509_EXTENSION_free>>;
+using RevocationListPtr = std::unique_ptr<X509_CRL, OpensslDeleter<X509_CRL_free>>;
 
 enum class Role { kAuthority, kServer, kClient };
 
 template <class Write>
-std::string pem_of(Write&& write) {
+std::string to_pem(Write&& write) {
   const BioPtr bio(BIO_new(BIO_s_mem()));
   write(bio.get());
   char* data = nullptr;
@@ -50,7 +50,7 @@
   X509V3_CTX context;
   X509V3_set_ctx(&context, issuer, certificate, nullptr, nullptr, 0);
   const ExtensionPtr extension(X509V3_EXT_conf_nid(nullptr, &context, nid, value));
-  if (!extension) throw std::runtime_error("extension");
+  if (!extension) throw std::runtime_error("invalid value of X.509 extension: " + std::string(value));
   X509_add_ext(certificate, extension.get(), -1);
 }
 
@@ -68,7 +68,7 @@
   if (!self_signed) add_extension(certificate, issuer, NID_authority_key_identifier, "keyid:always");
 }
 
-// Sets a random serial, and returns it in hexadecimal.
+// Sets a random serial number and returns it in hexadecimal.
 std::string set_serial(X509* certificate) {
   const BigNumberPtr serial(BN_new());
   BN_rand(serial.get(), kSerialBits, BN_RAND_TOP_ONE, BN_RAND_BOTTOM_ANY);
@@ -90,14 +90,14 @@
   add("CN", name);
 }
 
-std::string thumbprint_of(const X509* certificate) {
+std::string compute_thumbprint(const X509* certificate) {
   unsigned char digest[kSha256Bytes];
   unsigned size = sizeof digest;
   X509_digest(certificate, EVP_sha256(), digest, &size);
   return tokens::encode_base64url({reinterpret_cast<char*>(digest), size});
 }
 
-// `signer`: null for a certificate that signs itself.
+// Creates a key and a certificate for it. `signer` is null for a self-signed certificate.
 Identity make_identity(const std::string& organisation, const std::string& name, Duration lifetime, Role role,
                        const Identity* signer) {
   Identity identity;
@@ -106,7 +106,7 @@
   X509* const certificate = identity.certificate.get();
   X509_set_version(certificate, X509_VERSION_3);
   identity.serial = set_serial(certificate);
-  X509_gmtime_adj(X509_getm_notBefore(certificate), kValidSinceS);
+  X509_gmtime_adj(X509_getm_notBefore(certificate), kNotBeforeOffsetS);
   X509_gmtime_adj(X509_getm_notAfter(certificate), static_cast<long>(lifetime.s()));
   X509_set_pubkey(certificate, identity.key.get());
   set_subject(certificate, organisation, name);
@@ -114,11 +114,11 @@
   X509_set_issuer_name(certificate, X509_get_subject_name(issuer));
   add_extensions(certificate, issuer, role, signer == nullptr);
   X509_sign(certificate, signer ? signer->key.get() : identity.key.get(), EVP_sha256());
-  identity.certificate_pem = pem_of([&](BIO* bio) { PEM_write_bio_X509(bio, certificate); });
-  identity.key_pem = pem_of([&](BIO* bio) {
+  identity.certificate_pem = to_pem([&](BIO* bio) { PEM_write_bio_X509(bio, certificate); });
+  identity.key_pem = to_pem([&](BIO* bio) {
     PEM_write_bio_PrivateKey(bio, identity.key.get(), nullptr, nullptr, 0, nullptr, nullptr);
   });
-  identity.thumbprint = thumbprint_of(certificate);
+  identity.thumbprint = compute_thumbprint(certificate);
   return identity;
 }
 
@@ -148,21 +148,21 @@
   X509_CRL_set_version(list.get(), X509_CRL_VERSION_2);
   X509_CRL_set_issuer_name(list.get(), X509_get_subject_name(self_.certificate.get()));
   const TimePtr time(ASN1_TIME_new());
-  X509_gmtime_adj(time.get(), kValidSinceS);
+  X509_gmtime_adj(time.get(), kNotBeforeOffsetS);
   X509_CRL_set1_lastUpdate(list.get(), time.get());
-  X509_gmtime_adj(time.get(), kNextRevocationListS);
+  X509_gmtime_adj(time.get(), kRevocationListLifetimeS);
   X509_CRL_set1_nextUpdate(list.get(), time.get());
   BIGNUM* parsed = nullptr;
   BN_hex2bn(&parsed, serial.c_str());
   const BigNumberPtr number(parsed);
   const IntegerPtr integer(BN_to_ASN1_INTEGER(number.get(), nullptr));
-  X509_REVOKED* const entry = X509_REVOKED_new();  // the list takes it over
+  X509_REVOKED* const entry = X509_REVOKED_new();  // owned by the list once added
   X509_REVOKED_set_serialNumber(entry, integer.get());
   X509_gmtime_adj(time.get(), 0);
   X509_REVOKED_set_revocationDate(entry, time.get());
   X509_CRL_add0_revoked(list.get(), entry);
   X509_CRL_sign(list.get(), self_.key.get(), EVP_sha256());
-  return pem_of([&](BIO* bio) { PEM_write_bio_X509_CRL(bio, list.get()); });
+  return to_pem([&](BIO* bio) { PEM_write_bio_X509_CRL(bio, list.get()); });
 }
 
 }  // namespace ashbeam::fakes
--- a/src/fakes/certificate_authority.hpp
+++ b/src/fakes/certificate_authority.hpp
@@ -1,5 +1,5 @@
-// A certificate authority for tests, fault tests and the demo: certificates that it signs and revokes.
-// Nothing of this is for use outside loopback.
+// A certificate authority for tests, fault tests and the demo. It issues certificates and lists of revoked
+// certificates. It is for use on loopback only.
 #pragma once
 #include <memory>
 #include <string>
@@ -11,7 +11,7 @@
 
 namespace ashbeam::fakes {
 
-// A certificate and its key.
+// A certificate and its private key, as objects of OpenSSL and in PEM.
 struct Identity {
   std::shared_ptr<x509_st> certificate;
   std::shared_ptr<evp_pkey_st> key;
@@ -23,19 +23,20 @@
 
 class CertificateAuthority {
  public:
-  // A root, valid for a day.
+  // Creates a root authority whose certificate is valid for one day.
   explicit CertificateAuthority(const std::string& name);
 
-  // Issues a certificate of a client, or of a server, that expires `lifetime` from now (negative: it has
-  // expired). With `intermediate`, which has to be one of this authority's, that signs it, and
-  // `certificate_pem` has the intermediate's certificate behind the leaf.
+  // Issues a certificate for a client, or for a server if `server` is set. It expires `lifetime` from now; a
+  // negative lifetime gives an expired certificate. If `intermediate` is not null, it signs the certificate,
+  // and `certificate_pem` holds its certificate after the leaf. It must have been issued by this authority.
   Identity issue(const std::string& organisation, const std::string& name, Duration lifetime,
                  bool server = false, const CertificateAuthority* intermediate = nullptr) const;
+  // Issues an intermediate authority, valid for one day.
   CertificateAuthority intermediate(const std::string& name) const;
 
   const Identity& self() const { return self_; }
   std::string pem() const { return self_.certificate_pem; }
-  // A list of revoked certificates (PEM) that has this serial alone.
+  // Returns a certificate revocation list (RFC 5280) in PEM whose only entry is `serial`, in hexadecimal.
   std::string revocation_list(const std::string& serial) const;
 
  private:
--- a/src/fakes/client.cpp
+++ b/src/fakes/client.cpp
@@ -5,7 +5,7 @@
 void Client::send(const std::string& request, OnAnswer on_answer) {
   on_answer_ = std::move(on_answer);
   answers_.start_next();
-  if (connection_ && !connection_->is_idle()) disconnect();  // a router may close between requests
+  if (connection_ && !connection_->is_idle()) disconnect();  // the router may close an idle connection
   if (!connection_) {
     Connection::TlsStreamFactory make_stream;
     if (tls_) make_stream = [tls = tls_](int fd) { return tls->make_stream(fd); };
@@ -22,17 +22,17 @@
 
 void Client::on_data() {
   std::string_view bytes = connection_->unread();
-  const std::size_t had = bytes.size();
+  const std::size_t unread_size = bytes.size();
   if (!on_answer_) {
     ++unexpected_data_count_;
-    connection_->consume(had);
+    connection_->consume(unread_size);
     return;
   }
-  const auto got = answers_.feed(bytes);
-  connection_->consume(had - bytes.size());
-  if (got == http::ParseResult::kIncomplete) return;
+  const auto result = answers_.feed(bytes);
+  connection_->consume(unread_size - bytes.size());
+  if (result == http::ParseResult::kIncomplete) return;
   if (!bytes.empty()) ++unexpected_data_count_;
-  if (got == http::ParseResult::kInvalid) {
+  if (result == http::ParseResult::kInvalid) {
     disconnect();
     return finish({});
   }
--- a/src/fakes/client.hpp
+++ b/src/fakes/client.hpp
@@ -1,4 +1,5 @@
-// A fake client: one connection at a time and one request at a time on it, plain or behind TLS.
+// A fake HTTP/1.1 client for tests, fault tests and benchmarks. It has at most one connection, plain or TLS,
+// and at most one request on it.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -17,28 +18,32 @@
 class Client : public Connection::Owner {
  public:
   struct Answer {
-    unsigned status = 0;  // 0: none, the connection ended
-    const http::MessageParser* message = nullptr;
-    bool request_written = false;  // in full, before the connection ended
+    unsigned status = 0;                           // 0: no valid answer was received
+    const http::MessageParser* message = nullptr;  // null if `status` is 0
+    bool request_written = false;  // whether all of the request was written before the connection ended
   };
   using OnAnswer = std::function<void(const Answer&)>;
 
-  // `limits` has to outlive the client. Connects with its first request.
+  // `loop` and `limits` must outlive the client. The connection is opened by the first request. `tls` is null
+  // for a plain connection.
   Client(EventLoop& loop, const Limits& limits, std::string address, std::shared_ptr<ClientTls> tls = nullptr)
       : loop_(loop), limits_(limits), address_(std::move(address)), tls_(std::move(tls)),
         answers_(http::Side::kAnswers, limits.max_head_bytes, limits.max_body_bytes) {}
 
-  // Only once the request before has its answer. `on_answer` is called once, never before this returns.
+  // Sends a request; the previous one must have been answered. `on_answer` is called once, with status 0 if
+  // the connection ends first, and never before this function returns.
   void send(const std::string& request, OnAnswer on_answer);
-  // Sends what is missing of a request that was sent in part.
+  // Sends the remaining bytes of a request that was passed to send() incomplete.
   void send_rest(const std::string& bytes) { connection_->write(bytes); }
-  // The next request opens a new connection.
+  // Closes the connection. The next request opens a new one.
   void disconnect();
 
+  // Whether a request waits for its answer.
   bool is_busy() const { return on_answer_ != nullptr; }
   bool is_connected() const { return connection_ != nullptr; }
+  // Whether the latest handshake resumed a TLS session.
   bool has_resumed_session() const { return tls_ && tls_->has_resumed_session(); }
-  // Bytes, or runs of them, that came without a request.
+  // Returns how often data was received that answers no request.
   std::uint64_t unexpected_data_count() const { return unexpected_data_count_; }
 
  private:
--- a/src/fakes/discovery.cpp
+++ b/src/fakes/discovery.cpp
@@ -11,10 +11,10 @@
 
 constexpr int kBacklog = 256;
 constexpr Duration kKeepAliveInterval = Duration::s(2);
-constexpr Duration kQueueTick = Duration::ms(10);
+constexpr Duration kQueueInterval = Duration::ms(10);
 constexpr Duration kCallTimeout = Duration::s(2);
 
-std::string chunk_of(const std::string& line) {
+std::string encode_chunk(const std::string& line) {
   char size[16];
   std::snprintf(size, sizeof size, "%zx\r\n", line.size() + 1);
   return size + line + "\n\r\n";
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-// One connection of a router.
+// A connection of a router, from its call on.
 class Discovery::Watch : private Connection::Owner {
  public:
   Watch(Discovery& discovery, int fd, std::size_t router)
@@ -44,12 +44,12 @@
   }
   void write_line(const std::string& line) {
     const bool stalls = discovery_.draw_stall();
-    const std::string chunk = chunk_of(line);
+    const std::string chunk = encode_chunk(line);
     connection_.write(stalls ? chunk.substr(0, chunk.size() / 2) : chunk);
     discovery_.written_at_[router_].push_back(discovery_.loop_.now());
     if (stalls) state_ = State::kSilent;
   }
-  void keep_alive() { connection_.write(chunk_of("")); }
+  void keep_alive() { connection_.write(encode_chunk("")); }
   void end() {
     connection_.shutdown_write();
     state_ = State::kSilent;
@@ -85,14 +85,14 @@
                                                          if (watch->is_open()) watch->keep_alive();
                                                        }
                                                      }),
-      queue_tick_(loop, [this] { work_off_calls(); }) {
+      queue_timer_(loop, [this] { serve_waiting_calls(); }) {
   for (std::size_t router = 0; router < options.router_count; ++router) {
     listeners_.push_back(std::make_unique<Listener>(loop, "127.0.0.1:0", kBacklog, [this, router](int fd) {
       if (fd >= 0) watches_.push_back(std::make_unique<Watch>(*this, fd, router));
     }));
   }
   keep_alive_.schedule_after(kKeepAliveInterval);
-  if (service_time_ > Duration()) queue_tick_.schedule_after(kQueueTick);
+  if (service_time_ > Duration()) queue_timer_.schedule_after(kQueueInterval);
 }
 
 Discovery::~Discovery() = default;
@@ -153,18 +153,18 @@
   else watch.open();
 }
 
-void Discovery::work_off_calls() {
-  queue_tick_.schedule_after(kQueueTick);
+void Discovery::serve_waiting_calls() {
+  queue_timer_.schedule_after(kQueueInterval);
   const Instant now = loop_.now();
   reject_overdue_calls(now);
   if (!available_) {
     calls_.clear();
-    free_at_ = now;
+    service_free_at_ = now;
   }
-  while (!calls_.empty() && free_at_ <= now) {
+  while (!calls_.empty() && service_free_at_ <= now) {
     const Call call = calls_.front();
     calls_.pop_front();
-    free_at_ = std::max(free_at_, call.received_at) + service_time_;
+    service_free_at_ = std::max(service_free_at_, call.received_at) + service_time_;
     const auto waiting = std::find_if(watches_.begin(), watches_.end(), [&call](const auto& watch) {
       return watch.get() == call.watch && watch->is_waiting() && watch->called_at() == call.received_at;
     });
--- a/src/fakes/endpoint.cpp
+++ b/src/fakes/endpoint.cpp
@@ -16,7 +16,8 @@
 
 }  // namespace
 
-// One connection: a request at a time; further bytes wait for the answer.
+// A connection of a client. It serves one request at a time; bytes of the next one stay unread until the
+// answer is written.
 class Endpoint::ServerConnection : private Connection::Owner {
  public:
   ServerConnection(Endpoint& endpoint, int fd)
@@ -28,11 +29,11 @@
   void on_data() override {
     if (answer_timer_.is_scheduled()) return;
     std::string_view bytes = connection_.unread();
-    const std::size_t had = bytes.size();
-    const auto got = requests_.feed(bytes);
-    connection_.consume(had - bytes.size());
-    if (got == http::ParseResult::kIncomplete) return;
-    if (got == http::ParseResult::kInvalid) return endpoint_.remove(this);
+    const std::size_t unread_size = bytes.size();
+    const auto result = requests_.feed(bytes);
+    connection_.consume(unread_size - bytes.size());
+    if (result == http::ParseResult::kIncomplete) return;
+    if (result == http::ParseResult::kInvalid) return endpoint_.remove(this);
     ++endpoint_.request_count_;
     answer_ = endpoint_.handler_(requests_.head(), requests_.raw_body());
     answer_timer_.schedule_after(answer_.delay);
--- a/src/fakes/endpoint.hpp
+++ b/src/fakes/endpoint.hpp
@@ -1,4 +1,4 @@
-// A fake endpoint: an HTTP/1.1 server on loopback that answers as its handler says. It can be stopped and
+// A fake endpoint: an HTTP/1.1 server on loopback whose handler determines the answers. It can be stopped and
 // started again on the same port.
 #pragma once
 #include <cstdint>
@@ -18,9 +18,9 @@
 struct EndpointAnswer {
   unsigned status = 200;
   Duration delay = Duration::ms(1);  // from the request's last byte
-  bool drops_connection = false;     // in place of an answer
+  bool drops_connection = false;     // close the connection instead of answering
   std::string body = "ok\n";
-  std::string header_fields = {};  // besides Content-Length, each with its line end
+  std::string header_fields = {};  // in addition to Content-Length; each ends with CRLF
 };
 
 class Endpoint {
@@ -28,16 +28,16 @@
   // Called once for each complete request.
   using Handler = std::function<EndpointAnswer(const http::Head& head, const std::string& body)>;
 
-  // Started. `limits` has to outlive the endpoint.
+  // Starts the server on a free port. `loop` and `limits` must outlive the endpoint.
   Endpoint(EventLoop& loop, const Limits& limits, Handler handler);
   ~Endpoint();
 
   std::string address() const { return "127.0.0.1:" + std::to_string(port_); }
   std::uint64_t request_count() const { return request_count_; }
 
-  // Resets the connections and refuses new ones.
+  // Destroys the connections and closes the listener, so that new connections are refused.
   void stop();
-  // Only after stop().
+  // Listens again on the same port. To be called only after stop().
   void start();
 
  private:
@@ -47,7 +47,7 @@
   EventLoop& loop_;
   const Limits& limits_;
   Handler handler_;
-  std::uint16_t port_ = 0;  // 0: any
+  std::uint16_t port_ = 0;  // 0 before the first start: any free port
   std::uint64_t request_count_ = 0;
   std::vector<std::unique_ptr<ServerConnection>> connections_;
   std::unique_ptr<Listener> listener_;
--- a/src/fakes/endpoint_list.hpp
+++ b/src/fakes/endpoint_list.hpp
@@ -1,4 +1,4 @@
-// Endpoints as fake discovery lists them, and their form on the wire.
+// The endpoints that the fake discovery service lists, and their JSON form on the wire.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -14,11 +14,12 @@
   std::string uid;
   std::string address;
   ListedState state = ListedState::kUp;
-  unsigned version = 1;  // of the release that it runs
-  Instant started_at;    // far past: long ago
+  unsigned version = 1;  // of the release that the endpoint runs
+  Instant started_at;    // the default, the far past, stands for an endpoint that is long warm
 };
 
-// One line of a watch. `complete`: endpoints that are not named are removed.
+// Returns one line of a watch. `complete` tells the router to remove all endpoints that the line does not
+// name.
 std::string endpoint_list_json(unsigned revision, bool complete,
                                const std::vector<ListedEndpoint>& endpoints);
 
--- a/src/fakes/release_platform.cpp
+++ b/src/fakes/release_platform.cpp
@@ -11,7 +11,7 @@
 constexpr int kBacklog = 64;
 constexpr Duration kKeepAliveInterval = Duration::s(1);
 constexpr Duration kRollbackTime = Duration::s(1);
-constexpr Duration kInitialAge = Duration::s(60);  // of the version that is released at the start
+constexpr Duration kInitialAge = Duration::s(60);  // of the initial release
 
 }  // namespace
 
@@ -29,7 +29,7 @@
   return "";
 }
 
-// One router's connection.
+// A connection of a router.
 class ReleasePlatform::Client : private Connection::Owner {
  public:
   Client(ReleasePlatform& platform, int fd)
@@ -48,7 +48,7 @@
     if (!well_formed) on_closed();
   }
 
-  // False where the line can't be used.
+  // Returns false if the line is not a valid call.
   bool on_call(std::string_view line) {
     const auto call = Json::parse(line);
     if (!call || !call->is_object()) return false;
--- a/src/fakes/release_platform.hpp
+++ b/src/fakes/release_platform.hpp
@@ -1,5 +1,5 @@
-// A fake release platform on which one vote decides: 'promote' opens the next stage, 'abort' rolls the
-// release back. JSON-RPC, one call a line.
+// A fake release platform on which a single vote decides: `promote` starts the next stage, `abort` rolls the
+// release back. It speaks JSON-RPC 2.0 with one message per line.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -17,7 +17,7 @@
 namespace ashbeam::fakes {
 
 enum class ReleaseProgress : std::uint8_t { kCanary, kRollingBack, kReleased, kWithdrawn };
-// As on the wire.
+// Returns the name of the progress on the wire.
 const char* wire_name(ReleaseProgress progress);
 
 class ReleasePlatform {
@@ -27,20 +27,21 @@
     unsigned stage = 0;
     ReleaseProgress progress = ReleaseProgress::kReleased;
     double exposure_cap = 1;
-    Instant since;
+    Instant since;  // when the platform entered this state
   };
   using OnChange = std::function<void(const State&)>;
 
-  // `exposure_caps`: by stage. `limits` has to outlive the platform.
+  // `exposure_caps` holds one cap per stage. `on_change` is called after each change of the state. `loop` and
+  // `limits` must outlive the platform.
   ReleasePlatform(EventLoop& loop, const Limits& limits, std::vector<double> exposure_caps,
                   OnChange on_change);
   ~ReleasePlatform();
 
   std::string address() const { return "127.0.0.1:" + std::to_string(listener_.port()); }
   const State& state() const { return state_; }
-  // The state as a JSON object, as on the wire.
+  // Returns the state as the JSON object that the platform sends.
   std::string state_json() const;
-  // Begins the release of a version, at its first stage.
+  // Starts the release of a version at its first stage.
   void start_release(unsigned version);
 
  private:
--- a/src/fakes/tls_client.cpp
+++ b/src/fakes/tls_client.cpp
@@ -18,7 +18,8 @@
     SSL_set_app_data(ssl_.get(), &tls_);
     if (tls_.resume_ && tls_.session_) SSL_set_session(ssl_.get(), tls_.session_.get());
   }
-  // OpenSSL makes the session of a connection that was cut off unusable; here clients resume it all the same.
+  // OpenSSL invalidates the session of a connection that ended without close_notify. Marking the shutdown as
+  // complete keeps it usable, so that the client can resume it.
   ~ClientTlsStream() override { SSL_set_shutdown(ssl_.get(), SSL_SENT_SHUTDOWN | SSL_RECEIVED_SHUTDOWN); }
 
   HandshakeResult handshake() override {
--- a/src/fakes/tls_client.hpp
+++ b/src/fakes/tls_client.hpp
@@ -1,4 +1,4 @@
-// The client's side of TLS for fake clients. It verifies nothing of the server.
+// The client side of TLS for fake clients. It does not verify the server's certificate.
 #pragma once
 #include <memory>
 
@@ -10,21 +10,22 @@
 
 namespace ashbeam::fakes {
 
-// One client's TLS: its identity, and the session that it may resume.
+// The TLS context of one client: its certificate, and the session that later connections may resume.
 class ClientTls {
  public:
   static constexpr int kTls13 = 0x0304;
 
-  // `identity` (null: none) is shown to servers, with `intermediate` (null: none) as its chain. `resume`:
-  // whether connections resume the last session. `newest_version`: of the protocol, as OpenSSL numbers it.
+  // `identity` is the client certificate, null for none; `intermediate` is added to its chain unless null.
+  // `resume` makes connections resume the latest session. `newest_version` is the highest protocol version to
+  // offer, in OpenSSL's numbering.
   ClientTls(const Identity* identity, const Identity* intermediate, bool resume, int newest_version = kTls13);
   ~ClientTls();
   ClientTls(const ClientTls&) = delete;
   ClientTls& operator=(const ClientTls&) = delete;
 
-  // The stream of one connection, which must not outlive this.
+  // Creates the TLS stream of a connection. The stream must not outlive this object.
   std::unique_ptr<TlsStream> make_stream(int fd);
-  // Whether the last handshake resumed a session.
+  // Whether the latest handshake resumed a session.
   bool has_resumed_session() const { return last_resumed_; }
 
  private:
