--- a/tests/router_fixture.hpp
+++ b/tests/router_fixture.hpp
@@ -1,5 +1,5 @@
-// Shared by the tests of the router on sockets: fake listeners on plain blocking sockets for the endpoints,
-// discovery and the release platform, clients, and a Service on a thread of its own.
+// Fixture for tests of the router over real sockets. The router's Service runs on its own thread; the test
+// plays the endpoints, discovery, the release platform and the clients on blocking loopback sockets.
 #pragma once
 #include <gtest/gtest.h>
 #include <poll.h>
@@ -18,10 +18,11 @@
 
 namespace ashbeam {
 
-// One blocking TCP stream; what does not come within the wait counts as nothing.
+// A TCP connection, used with blocking calls. The waits are time-outs in milliseconds: a call that receives
+// nothing within its wait returns false or an empty string.
 struct Stream {
   int fd = -1;
-  std::string received;  // and not yet read as a line or a message
+  std::string received;  // bytes that no line or message has consumed yet
   explicit Stream(int descriptor) : fd(descriptor) {}
   Stream(Stream&& other) noexcept : fd(std::exchange(other.fd, -1)), received(std::move(other.received)) {}
   Stream& operator=(Stream&& other) noexcept {
@@ -34,13 +35,15 @@
   void close() {
     if (fd >= 0) ::close(std::exchange(fd, -1));
   }
-  void reset() {  // breaks the connection instead of ending it
-    const linger at_once{1, 0};
-    ::setsockopt(fd, SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
+  // Closes the connection with a TCP reset instead of a FIN.
+  void reset() {
+    const linger no_linger{1, 0};
+    ::setsockopt(fd, SOL_SOCKET, SO_LINGER, &no_linger, sizeof no_linger);
     close();
   }
   void send(const std::string& text) { ::send(fd, text.data(), text.size(), MSG_NOSIGNAL); }
-  bool receive(int wait_ms) {  // false at the end or when nothing comes
+  // Appends what arrives to `received`. Returns false at the end of the stream and when the wait is over.
+  bool receive(int wait_ms) {
     pollfd readable{fd, POLLIN, 0};
     char buffer[4096];
     const auto size = ::poll(&readable, 1, wait_ms) == 1 ? ::recv(fd, buffer, sizeof buffer, 0) : -1;
@@ -61,7 +64,8 @@
     received.erase(0, end + 1);
     return line;
   }
-  // A head, and a body by length; empty where none comes completely.
+  // Returns one HTTP message with its body (by Content-Length), or an empty string if it does not arrive in
+  // full.
   std::string read_message(int wait_ms = 1500) {
     std::size_t end;
     while ((end = received.find("\r\n\r\n")) == std::string::npos) {
@@ -78,7 +82,7 @@
   }
 };
 
-// The address of a fake endpoint, of fake discovery or of a fake release platform.
+// A listening socket on a free loopback port, as a fake endpoint, discovery service or release platform.
 struct FakeListener {
   int fd = ::socket(AF_INET, SOCK_STREAM, 0);
   FakeListener() {
@@ -96,7 +100,8 @@
     return ntohs(address.sin_port);
   }
   std::string address() const { return "127.0.0.1:" + std::to_string(port()); }
-  bool has_pending(int wait_ms) const {  // a connection to accept
+  // Whether a connection can be accepted, now or within the wait.
+  bool has_pending(int wait_ms) const {
     pollfd readable{fd, POLLIN, 0};
     return ::poll(&readable, 1, wait_ms) == 1;
   }
@@ -105,7 +110,7 @@
   }
 };
 
-// A listener whose accept queue is full: further connections never open.
+// A listener whose accept queue is full: connecting to it neither succeeds nor is refused.
 struct FullListener : FakeListener {
   std::vector<Stream> filling;
   FullListener() {
@@ -122,7 +127,8 @@
 
 inline const char* const kOkAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nX-Kept: 1\r\n\r\nbody";
 inline const std::string kHealthCheck = "GET /health/ready HTTP/1.1\r\n\r\n";
-inline const std::string kWatchHead = "HTTP/1.1 200 OK\r\n\r\n";  // its body goes on until the end
+// The head of discovery's answer to a watch. Without a length, the body lasts until the connection closes.
+inline const std::string kWatchHead = "HTTP/1.1 200 OK\r\n\r\n";
 
 inline std::string status_line(const std::string& status, const std::string& fields = "") {
   return "HTTP/1.1 " + status + " X\r\n" + fields + "Content-Length: 0\r\n\r\n";
@@ -161,13 +167,14 @@
   std::thread thread_;
   std::atomic<bool> stopping_ = false;
   std::atomic<bool> shut_down_ = false;
-  // Once set, with new_discovery_, the router changes to these addresses.
+  // Setting it makes the router change to this release platform and to the discovery at new_discovery_, which
+  // has to be set before.
   std::atomic<const char*> new_release_platform_ = nullptr;
   std::string new_discovery_;
-  std::function<void()> before_start_;  // the service is made, and not started yet
+  std::function<void()> before_start_;  // called after the service was constructed and before it starts
   std::atomic<bool> has_loop_task_ = false;
-  std::function<void()> loop_task_;     // run there once, see run_on_loop
-  std::vector<std::string> log_lines_;  // read once the thread has ended
+  std::function<void()> loop_task_;     // the task of run_on_loop()
+  std::vector<std::string> log_lines_;  // not to be read before the router's thread has ended
 
   std::string endpoint_entry(int endpoint, const std::string& state = "up", int version = 1,
                              const std::string& address = "") const {
@@ -187,7 +194,7 @@
     settings_.must_watch_endpoints = true;
     settings_.may_hedge = false;
     settings_.router_count = 1;
-    // Ready, and serving, without discovery, but for the tests of that.
+    // The router is ready and serves without discovery; tests of readiness set other limits.
     limits_.ready_without_list_timeout = Duration();
     limits_.configured_list_validity = Duration::s(600);
   }
@@ -211,7 +218,7 @@
     stopping_ = true;
     if (thread_.joinable()) thread_.join();
   }
-  // Runs `task` on the router's own thread, and returns once it has run.
+  // Runs `task` on the router's thread and returns once it has run.
   void run_on_loop(std::function<void()> task) {
     loop_task_ = std::move(task);
     has_loop_task_ = true;
@@ -223,7 +230,7 @@
     stopping_ = true;
     run_on_loop([] {});
   }
-  // Has a line with that part been logged? After the thread has ended.
+  // Whether a logged line contains `part`. To be called only after the router's thread has ended.
   bool has_logged(const std::string& part) const {
     return std::any_of(log_lines_.begin(), log_lines_.end(),
                        [&](const std::string& line) { return line.find(part) != std::string::npos; });
@@ -237,13 +244,13 @@
     ::connect(fd, reinterpret_cast<sockaddr*>(&address), sizeof address);
     return Stream(fd);
   }
-  // To a request on a connection of its own.
+  // Sends the request on a new connection and returns the answer.
   std::string answer_to(const std::string& request) const {
     Stream client = connect_client();
     client.send(request);
     return client.read_message(3000);
   }
-  // The connection of the next attempt, at whichever endpoint; its fd is -1 where none comes.
+  // Accepts the connection of the next attempt at any endpoint. Its fd is -1 if none comes within the wait.
   Stream take_attempt(int wait_ms = 1000) const {
     pollfd readable[kEndpoints];
     for (int i = 0; i < kEndpoints; ++i) readable[i] = {endpoints_[i].fd, POLLIN, 0};
@@ -253,7 +260,8 @@
     }
     return Stream(-1);
   }
-  // Which endpoints so many new requests reach: one connection each, since none is answered.
+  // Sends this many requests and returns, by endpoint, whether one reached it. No request is answered, so
+  // that each attempt needs a connection of its own.
   std::vector<bool> reached_endpoints(int requests) {
     std::vector<bool> reached(kEndpoints);
     std::vector<Stream> clients;
--- a/tests/router_process.hpp
+++ b/tests/router_process.hpp
@@ -1,5 +1,5 @@
-// The program itself as a process, between fakes on loopback: a crowded discovery, an endpoint that records
-// when it was sent to, and a client.
+// Fixtures for tests that run the router program as a process of its own: an overloaded discovery service, an
+// endpoint that records when requests reach it, and a client, all on loopback.
 #pragma once
 #include <sys/wait.h>
 
@@ -21,7 +21,7 @@
   return std::chrono::duration<double>(to - from).count();
 }
 
-// Runs `step` again and again on a thread of its own until destroyed.
+// Calls `step` repeatedly on its own thread until destroyed.
 class BackgroundThread {
  public:
   explicit BackgroundThread(std::function<void()> step)
@@ -38,7 +38,7 @@
   std::thread thread_;
 };
 
-// A fake endpoint that answers each request at once and remembers when each came.
+// A fake endpoint that answers each request at once and records when each arrived.
 class RecordingEndpoint {
  public:
   std::string address() const { return listener_.address(); }
@@ -46,12 +46,13 @@
     const std::lock_guard lock(mutex_);
     return requests_;
   }
+  // Returns how many requests arrived after `when`.
   std::size_t count_requests_after(SteadyTime when) const {
     const std::vector<SteadyTime> all = requests();
     return static_cast<std::size_t>(
         std::count_if(all.begin(), all.end(), [&](SteadyTime t) { return t > when; }));
   }
-  // From now on requests are rejected, as by an endpoint that drains.
+  // From now on rejects requests as a draining endpoint does.
   void drain() { draining_ = true; }
 
  private:
@@ -80,7 +81,7 @@
   BackgroundThread background_{[this] { serve(); }};
 };
 
-// Discovery that queues each call and then rejects it, as one with too many clients does.
+// A fake discovery service that rejects each call after a time in a queue, as one with too many clients does.
 class OverloadedDiscovery {
  public:
   std::string address() const { return listener_.address(); }
@@ -105,11 +106,12 @@
   static constexpr std::chrono::milliseconds kQueueTime{2000};
   FakeListener listener_;
   std::atomic<std::size_t> calls_ = 0;
-  std::vector<Call> waiting_;  // the oldest first
+  std::vector<Call> waiting_;  // in order of arrival
   BackgroundThread background_{[this] { serve(); }};
 };
 
-// A client that asks for one thing after another on kept connections, and remembers each answer's status.
+// A client that sends one request after another, on the same connection while it lasts, and records each
+// answer's times and status. The status is 0 if no answer came.
 class SequentialClient {
  public:
   explicit SequentialClient(std::uint16_t port) : port_(port) {}
@@ -151,7 +153,7 @@
   BackgroundThread background_{[this] { send_next_request(); }};
 };
 
-// The program as a process of its own, from docs/example.json with what `change` makes of it.
+// A process of the router program. Its configuration is docs/example.json as modified by `change`.
 class RouterProcess {
  public:
   RouterProcess(const std::string& discovery, const std::function<void(nlohmann::json&)>& change)
