--- a/proofs/access_reloads.hpp
+++ b/proofs/access_reloads.hpp
@@ -1,5 +1,4 @@
-// The access configuration loader of a router on its own thread, and the time from which each rereading of
-// the files is in force.
+// Runs the access configuration loader on a router's thread and records when each revocation takes effect.
 #pragma once
 #include <atomic>
 #include <cstdint>
@@ -13,14 +12,16 @@
 
 namespace ashbeam {
 
-// Of a key or certificate that the files say is revoked.
+// The revocation of a key or certificate.
 struct Revocation {
-  Instant written_at;                        // the file was complete
-  std::uint64_t reading = 0;                 // the one that brings it
-  std::atomic<std::int64_t> in_force_us{0};  // no request is decided without it from then on; 0: not yet
+  Instant written_at;             // when its file was complete
+  std::uint64_t load_number = 0;  // number of the load that includes it
+  // When it in_force_after effect, in microseconds: all later requests are decided with it. 0: not yet in
+  // effect.
+  std::atomic<std::int64_t> in_force_us{0};
 };
 
-// All of it on the router's thread.
+// To be used on the router's thread only.
 class AccessReloads {
  public:
   AccessReloads(const RouterThread::Parts& router, const std::string& operators_file) : loop_(router.loop) {
@@ -28,20 +29,22 @@
         std::make_unique<AccessConfigLoader>(loop_, router.service, router.wire_settings, router.settings,
                                              operators_file, 7, [this](std::string_view line) {
                                                print_log_line(line);
-                                               note_readings();
+                                               record_completed_loads();
                                              });
   }
-  void reread(const std::shared_ptr<Revocation>& revocation) {
-    revocation->reading = loader_->reload();
+  // Reloads the files; the revocation waits for that load.
+  void reload(const std::shared_ptr<Revocation>& revocation) {
+    revocation->load_number = loader_->reload();
     waiting_.push_back(revocation);
   }
 
  private:
-  // At each line of the loader: no request is decided before the reading has been taken in whole.
-  void note_readings() {
+  // Called after each log line of the loader. The loader logs the end of a load before any further request is
+  // decided, so that the time of the line is the time when the load takes effect.
+  void record_completed_loads() {
     if (!loader_) return;
     std::erase_if(waiting_, [this](const std::shared_ptr<Revocation>& revocation) {
-      if (revocation->reading > loader_->completed_loads()) return false;
+      if (revocation->load_number > loader_->completed_loads()) return false;
       revocation->in_force_us = loop_.now().us();
       return true;
     });
--- a/proofs/calling.cpp
+++ b/proofs/calling.cpp
@@ -1,7 +1,7 @@
-// The authorizer, with everything turning at once: signing keys rotate every 2 s, certificates and keys are
-// revoked all along, a third of the time tokens with bad signatures come at ten times the usual rate. One
-// router on a thread of its own, with the files that an operator would write; fakes for all others. Then
-// quotas in simulated time: 1,000 routers, 10^6 subjects.
+// Fault test of the authorizer. Signing keys rotate every 2 s, certificates and keys are revoked throughout,
+// and for a third of the run tokens with bad signatures arrive at ten times the usual rate. One router runs
+// on its own thread, with files as an operator writes them; fakes stand for all its peers. Then quotas are
+// simulated for 1,000 routers and 10^6 subjects, or for fewer in a short run.
 #include <algorithm>
 #include <csignal>
 #include <vector>
@@ -14,7 +14,7 @@
 namespace ashbeam {
 namespace {
 
-constexpr double kMaxInForceMs = 200;  // by then a revocation is in force
+constexpr double kMaxTimeToInForceMs = 200;  // limit for the time until a revocation takes effect
 
 double p99(std::vector<double> values) {
   if (values.empty()) return 0;
@@ -40,19 +40,19 @@
   proof.figure("resumed_hits", figure(counts.resumed));
   proof.at_most("valid_refused", figure(counts.valid_refused), 0);
   proof.timed_at_most("valid_failed", figure(counts.valid_failed), figure(counts.sent) / 1000);
-  proof.at_most("unproven_served", figure(counts.unproven_served), 0);
+  proof.at_most("unproven_served", figure(counts.unauthenticated_served), 0);
   proof.at_least("revoked_refused", figure(counts.revoked_refused), 1);
   proof.at_most("revoked_served", figure(counts.revoked_served), 0);
-  proof.timed_at_most("revoked_in_force_ms", counts.max_in_force_ms, kMaxInForceMs);
+  proof.timed_at_most("revoked_in_force_ms", counts.max_in_force_ms, kMaxTimeToInForceMs);
   proof.at_most("answers_missing", figure(counts.unanswered), 0);
   proof.at_most("answers_twice", figure(counts.answered_twice), 0);
   proof.at_most("duplicate_mutating", figure(counts.duplicates), 0);
   proof.figure("flood_per_s", figure(counts.flood.sent) / (proof.seconds / 3));
   proof.at_most("flood_served", figure(counts.flood.served), 0);
-  const double calm_ms = p99(counts.calm_ms);
+  const double normal_ms = p99(counts.normal_ms);
   const double flood_ms = p99(counts.flood_ms);
-  proof.figure("innocent_p99_calm_ms", calm_ms);
-  proof.timed_at_most("innocent_p99_ratio", flood_ms / calm_ms, 1.2);
+  proof.figure("innocent_p99_calm_ms", normal_ms);
+  proof.timed_at_most("innocent_p99_ratio", flood_ms / normal_ms, 1.2);
   proof.figure("innocent_refused", figure(counts.valid_refused));
 }
 
@@ -60,7 +60,7 @@
   Proof proof("calling", argc, argv);
   std::signal(SIGPIPE, SIG_IGN);
   report(proof, run_load(proof));
-  if (proof.whole()) {
+  if (proof.is_long_run()) {
     simulate_quotas(proof, {.routers = 1000, .subjects = 1'000'000, .seconds = 30});
   } else {
     simulate_quotas(proof, {.routers = 100, .subjects = 50'000, .seconds = 20});
--- a/proofs/corrupted_metadata.hpp
+++ b/proofs/corrupted_metadata.hpp
@@ -1,4 +1,4 @@
-// Files of each role, corrupted in one place: none may be accepted.
+// Checks that metadata files of each role are refused after random corruption in one place.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -10,7 +10,8 @@
 
 namespace ashbeam::metadata {
 
-// Changes one place in a file; may leave it as it was.
+// Corrupts a file in one place: flips a bit, truncates, inserts, erases, repeats its end or replaces a byte.
+// The result may equal the file.
 inline void corrupt(std::string& bytes, Pcg& random) {
   const std::size_t at = random.next_below(static_cast<std::uint32_t>(bytes.size()));
   switch (random.next_below(6)) {
@@ -42,11 +43,13 @@
   return first && second && first->find("signed")->canonical() == second->find("signed")->canonical();
 }
 
-// No corrupted file may be accepted, but for changes outside of what is signed.
+// Fails the test if a corrupted file is accepted, unless its signed part is unchanged. `tries` is the number
+// of corrupted files.
 inline void check_corrupted_files(Proof& proof, std::uint64_t tries) {
   const Instant now = Instant::at_us(1'800'000'000'000'000);
   Publisher publisher(now + Duration::s(86400));
-  publisher.list_hashes = false;  // or the listed hash would catch most of it before the signature does
+  // Listed hashes would detect most corruptions before the signature is checked.
+  publisher.list_hashes = false;
   publisher.contents["targets"]["app"] = "1";
   const std::string timestamp = publisher.timestamp();
   const std::string snapshot = publisher.snapshot();
--- a/proofs/figures.hpp
+++ b/proofs/figures.hpp
@@ -1,5 +1,6 @@
-// What all fault tests share: their arguments, their figures, one a line on standard output, and the verdict.
-// Order of calls: construct with main's arguments, then figures and bounds, verdict() last.
+// Shared by all fault tests: reads their arguments, prints their figures, one per line on standard output,
+// checks the bounds and prints the verdict. Construct with the arguments of main, then call the functions for
+// figures and bounds, and verdict() last.
 #pragma once
 #include <Poco/Exception.h>
 
@@ -13,9 +14,9 @@
 
 class Proof {
  public:
-  // Exits with status 2 if the arguments are not pairs of `--seconds N` and `--seed N`.
+  // Exits with status 2 unless the arguments are pairs of `--seconds N` and `--seed N`.
   Proof(const char* name, int argc, char** argv) : name_(name) {
-    const bool pairs = argc % 2 == 1;  // beside the program's name
+    const bool pairs = argc % 2 == 1;  // argv[0] is the program's name
     if (!pairs) exit_with_usage();
     for (int i = 1; i < argc; i += 2) read_option(argv[i], argv[i + 1]);
   }
@@ -23,46 +24,51 @@
   double seconds = 30;
   std::uint64_t seed = 1;
 
-  // Prints the figure.
+  // Prints the figure without checking it.
   void figure(const std::string& name, double value) const {
     std::printf("%s %.6g\n", name.c_str(), value);
     std::fflush(stdout);
   }
-  // Prints the figure; the test fails if it is over `most`.
+  // Prints the figure; the test fails if it is greater than `most` or not a number.
   void at_most(const std::string& name, double value, double most) {
     figure(name, value);
-    if (!(value <= most)) broken(name + " " + std::to_string(value) + " over " + std::to_string(most));
+    if (!(value <= most))
+      fail(name + " " + std::to_string(value) + " is greater than the limit " + std::to_string(most));
   }
-  // Prints the figure; the test fails if it is under `least`.
+  // Prints the figure; the test fails if it is less than `least` or not a number.
   void at_least(const std::string& name, double value, double least) {
     figure(name, value);
-    if (!(value >= least)) broken(name + " " + std::to_string(value) + " under " + std::to_string(least));
+    if (!(value >= least))
+      fail(name + " " + std::to_string(value) + " is less than the limit " + std::to_string(least));
   }
-  // Bounds on wall time are judged only in the long form, on a machine that runs nothing else: beside other
-  // work they don't repeat. The short form prints such figures and judges what is counted.
-  bool whole() const { return seconds >= 20; }
+  // Whether this is a long run, of 20 s or more. Bounds on wall time are checked only in a long run, which
+  // has the machine to itself: beside other work such figures don't repeat. A short run prints them and
+  // checks counts only.
+  bool is_long_run() const { return seconds >= 20; }
+  // Like at_most(), but a short run only prints the figure.
   void timed_at_most(const std::string& name, double value, double most) {
-    if (whole()) {
+    if (is_long_run()) {
       at_most(name, value, most);
     } else {
       figure(name, value);
     }
   }
+  // Like at_least(), but a short run only prints the figure.
   void timed_at_least(const std::string& name, double value, double least) {
-    if (whole()) {
+    if (is_long_run()) {
       at_least(name, value, least);
     } else {
       figure(name, value);
     }
   }
-  // The test fails; the first reason is printed.
-  void broken(const std::string& why) {
-    if (why_.empty()) why_ = why;
+  // Fails the test. The verdict names the first reason.
+  void fail(const std::string& reason) {
+    if (failure_.empty()) failure_ = reason;
   }
   // Prints the verdict and returns the program's exit status.
   int verdict() const {
-    std::printf("proof %s: %s\n", name_, why_.empty() ? "held" : ("BROKEN: " + why_).c_str());
-    return why_.empty() ? 0 : 1;
+    std::printf("proof %s: %s\n", name_, failure_.empty() ? "held" : ("BROKEN: " + failure_).c_str());
+    return failure_.empty() ? 0 : 1;
   }
 
  private:
@@ -81,10 +87,10 @@
   }
 
   const char* name_;
-  std::string why_;
+  std::string failure_;
 };
 
-// The main function of a fault test: an exception fails it, too.
+// Runs a fault test and returns its exit status. An exception fails the test.
 inline int run_proof(const char* name, int argc, char** argv, int (*prove)(int, char**)) {
   try {
     return prove(argc, argv);
--- a/proofs/fleet.cpp
+++ b/proofs/fleet.cpp
@@ -1,7 +1,8 @@
-// Fault test of hundreds of routers, each alone with the decision module, in simulated time: see
-// fleet/fleet.hpp. First three fleets without a release, which lose a zone; then one good and one bad
-// release, on a platform that takes few calls a second and needs the votes of two in five routers. The
-// figures are simulated. `--seconds` is the simulated time of each fleet without a release.
+// Fault test of hundreds of routers in simulated time, each of them the decision module alone (see
+// fleet/fleet.hpp). Three fleets run without a release; a zone fails in the first two if they run long
+// enough. Then one good and one bad release run, on a platform that accepts few calls per second and needs
+// the votes of two fifths of the routers. All figures are simulated. `--seconds` is the simulated time of
+// each of the first two fleets; the third runs for one second.
 #include "fleet/fleet.hpp"
 
 #include "figures.hpp"
@@ -18,7 +19,8 @@
   const Duration duration = Duration::s(proof.seconds);
   Fleet({350, 120, proof.seed}, counts).run(duration);
   Fleet({300, 60, proof.seed + 1}, counts).run(duration);
-  Fleet({1024, 1024, proof.seed + 2}, counts).run(Duration::s(1));  // neither has a limit
+  Fleet({1024, 1024, proof.seed + 2}, counts)
+      .run(Duration::s(1));  // 1,024 is a limit of neither routers nor endpoints
   proof.figure("hits_asked", counts.requests);
   proof.at_least("hits_served_part", counts.answered / counts.requests, 0.4);
   proof.figure("routers_started_anew", counts.routers_restarted);
@@ -32,7 +34,7 @@
   proof.at_least("mutating_sent_again", counts.unsafe_retried, 1);
   proof.at_most("mutating_twice", counts.unsafe_repeated, 0);
   proof.at_least("drains_told", counts.drains_notified, 1);
-  proof.at_most("drained_sent", counts.sent_past_drain, 0);
+  proof.at_most("drained_sent", counts.sent_after_drain_grace, 0);
   proof.at_least("trial_sent", counts.canary_sent, 1);
   proof.at_most("over_cap", counts.over_exposure_cap, 0);
 }
@@ -41,7 +43,7 @@
   FleetCounts counts;
   Fleet({kReleaseRouters, kReleaseEndpoints, proof.seed + 3, FleetRelease::kGood}, counts)
       .run(kReleaseDuration);
-  proof.at_least("good_released_after_s", counts.released_after_s, 1);  // 0: never
+  proof.at_least("good_released_after_s", counts.released_after_s, 1);  // 0 if not released
   proof.at_most("good_sent_back", counts.rolled_back_after_s > 0, 0);
   proof.at_least("good_served_part", counts.answered / counts.requests, 0.8);
   proof.at_most("good_cold_fell", counts.cold_overloads, 0);
--- a/proofs/fleet/event_queue.hpp
+++ b/proofs/fleet/event_queue.hpp
@@ -1,4 +1,5 @@
-// The events of a simulated fleet, by time; those of one time in the order in which they were scheduled.
+// The event queue of a simulated fleet. Events are ordered by time, and events of the same time by the order
+// in which they were scheduled.
 #pragma once
 #include <queue>
 #include <variant>
@@ -8,12 +9,13 @@
 
 namespace ashbeam {
 
-// A router's process: events for one that has ended since are dropped.
+// Identifies one run of a router's process. An event for a process that has ended meanwhile is dropped.
 struct RouterProcess {
   unsigned router = 0;
   unsigned incarnation = 0;
 };
 
+// An attempt ends with its result.
 struct AttemptEnded {
   RouterProcess process;
   RequestId request = 0;
@@ -21,35 +23,41 @@
   AttemptResult result = AttemptResult::kOk;
 };
 
+// A wakeup that the router scheduled is due.
 struct Wakeup {
   RouterProcess process;
   std::uint64_t token = 0;
 };
 
+// A client sends a request again that the router rejected or failed.
 struct ClientRetry {
   RouterProcess process;
   unsigned retries_left = 0;
 };
 
+// The release platform's answer to a vote reaches the router.
 struct VoteAnswered {
   RouterProcess process;
   VoteOutcome outcome = VoteOutcome::kAccepted;
 };
 
+// The release state reaches the router.
 struct ReleaseStateNotice {
   RouterProcess process;
 };
 
+// The platform's latest outcome samples reach the router.
 struct OutcomeSampleNotice {
   RouterProcess process;
 };
 
-// For whichever process the router has then.
+// A change of an endpoint reaches the router. It applies to the process that the router has at that time.
 struct EndpointNotice {
   unsigned router = 0;
   EndpointIndex endpoint = 0;
 };
 
+// A newly deployed endpoint starts.
 struct EndpointStarted {
   EndpointIndex endpoint = 0;
 };
--- a/proofs/fleet/fleet.cpp
+++ b/proofs/fleet/fleet.cpp
@@ -9,16 +9,16 @@
 namespace ashbeam {
 namespace {
 
-constexpr double kLoad = 0.6;         // requests, as a part of what all endpoints can do
-constexpr double kQuotaShare = 0.85;  // the tenants' quotas, likewise
+constexpr double kLoadFraction = 0.6;    // requests as a fraction of the capacity of all endpoints
+constexpr double kQuotaFraction = 0.85;  // the tenants' quotas, as the same fraction
 constexpr Duration kStep = Duration::ms(5);
-constexpr Duration kNoticeDelay = Duration::ms(1);
+constexpr Duration kNotificationDelay = Duration::ms(1);
 constexpr Duration kVoteAnswerDelay = Duration::ms(90);
-constexpr Duration kReleaseOffered = Duration::s(3);
-constexpr Duration kZoneLost = Duration::s(3);
-constexpr Duration kZoneRestored = Duration::s(7);
-constexpr Duration kColdRestart = Duration::s(9);
-constexpr Duration kDrain = Duration::s(11);
+constexpr Duration kReleaseStartTime = Duration::s(3);
+constexpr Duration kZoneLossTime = Duration::s(3);
+constexpr Duration kZoneRestoreTime = Duration::s(7);
+constexpr Duration kColdRestartTime = Duration::s(9);
+constexpr Duration kDrainTime = Duration::s(11);
 constexpr unsigned kLostZone = 1;
 constexpr unsigned kClientRetries = 3;
 
@@ -28,12 +28,12 @@
     : release_(fleet.release), counts_(counts), random_(fleet.seed), endpoints_(fleet.endpoints),
       routers_(fleet.routers), platform_(fleet.routers, settings_, counts, *this) {
   capacity_per_s_ = create_endpoints() * 1000 / kMeanWorkMs;
-  settings_ = fleet_settings(fleet.routers, kQuotaShare * capacity_per_s_);
+  settings_ = fleet_settings(fleet.routers, kQuotaFraction * capacity_per_s_);
   if (release_ != FleetRelease::kNone) {
     settings_.bake_time = Duration::ms(1200);
     settings_.max_platform_calls_per_s = fleet.routers / 4.0;
   }
-  share_out_traffic();
+  distribute_traffic();
   for (SimulatedRouter& router : routers_) start_router(router);
 }
 
@@ -43,7 +43,7 @@
     const Duration elapsed = now_ - begin;
     if (release_ == FleetRelease::kNone) {
       run_faults(elapsed);
-    } else if (elapsed >= kReleaseOffered) {
+    } else if (elapsed >= kReleaseStartTime) {
       platform_.run(now_, kStep);
     }
     run_due_events();
@@ -52,7 +52,7 @@
   count_missing_answers();
 }
 
-// ---- Setting up ----
+// ---- Setup ----
 
 double Fleet::create_endpoints() {
   constexpr double kLargeCores = 4.0;
@@ -60,22 +60,22 @@
   double deployed_cores = 0;
   for (unsigned i = 0; i < endpoints_.size(); ++i) {
     SimulatedEndpoint& endpoint = endpoints_[i];
-    const bool released_later = release_ != FleetRelease::kNone && i >= endpoints_.size() / 2;
-    const bool canary_all_along = release_ == FleetRelease::kNone && i % 12 == 5;
+    const bool canary_of_release = release_ != FleetRelease::kNone && i >= endpoints_.size() / 2;
+    const bool always_canary = release_ == FleetRelease::kNone && i % 12 == 5;
     endpoint.zone = i % 2;
-    endpoint.machine_type = released_later ? random_.next_below(2) : i / 2 % 2;
+    endpoint.machine_type = canary_of_release ? random_.next_below(2) : i / 2 % 2;
     endpoint.cores =
         (endpoint.machine_type == 0 ? kLargeCores : kSmallCores) * (0.85 + 0.3 * random_.next_double());
-    if (released_later || canary_all_along) endpoint.version = kCanaryVersion;
-    endpoint.deployed = !released_later;
-    endpoint.up = !released_later;
+    if (canary_of_release || always_canary) endpoint.version = kCanaryVersion;
+    endpoint.deployed = !canary_of_release;
+    endpoint.up = !canary_of_release;
     if (endpoint.deployed) deployed_cores += endpoint.cores;
   }
   return deployed_cores;
 }
 
-// A quarter of the routers see several times the mean.
-void Fleet::share_out_traffic() {
+// A quarter of the routers receive several times the mean traffic.
+void Fleet::distribute_traffic() {
   double weights = 0;
   for (unsigned i = 0; i < routers_.size(); ++i) {
     SimulatedRouter& router = routers_[i];
@@ -84,10 +84,10 @@
     router.requests_per_s = i % 4 == 3 ? 4 : 0.5 + random_.next_double();
     weights += router.requests_per_s;
   }
-  for (SimulatedRouter& router : routers_) router.requests_per_s *= kLoad * capacity_per_s_ / weights;
+  for (SimulatedRouter& router : routers_) router.requests_per_s *= kLoadFraction * capacity_per_s_ / weights;
 }
 
-// A router starts with the list as the process before it had it, without news of what has just happened.
+// Starts a router's process with the list of the previous one, in which the latest changes are missing.
 void Fleet::start_router(SimulatedRouter& router) {
   router.reset(endpoints_.size());
   RouterSettings settings = settings_;
@@ -118,10 +118,10 @@
     Duration at;
     Fault fault;
   };
-  static constexpr ScheduledFault kFaults[] = {{kZoneLost, &Fleet::lose_zone},
-                                               {kZoneRestored, &Fleet::restore_zone},
-                                               {kColdRestart, &Fleet::restart_cold_endpoints},
-                                               {kDrain, &Fleet::drain_endpoints}};
+  static constexpr ScheduledFault kFaults[] = {{kZoneLossTime, &Fleet::lose_zone},
+                                               {kZoneRestoreTime, &Fleet::restore_zone},
+                                               {kColdRestartTime, &Fleet::restart_cold_endpoints},
+                                               {kDrainTime, &Fleet::drain_endpoints}};
   while (next_fault_ < std::size(kFaults) && elapsed >= kFaults[next_fault_].at) {
     const Fault fault = kFaults[next_fault_].fault;
     ++next_fault_;
@@ -172,7 +172,7 @@
   notify_endpoint(endpoint);
 }
 
-// Each router is notified on its own: most soon, some late.
+// Each router is notified separately: most within 1.35 s, one in twenty 3 s later.
 void Fleet::notify_endpoint(EndpointIndex endpoint) {
   for (const SimulatedRouter& router : routers_) {
     const double usual_delay_ms = 250 + 1100 * random_.next_double();
@@ -193,7 +193,7 @@
 
 void Fleet::notify_outcome_samples() {
   for (const SimulatedRouter& router : routers_)
-    events_.schedule(now_ + kNoticeDelay, OutcomeSampleNotice{router.process()});
+    events_.schedule(now_ + kNotificationDelay, OutcomeSampleNotice{router.process()});
 }
 
 Duration Fleet::start_canary_endpoints(double fraction) {
@@ -224,7 +224,7 @@
 
 void Fleet::send_due_requests() {
   for (SimulatedRouter& router : routers_) {
-    // The load balancer before the routers spreads a lost router's clients over the others.
+    // The load balancer in front of the routers spreads the clients of lost routers over the others.
     const double lost_routers_factor = zone_lost_ ? 2 : 1;
     const double per_s = router.policy ? router.requests_per_s * lost_routers_factor : 0;
     router.requests_due += per_s * kStep.s() * 2 * random_.next_double();
@@ -249,7 +249,7 @@
   if (now_ > request.deadline) ++counts_.missing_answers;
   request.done = true;
   if (request.client_retries == 0) return;
-  // Some clients honour Retry-After, some retry at once.
+  // Half of the clients honour Retry-After, the others retry soon.
   const bool honours_retry_after = random_.next_below(2) == 0;
   const Duration wait =
       honours_retry_after ? retry_after + Duration::ms(30) : Duration::ms(30 + 200 * random_.next_double());
--- a/proofs/fleet/fleet.hpp
+++ b/proofs/fleet/fleet.hpp
@@ -1,8 +1,9 @@
-// Many routers before endpoints that they share, in simulated time. Without a release: a zone is lost with
-// its routers and comes back cold, some of its endpoints start again before they were ever warm, some drain,
-// and a twelfth of the endpoints runs the canary all along. With a release: each stage starts cold endpoints
-// beside the stable ones, of uneven sizes and zones. Notices come late and unevenly, traffic is uneven, and
-// clients retry.
+// Simulates a fleet of routers that share their endpoints, in simulated time.
+//
+// Without a release, a zone fails with its routers and returns with cold endpoints, some endpoints restart
+// before they are warm, some drain, and one in twelve runs the canary throughout. With a release, each stage
+// starts cold endpoints of different sizes and zones beside the stable ones. In both cases notifications
+// reach the routers late and at different times, traffic is spread unevenly, and clients retry.
 #pragma once
 #include <vector>
 
@@ -26,11 +27,11 @@
 
 class Fleet : private SimulatedNetwork, private PlatformActions {
  public:
-  // Adds to `counts`, which has to outlive it.
+  // Adds to `counts`, which must outlive this object.
   Fleet(const FleetSettings& fleet, FleetCounts& counts);
   Fleet(const Fleet&) = delete;
   Fleet& operator=(const Fleet&) = delete;
-  // Runs it for a simulated time. To be called once.
+  // Runs the fleet for this much simulated time. To be called once.
   void run(Duration duration);
 
  private:
@@ -40,12 +41,12 @@
     AttemptResult result = AttemptResult::kOk;
   };
 
-  // Setting up.
-  double create_endpoints();  // returns the cores of those that are deployed
-  void share_out_traffic();
+  // Setup.
+  double create_endpoints();  // returns the number of cores of the deployed endpoints
+  void distribute_traffic();
   void start_router(SimulatedRouter& router);
 
-  // Faults, without a release.
+  // Faults, injected only without a release.
   void run_faults(Duration elapsed);
   void lose_zone();
   void restore_zone();
@@ -63,7 +64,7 @@
   // Attempts.
   void count_attempt(SimulatedRouter& router, const SimulatedRequest& request, EndpointIndex endpoint);
   void count_canary_attempt(SimulatedRouter& router, unsigned request_class);
-  void count_cold_load(SimulatedEndpoint& endpoint);
+  void count_overload(SimulatedEndpoint& endpoint);
   AttemptResult attempt_result(const SimulatedEndpoint& endpoint, Instant end, Instant deadline);
   SimulatedAnswer serve(SimulatedEndpoint& endpoint, const SimulatedRequest& request);
 
@@ -95,7 +96,7 @@
   Pcg random_;
   Instant now_ = Instant::at_us(1'000'000'000);
   RouterSettings settings_;
-  double capacity_per_s_ = 0;  // requests, of all deployed endpoints
+  double capacity_per_s_ = 0;  // requests that all deployed endpoints can serve per second
   std::vector<SimulatedEndpoint> endpoints_;
   std::vector<SimulatedRouter> routers_;
   SimulatedPlatform platform_;
--- a/proofs/fleet/fleet_attempts.cpp
+++ b/proofs/fleet/fleet_attempts.cpp
@@ -1,4 +1,4 @@
-// The part of a simulated fleet that carries attempts to endpoints, and the handling of its events.
+// The attempts of a simulated fleet at its endpoints, and the handling of its events.
 #include <algorithm>
 #include <cmath>
 #include <deque>
@@ -12,7 +12,7 @@
 constexpr Duration kNetworkDelay = Duration::ms(1);
 constexpr Duration kConnectTimeout = Duration::ms(250);
 constexpr Duration kCancelDelay = Duration::ms(5);
-constexpr Duration kMaxQueue = Duration::s(2);  // an endpoint rejects what would wait longer
+constexpr Duration kMaxQueue = Duration::s(2);  // an endpoint rejects requests while its queue is longer
 constexpr unsigned kUnsafeClass = 2;
 constexpr unsigned kBadReleaseErrorOneIn = 3;
 constexpr unsigned kSampledOneIn = 10;
@@ -46,7 +46,7 @@
     if (!request.attempts.empty()) ++counts_.unsafe_retried;
     if (may_have_run) ++counts_.unsafe_repeated;
   }
-  if (now_ - router.drain_notified_at[endpoint] > settings_.drain_grace) ++counts_.sent_past_drain;
+  if (now_ - router.drain_notified_at[endpoint] > settings_.drain_grace) ++counts_.sent_after_drain_grace;
   if (endpoints_[endpoint].version == kCanaryVersion) count_canary_attempt(router, request.request_class);
 }
 
@@ -67,8 +67,8 @@
 Fleet::SimulatedAnswer Fleet::serve(SimulatedEndpoint& endpoint, const SimulatedRequest& request) {
   const double work_ms = -std::log(1 - random_.next_double()) * kMeanWorkMs;
   endpoint.add_work(now_, work_ms, settings_);
-  const bool cold = endpoint.cold(now_, settings_);
-  if (cold) count_cold_load(endpoint);
+  const bool cold = endpoint.is_cold(now_, settings_);
+  if (cold) count_overload(endpoint);
   const Instant queue_end = endpoint.enqueue(now_, work_ms, settings_);
   const Instant end = std::max(queue_end, now_ + Duration::ms(work_ms)) + kNetworkDelay;
   const AttemptResult result = attempt_result(endpoint, end, request.deadline);
@@ -80,10 +80,10 @@
   return {rejected ? now_ + kNetworkDelay * 2 : std::min(end, request.deadline), result};
 }
 
-void Fleet::count_cold_load(SimulatedEndpoint& endpoint) {
-  const double failing_work_ms = endpoint.failing_work_ms(now_, settings_);
-  counts_.cold_peak_ratio = std::max(counts_.cold_peak_ratio, endpoint.window_work_ms() / failing_work_ms);
-  if (endpoint.window_work_ms() <= failing_work_ms) return;
+void Fleet::count_overload(SimulatedEndpoint& endpoint) {
+  const double overload_work_ms = endpoint.overload_work_ms(now_, settings_);
+  counts_.cold_peak_ratio = std::max(counts_.cold_peak_ratio, endpoint.window_work_ms() / overload_work_ms);
+  if (endpoint.window_work_ms() <= overload_work_ms) return;
   endpoint.overloaded = true;
   ++counts_.cold_overloads;
 }
@@ -117,7 +117,7 @@
   }
 }
 
-// With its time set; null: that process has ended.
+// Returns the router with its clock set to now, or null if that process has ended.
 SimulatedRouter* Fleet::running_router(const RouterProcess& process) {
   SimulatedRouter& router = routers_[process.router];
   if (!router.policy || process.incarnation != router.incarnation) return nullptr;
--- a/proofs/fleet/fleet_settings.hpp
+++ b/proofs/fleet/fleet_settings.hpp
@@ -1,5 +1,5 @@
-// The settings of one router of a fleet: three request classes, one of each idempotency, two zones, two
-// machine types, three stages. Shared by the fault test of fleets and the benchmark of decisions.
+// The settings of a router of the simulated fleet: three request classes, one per idempotency, two zones, two
+// machine types and three stages. The fault test of fleets and the benchmark of router decisions share them.
 #pragma once
 #include "policy/router_policy.hpp"
 
@@ -9,7 +9,7 @@
   return {idempotency, IdempotencyScope::kZone, Duration::ms(700), Duration::ms(2400), Duration::s(5), 1, 0};
 }
 
-// `quota_per_s`: requests a second within the tenants' quotas, all routers together.
+// `quota_per_s` is the tenants' quota for all routers together, in requests per second.
 inline RouterSettings fleet_settings(unsigned routers, double quota_per_s) {
   RouterSettings settings;
   settings.request_classes = {fleet_request_class(Idempotency::kIdempotent),
--- a/proofs/fleet/simulated_endpoint.cpp
+++ b/proofs/fleet/simulated_endpoint.cpp
@@ -6,7 +6,8 @@
 namespace ashbeam {
 namespace {
 
-// Standard deviations past its budget at which an endpoint fails, so that chance alone does not count.
+// An endpoint fails this many standard deviations beyond its budget, so that random variation of the work
+// alone does not make it fail.
 constexpr double kOverloadDeviations = 2;
 
 }  // namespace
@@ -18,7 +19,7 @@
   answered_since_cold = false;
 }
 
-bool SimulatedEndpoint::cold(Instant now, const RouterSettings& settings) const {
+bool SimulatedEndpoint::is_cold(Instant now, const RouterSettings& settings) const {
   return now - started_at < settings.slow_start_duration;
 }
 
@@ -31,10 +32,10 @@
   }
 }
 
-double SimulatedEndpoint::failing_work_ms(Instant now, const RouterSettings& settings) const {
+double SimulatedEndpoint::overload_work_ms(Instant now, const RouterSettings& settings) const {
   const double budget_ms =
       settings.overload_factor * capacity(now, settings) * cores * settings.slow_start_window.ms();
-  // The work of a request is distributed exponentially.
+  // The work of a request is distributed exponentially, hence the variance of 2 * budget * mean.
   return budget_ms + kOverloadDeviations * std::sqrt(2 * budget_ms * kMeanWorkMs);
 }
 
@@ -44,8 +45,8 @@
 }
 
 double SimulatedEndpoint::capacity(Instant now, const RouterSettings& settings) const {
-  const double warmed = std::clamp((now - started_at) / settings.slow_start_duration, 0.0, 1.0);
-  return settings.initial_capacity_fraction + (1 - settings.initial_capacity_fraction) * warmed;
+  const double warm_fraction = std::clamp((now - started_at) / settings.slow_start_duration, 0.0, 1.0);
+  return settings.initial_capacity_fraction + (1 - settings.initial_capacity_fraction) * warm_fraction;
 }
 
 }  // namespace ashbeam
--- a/proofs/fleet/simulated_platform.cpp
+++ b/proofs/fleet/simulated_platform.cpp
@@ -9,13 +9,14 @@
 namespace {
 
 constexpr Duration kSampleInterval = Duration::s(2);
-constexpr Duration kBakeMargin = Duration::s(1);  // after the stage's last endpoint is up
+// From the start of the stage's last endpoint until the bake time begins.
+constexpr Duration kBakeMargin = Duration::s(1);
 
 }  // namespace
 
 void SimulatedPlatform::run(Instant now, Duration step) {
-  if (offered_at_ == Instant()) {
-    offered_at_ = now;
+  if (release_started_at_ == Instant()) {
+    release_started_at_ = now;
     begin_stage(0, now);
   }
   available_calls_ = std::min(available_calls_ + settings_.max_platform_calls_per_s * step.s(),
@@ -57,7 +58,7 @@
 
 void SimulatedPlatform::roll_back(Instant now) {
   phase_ = ReleasePhase::kRollingBack;
-  counts_.rolled_back_after_s = (now - offered_at_).s();
+  counts_.rolled_back_after_s = (now - release_started_at_).s();
   actions_.drain_canary_endpoints();
   actions_.notify_release_state();
 }
@@ -68,7 +69,7 @@
     return;
   }
   phase_ = ReleasePhase::kReleased;
-  counts_.released_after_s = (now - offered_at_).s();
+  counts_.released_after_s = (now - release_started_at_).s();
   actions_.notify_release_state();
 }
 
--- a/proofs/fleet/simulated_platform.hpp
+++ b/proofs/fleet/simulated_platform.hpp
@@ -1,6 +1,6 @@
-// A release platform in simulated time: it takes few calls a second, collects the routers' votes and moves a
-// release through its stages, or rolls it back. Order of calls: run() at each step of time while there is a
-// release.
+// A release platform in simulated time. It accepts a limited number of calls per second, collects the
+// routers' votes, and moves a release through its stages or rolls it back. While there is a release, run()
+// has to be called at each step of the simulated time.
 #pragma once
 #include <array>
 #include <vector>
@@ -13,25 +13,26 @@
 
 constexpr unsigned kRequestClasses = 3;
 
-// What the platform does to the fleet.
+// The platform's effects on the fleet.
 class PlatformActions {
  public:
   virtual ~PlatformActions() = default;
   virtual void notify_release_state() = 0;
   virtual void notify_outcome_samples() = 0;
-  // Starts canary endpoints until they are this part of all; returns when the last one will be up.
+  // Starts canary endpoints until this fraction of them is deployed. Returns the time until the last one is
+  // up.
   virtual Duration start_canary_endpoints(double fraction) = 0;
   virtual void drain_canary_endpoints() = 0;
 };
 
 class SimulatedPlatform {
  public:
-  // `settings`, `counts` and `actions` have to outlive it.
+  // `settings`, `counts` and `actions` must outlive this object.
   SimulatedPlatform(unsigned routers, const RouterSettings& settings, FleetCounts& counts,
                     PlatformActions& actions)
       : settings_(settings), counts_(counts), actions_(actions), votes_(routers) {}
 
-  // `step`: the time since the call before.
+  // `step` is the time since the previous call.
   void run(Instant now, Duration step);
   VoteOutcome receive_vote(unsigned router, unsigned stage, Vote vote, Instant now);
   ReleaseState release_state(Instant now) const;
@@ -65,8 +66,8 @@
   PlatformActions& actions_;
   unsigned stage_ = 0;
   ReleasePhase phase_ = ReleasePhase::kCanary;
-  Instant offered_at_;      // unset: not yet
-  Instant stage_began_at_;  // for the routers
+  Instant release_started_at_;  // when the release started; the far past before that
+  Instant stage_began_at_;      // start of the stage, as reported to the routers
   Instant bake_began_at_;
   double available_calls_ = 0;
   VersionOutcomes counted_outcomes_{};
--- a/proofs/fleet/simulated_router.hpp
+++ b/proofs/fleet/simulated_router.hpp
@@ -1,5 +1,5 @@
-// One router of a simulated fleet: the decision module with its requests, and the checks' memory of what it
-// was notified of. Its actions go on to the network of the fleet.
+// A router of a simulated fleet: the decision module, its requests, and what the checks record of the
+// router's notifications and attempts. It forwards the module's actions to the fleet's network.
 #pragma once
 #include <array>
 #include <deque>
@@ -15,13 +15,14 @@
 
 class SimulatedRouter;
 
-// What the routers act on.
+// Carries out the actions of the routers.
 class SimulatedNetwork {
  public:
   virtual ~SimulatedNetwork() = default;
   virtual void send_attempt(SimulatedRouter& router, RequestId request, EndpointIndex endpoint) = 0;
   virtual void cancel_attempt(SimulatedRouter& router, RequestId request, unsigned attempt) = 0;
-  // The router answers the request itself. `retry_after` may be zero.
+  // The router answers the request itself, by rejecting or failing it. `retry_after` is zero if the answer
+  // has none.
   virtual void end_request(SimulatedRouter& router, RequestId request, Duration retry_after) = 0;
   virtual void schedule_wakeup(SimulatedRouter& router, Duration delay, std::uint64_t token) = 0;
   virtual void cast_vote(SimulatedRouter& router, unsigned stage, Vote vote) = 0;
@@ -36,7 +37,7 @@
 
 struct SimulatedRequest {
   unsigned request_class = 0;
-  unsigned client_retries = 0;  // that its client has left
+  unsigned client_retries = 0;  // retries that its client has left
   Instant deadline;
   bool done = false;
   std::vector<SimulatedAttempt> attempts;
@@ -46,18 +47,19 @@
  public:
   SimulatedNetwork* network = nullptr;
   unsigned index = 0;
-  unsigned incarnation = 0;  // counts its starts and its losses
+  unsigned incarnation = 0;  // incremented by each start and each loss of the process
   double requests_per_s = 0;
   double requests_due = 0;
-  std::unique_ptr<RouterPolicy> policy;  // null: the router is lost
+  std::unique_ptr<RouterPolicy> policy;  // null while the router is down
   std::vector<SimulatedRequest> requests;
-  std::vector<Instant> drain_notified_at;  // by endpoint
+  std::vector<Instant> drain_notified_at;  // by endpoint; Instant::never() if not notified
+  // Arrivals and canary attempts within the exposure window, by request class.
   std::array<std::deque<Instant>, kRequestClasses> requests_at;
   std::array<std::deque<Instant>, kRequestClasses> canary_attempts_at;
 
   RouterProcess process() const { return {index, incarnation}; }
 
-  // Forgets what the process before it had.
+  // Clears the state of the previous process.
   void reset(std::size_t endpoints) {
     ++incarnation;
     requests.clear();
--- a/proofs/metadata.cpp
+++ b/proofs/metadata.cpp
@@ -1,6 +1,6 @@
-// Fault test of update metadata: a repository that publishes all the time, endpoints that take in each
-// version at their own pace and then serve bad files, and one router to clients that follow TUF's workflow
-// themselves. Before that, corrupted files in great number, given to the client's workflow alone.
+// Fault test of the metadata verifier. First, many corrupted files are given to the client workflow of TUF
+// alone. Then clients that follow this workflow fetch metadata through one router. The repository publishes
+// all the time, endpoints replicate each version with a delay, and in the second half some serve bad files.
 #include <csignal>
 #include <memory>
 #include <string>
@@ -33,11 +33,11 @@
 struct Counts {
   std::uint64_t requests = 0;
   std::uint64_t accepted_files = 0;
-  std::uint64_t updates = 0;       // complete ones
-  std::uint64_t bad_served = 0;    // files that the router passed and the client refused
-  std::uint64_t refused_good = 0;  // by the router, before any endpoint serves bad files
+  std::uint64_t updates = 0;       // completed runs of the workflow
+  std::uint64_t bad_served = 0;    // files that the router forwarded and the client refused
+  std::uint64_t refused_good = 0;  // refused by the router before any endpoint served bad files
   std::uint64_t refused_while_bad = 0;
-  std::uint64_t refused_rollback = 0;  // endpoints lag: all that were tried had an older timestamp
+  std::uint64_t refused_rollback = 0;  // all endpoints that were tried lagged behind with an older timestamp
   std::uint64_t missing_answers = 0;
   std::uint64_t repeated_answers = 0;
   std::uint64_t bad_files = 0;  // served by endpoints
@@ -45,7 +45,7 @@
   std::uint64_t new_roots = 0;
 };
 
-// The set-up of a router that verifies the repository's metadata.
+// Returns the setup of a router that verifies the repository's metadata.
 RouterThread::SetUp verify_metadata(const std::string& root) {
   return [root](const RouterThread::Parts& parts) {
     parts.service.set_metadata_verifier(
@@ -85,7 +85,7 @@
   return {};
 }
 
-// Roots are fetched until there is none.
+// Returns the step after a file was accepted. The root step repeats until there is no newer root.
 UpdateStep next_step(UpdateStep step) {
   switch (step) {
     case UpdateStep::kTimestamp:
@@ -108,7 +108,8 @@
           [this, i](const http::Head& head, const std::string&) { return serve(i, head); });
     }
     router_ = std::make_unique<RouterThread>(router_configuration(kMaxAttempts, kRequestClasses),
-                                             surroundings_.site(), verify_metadata(repository_.first_root()));
+                                             surroundings_.instance_settings(),
+                                             verify_metadata(repository_.first_root()));
   }
 
   const Counts& run() {
@@ -132,7 +133,7 @@
   }
 
  private:
-  // Follows TUF's workflow over and over.
+  // A client that repeats TUF's client workflow.
   struct UpdatingClient {
     explicit UpdatingClient(FaultTest& test)
         : connection(test.loop_, test.limits_, test.router_->address()),
@@ -159,7 +160,7 @@
     replicate(repository_.published());
   }
 
-  // Endpoints take in a version within a part of the lag.
+  // Each endpoint replicates the version after less than 0.4 s, which is well within kLag.
   void replicate(std::size_t version) {
     for (unsigned i = 0; i < kEndpoints; ++i) {
       auto timer = std::make_shared<Timer>(loop_, [this, i, version] { repository_.replicate(i, version); });
@@ -182,7 +183,7 @@
     answer.body = *file;
     if (!serves_bad_files() || endpoint >= kBadEndpoints || random_.next_below(2) == 0) return answer;
     ++counts_.bad_files;
-    repository_.spoil(name, answer.body, loop_.now(), random_);
+    repository_.make_bad(name, answer.body, loop_.now(), random_);
     return answer;
   }
 
@@ -233,14 +234,14 @@
       ++counts_.refused_while_bad;
     } else {
       ++counts_.refused_good;
-      std::printf("# refused %s: %s\n", client.file.c_str(), refusal.c_str());
+      std::printf("# router refused valid file %s: %s\n", client.file.c_str(), refusal.c_str());
     }
   }
 
   void on_file(UpdatingClient& client, const std::string& bytes) {
     TrustUpdate update = update_with(client.step, client.trust, bytes, loop_.now());
     if (update.refusal) {
-      // Keys that were rotated between the client's root and its timestamp are no fault of the file.
+      // If keys were rotated after the client fetched its root, a valid timestamp misses the threshold.
       const bool rotated =
           client.step == UpdateStep::kTimestamp && update.refusal.reason == RefusalReason::kThreshold;
       if (!rotated) count_bad(client, update.refusal);
@@ -257,7 +258,8 @@
     constexpr std::uint64_t kShown = 5;
     ++counts_.bad_served;
     if (counts_.bad_served <= kShown)
-      std::printf("# bad %s: %s\n", client.file.c_str(), refusal.line().c_str());
+      std::printf("# router forwarded bad file %s, refused by the client: %s\n", client.file.c_str(),
+                  refusal.line().c_str());
   }
 
   Proof& proof_;
@@ -295,7 +297,7 @@
 int prove(int argc, char** argv) {
   Proof proof("metadata", argc, argv);
   std::signal(SIGPIPE, SIG_IGN);
-  check_corrupted_files(proof, proof.whole() ? 100'000 : 10'000);
+  check_corrupted_files(proof, proof.is_long_run() ? 100'000 : 10'000);
   Counts counts;
   {
     FaultTest test(proof);
--- a/proofs/operator_files.hpp
+++ b/proofs/operator_files.hpp
@@ -1,4 +1,5 @@
-// The folder that an operator and an identity service write into: the operator's file, keys and certificates.
+// A temporary folder with the files that an operator and an identity service provide for a router: the
+// operator's configuration, token signing keys and certificates.
 #pragma once
 #include <stdlib.h>
 #include <sys/stat.h>
@@ -18,7 +19,7 @@
  public:
   OperatorFiles() {
     char name[] = "/tmp/ashbeam-proof-XXXXXX";
-    if (!::mkdtemp(name)) throw std::runtime_error("no folder can be made");
+    if (!::mkdtemp(name)) throw std::runtime_error("mkdtemp failed: /tmp/ashbeam-proof-XXXXXX");
     folder_ = name;
     ::mkdir(path("keys").c_str(), 0755);
     const fakes::Identity server = authority.issue("", "router", Duration::s(86400), true);
@@ -47,7 +48,7 @@
   void write_keys(const std::vector<tokens::KeyEntry>& keys) const {
     write_file(path("keys/ring.json"), tokens::serialize_key_set(keys), 0644);
   }
-  // `lines` as in the operator's file of revoked certificates.
+  // Writes the operator's file of revoked certificates.
   void write_revoked(const std::string& lines) const { write_file(path("revoked"), lines, 0644); }
 
   fakes::CertificateAuthority authority{"authority"};
--- a/proofs/quota_simulation.cpp
+++ b/proofs/quota_simulation.cpp
@@ -20,18 +20,18 @@
 constexpr double kRoutersPerSubject = 2;
 constexpr double kPeakFactor = 4;
 constexpr Duration kBank = Duration::s(10);
-constexpr unsigned kCheatsRouters = 50;  // that a cheating subject is on at once
-constexpr double kDealS = 15;            // how long a subject stays on its routers
+constexpr unsigned kRoutersPerCheatingSubject = 50;  // routers that a cheating subject uses at once
+constexpr double kReassignmentIntervalS = 15;        // time for which a subject keeps its routers
 constexpr double kStepS = 0.02;
 const Instant kBegin = Instant::at_us(1'700'000'000'000'000);
 
-bool cheats(unsigned subject) { return subject % 1000 == 7; }
-bool greedy(unsigned subject) { return subject % 2 == 0 || cheats(subject); }
+bool is_cheating(unsigned subject) { return subject % 1000 == 7; }
+bool is_greedy(unsigned subject) { return subject % 2 == 0 || is_cheating(subject); }
 
 class QuotaSimulation {
  public:
   QuotaSimulation(std::uint64_t seed, const QuotaSimulationSettings& settings)
-      : settings_(settings), chance_(seed),
+      : settings_(settings), random_(seed),
         subject_rate_(RouterLimit::share_of({kLimitPerS, kBurst, 0}, kRoutersPerSubject, kPeakFactor, kBank)),
         tenant_limit_{kLimitPerS * settings.subjects, 1000.0 * settings.routers, 0},
         tenant_rate_(RouterLimit::share_of(tenant_limit_, settings.routers, kPeakFactor, kBank)),
@@ -42,14 +42,14 @@
     }
   }
 
-  // Steps of 20 ms; in each, subjects drawn at random send a request, the greedy three times as often as they
-  // may.
+  // Simulates steps of 20 ms. In each, randomly drawn subjects send a request; greedy subjects send at three
+  // times their limit, the others at half of it.
   void run() {
     const double requests_per_s = settings_.subjects * kLimitPerS * (0.5 * 3 + 0.5 * 0.5);
     double due = 0;
     for (double t = 0; t < settings_.seconds; t += kStepS) {
       const Instant now = kBegin + Duration::s(t);
-      send_waiting(now);
+      send_due_retries(now);
       for (due += requests_per_s * kStepS; due >= 1; due -= 1) send_random(t, now);
       send_cheating(now);
     }
@@ -64,16 +64,18 @@
     proof.figure("sim_hits", static_cast<double>(sent_));
     proof.figure("sim_bytes_per_subject",
                  static_cast<double>(tables_[0].size_bytes()) * settings_.routers / settings_.subjects);
-    // Each router that a subject meets admits r (T + bank) + burst at most; here two at a time, dealt anew
-    // 1 + T / 15 times, each time with what a fresh bucket gives.
-    const double deals = 1 + std::ceil(settings_.seconds / kDealS);
-    proof.at_most("over_limit_ratio", greedy_ratio, (kLimitPerS * settings_.seconds + deals * kBurst) / fair);
+    // A router admits at most r (T + bank) + burst requests of a subject, where r is its share of the limit
+    // and T the time. Here a subject has two routers at a time, assigned 1 + T / 15 times, and each
+    // assignment gives it the burst of new buckets.
+    const double assignments = 1 + std::ceil(settings_.seconds / kReassignmentIntervalS);
+    proof.at_most("over_limit_ratio", greedy_ratio,
+                  (kLimitPerS * settings_.seconds + assignments * kBurst) / fair);
     proof.at_most("over_limit_worst_ratio", totals.greedy_most / fair,
-                  (kLimitPerS * (settings_.seconds + kBank.s()) + deals * kBurst) / fair);
+                  (kLimitPerS * (settings_.seconds + kBank.s()) + assignments * kBurst) / fair);
     proof.at_most("room_unused_ratio", std::max(0.0, 1 - greedy_ratio), 0.25);
     proof.at_most("cheats_ratio",
                   totals.cheats_admitted / (static_cast<double>(totals.cheating_subjects) * fair),
-                  kCheatsRouters / kRoutersPerSubject);
+                  kRoutersPerCheatingSubject / kRoutersPerSubject);
     const double tenant_fair =
         tenant_limit_.requests_per_s * settings_.seconds + tenant_limit_.burst_requests;
     proof.at_most(
@@ -93,13 +95,13 @@
   };
   struct Totals {
     double greedy_admitted = 0;
-    double greedy_most = 0;  // of one subject
+    double greedy_most = 0;  // maximum of one greedy subject
     double cheats_admitted = 0;
     std::uint64_t greedy_subjects = 0;
     std::uint64_t cheating_subjects = 0;
   };
 
-  // The wait that it is told; 0: it is admitted.
+  // Returns 0 if the request is admitted, else the wait before a retry, in nanoseconds.
   std::int64_t send(unsigned subject, unsigned router, Instant now) {
     const std::int64_t now_ns = nanoseconds_of(now);
     const std::uint64_t hash = (subject + 1) * 0x9e3779b97f4a7c15ULL;
@@ -120,14 +122,14 @@
   }
 
   unsigned router_of(unsigned subject, unsigned connection, double t) const {
-    const auto deal = static_cast<std::uint64_t>((t + subject % 15) / kDealS);
-    std::uint64_t hash =
-        ((deal << 40U) + static_cast<std::uint64_t>(subject) * 64 + connection + 1) * 0xbf58476d1ce4e5b9ULL;
+    const auto assignment = static_cast<std::uint64_t>((t + subject % 15) / kReassignmentIntervalS);
+    std::uint64_t hash = ((assignment << 40U) + static_cast<std::uint64_t>(subject) * 64 + connection + 1) *
+                         0xbf58476d1ce4e5b9ULL;
     hash ^= hash >> 29U;
     return static_cast<unsigned>((hash * 0x94d049bb133111ebULL >> 32U) % settings_.routers);
   }
 
-  void send_waiting(Instant now) {
+  void send_due_retries(Instant now) {
     while (!retries_.empty() && retries_.begin()->first <= (now - kBegin).us() / 1000) {
       for (const Retry& retry : retries_.begin()->second) {
         ++retried_;
@@ -138,32 +140,32 @@
   }
 
   void send_random(double t, Instant now) {
-    unsigned subject = chance_.next_below(settings_.subjects / 2) * 2;
-    if (chance_.next_below(7) == 0) subject += 1;  // 3 : 0.5
-    if (cheats(subject)) return;
-    const unsigned router = router_of(subject, chance_.next_below(2), t);
+    unsigned subject = random_.next_below(settings_.subjects / 2) * 2;
+    if (random_.next_below(7) == 0) subject += 1;  // greedy to others: 3 to 0.5
+    if (is_cheating(subject)) return;
+    const unsigned router = router_of(subject, random_.next_below(2), t);
     ++sent_;
     const std::int64_t wait_ns = send(subject, router, now);
-    // One in twenty comes back when it was told to, the others give up.
-    if (wait_ns > 0 && chance_.next_below(20) == 0)
+    // One in twenty retries after the given wait; the others give up.
+    if (wait_ns > 0 && random_.next_below(20) == 0)
       retries_[((now - kBegin).us() + wait_ns / 1000) / 1000 + 1].push_back({subject, router});
   }
 
-  // Ten times their limit each.
+  // Each cheating subject sends at ten times its limit.
   void send_cheating(Instant now) {
     for (unsigned subject = 7; subject < settings_.subjects; subject += 1000) {
-      if (chance_.next_double() < kLimitPerS * 10 * kStepS)
-        send(subject, router_of(subject, chance_.next_below(kCheatsRouters), 0), now);
+      if (random_.next_double() < kLimitPerS * 10 * kStepS)
+        send(subject, router_of(subject, random_.next_below(kRoutersPerCheatingSubject), 0), now);
     }
   }
 
   Totals totals_by_kind() const {
     Totals totals;
     for (unsigned subject = 0; subject < settings_.subjects; ++subject) {
-      if (cheats(subject)) {
+      if (is_cheating(subject)) {
         ++totals.cheating_subjects;
         totals.cheats_admitted += admitted_[subject];
-      } else if (greedy(subject)) {
+      } else if (is_greedy(subject)) {
         ++totals.greedy_subjects;
         totals.greedy_admitted += admitted_[subject];
         totals.greedy_most = std::max(totals.greedy_most, static_cast<double>(admitted_[subject]));
@@ -173,7 +175,7 @@
   }
 
   QuotaSimulationSettings settings_;
-  Pcg chance_;
+  Pcg random_;
   RouterLimit subject_rate_;
   Limit tenant_limit_;
   RouterLimit tenant_rate_;
@@ -184,7 +186,7 @@
   std::uint64_t sent_ = 0;
   std::uint64_t retried_ = 0;
   std::uint64_t retried_admitted_ = 0;
-  std::map<std::int64_t, std::vector<Retry>> retries_;  // by millisecond: when they come back
+  std::map<std::int64_t, std::vector<Retry>> retries_;  // by the millisecond of the retry
 };
 
 }  // namespace
--- a/proofs/quota_simulation.hpp
+++ b/proofs/quota_simulation.hpp
@@ -1,7 +1,7 @@
-// Quotas of many routers in simulated time. Subjects of one tenant are on two routers each, as a front deals
-// out two connections, and on two others every 15 s; a thousandth cheat, on fifty at once. Half ask for less
-// than their limit, half for three times as much. The tenant's own limit is what all its subjects' limits
-// come to.
+// Simulates the quotas of many routers in simulated time. Each subject of one tenant uses two routers, as a
+// load balancer assigns its two connections, and two others every 15 s. One subject in a thousand cheats by
+// using fifty routers at once. Half of the subjects send less than their limit, half three times as much. The
+// tenant's limit is the sum of its subjects' limits.
 #pragma once
 #include "figures.hpp"
 
@@ -10,10 +10,10 @@
 struct QuotaSimulationSettings {
   unsigned routers = 0;
   unsigned subjects = 0;
-  double seconds = 0;  // of simulated time
+  double seconds = 0;  // simulated time
 };
 
-// Adds its figures and their bounds to `proof`.
+// Runs the simulation, prints its figures and checks their bounds with `proof`.
 void simulate_quotas(Proof& proof, const QuotaSimulationSettings& settings);
 
 }  // namespace ashbeam
--- a/proofs/replicated_repository.hpp
+++ b/proofs/replicated_repository.hpp
@@ -1,5 +1,5 @@
-// A repository that publishes version after version, the endpoints that take each of them in at their own
-// pace, and the bad files that some of them serve.
+// A TUF repository that publishes successive versions, and the endpoints that replicate each version with a
+// delay of their own. It also produces the bad files that some endpoints serve.
 #pragma once
 #include <algorithm>
 #include <cstddef>
@@ -24,7 +24,8 @@
   std::size_t published() const { return versions_.size() - 1; }
   std::size_t new_roots() const { return new_roots_; }
 
-  // Every fifth version has a new root, in turn with other timestamp keys and with other root keys.
+  // Publishes the next version. Every fifth version has a new root, in turn with new timestamp keys and with
+  // new root keys.
   void publish() {
     ++publisher_.versions["targets"];
     ++publisher_.versions["snapshot"];
@@ -42,7 +43,7 @@
     auto files = publisher_.files();
     if (new_root)
       files[std::to_string(publisher_.versions["root"]) + ".root.json"] = publisher_.root(&former_root);
-    // A consistent snapshot: an endpoint that holds this version holds the older ones' files, too.
+    // Consistent snapshots (TUF): an endpoint that has this version has the files of older versions, too.
     for (const auto& [name, bytes] : versions_.back()) {
       if (name != "timestamp.json") files.emplace(name, bytes);
     }
@@ -53,15 +54,16 @@
     held_version_[endpoint] = std::max(held_version_[endpoint], version);
   }
 
-  // What the endpoint has by that name; null: nothing. The files that a newer timestamp leads to are there
-  // before it.
+  // Returns the endpoint's file of that name, or null. An endpoint has the files that a newer timestamp leads
+  // to before that timestamp.
   const std::string* find(unsigned endpoint, const std::string& name) const {
     const auto& files = name == "timestamp.json" ? versions_[held_version_[endpoint]] : versions_.back();
     const auto file = files.find(name);
     return file == files.end() ? nullptr : &file->second;
   }
 
-  void spoil(const std::string& name, std::string& body, Instant now, Pcg& random) const {
+  // Replaces a file's bytes by a bad file, in one of several ways.
+  void make_bad(const std::string& name, std::string& body, Instant now, Pcg& random) const {
     switch (random.next_below(5)) {
       case 0:  // truncated
         body.resize(body.size() / 2);
@@ -71,7 +73,7 @@
         body[digit] = body[digit] == '9' ? '8' : static_cast<char>(body[digit] + 1);
         break;
       }
-      case 2:  // rolled back, or with bytes behind
+      case 2:  // rolled back, or with trailing bytes
         body = name == "timestamp.json" ? versions_[0].at(name) : body + " {}";
         break;
       case 3:  // another publisher's
--- a/proofs/router_thread.hpp
+++ b/proofs/router_thread.hpp
@@ -1,5 +1,5 @@
-// What fault tests of a whole router share: its settings, fakes for everything around it, and the router
-// itself on a thread of its own.
+// Shared by the fault tests of a whole router: its configuration, fakes for all its peers, and the router on
+// its own thread.
 #pragma once
 #include <unistd.h>
 
@@ -23,7 +23,8 @@
 
 namespace ashbeam {
 
-// The configuration file of a router of one zone. `request_classes` is the JSON list of the setting `grades`.
+// Returns the configuration file of a router with one zone. `request_classes` is the JSON list of the setting
+// `grades`.
 inline std::string router_configuration(unsigned max_attempts, const std::string& request_classes) {
   return R"({"seed":"7","release_api":{"address":"127.0.0.1:1"},"settings":{
   "allowed":{"cancel":true,"connectTimeoutMs":250,"connIdleMs":20000,"maxAttempts":)" +
@@ -39,19 +40,20 @@
   "stats":{"how":"off"},"tickMs":5,"zone":0,"zones":["one"]}})";
 }
 
-// Endpoints, discovery and a release platform, on the loop of the test itself.
+// Fake endpoints, discovery and release platform on the event loop of the test.
 class FakeSurroundings {
  public:
   FakeSurroundings(EventLoop& loop, const Limits& limits)
       : loop_(loop), limits_(limits), discovery_(loop, limits),
         release_platform_(loop, limits, {0.2, 1.0}, [](const fakes::ReleasePlatform::State&) {}) {}
 
+  // Starts an endpoint and adds it to discovery.
   void add_endpoint(fakes::Endpoint::Handler serve) {
     const std::string name = "h" + std::to_string(endpoints_.size());
     endpoints_.push_back(std::make_unique<fakes::Endpoint>(loop_, limits_, std::move(serve)));
     discovery_.put({name, endpoints_.back()->address(), fakes::ListedState::kUp, 1, Instant()});
   }
-  InstanceSettings site() const {
+  InstanceSettings instance_settings() const {
     return {"proof", "127.0.0.1:0",     discovery_.address(),          release_platform_.address(),
             7,       discovery_.list(), release_platform_.state_json()};
   }
@@ -64,12 +66,12 @@
   fakes::ReleasePlatform release_platform_;
 };
 
-// The router's log lines, on standard error if the variable PROOF_LOG is set.
+// Prints a log line of the router on standard error if the environment variable PROOF_LOG is set.
 inline void print_log_line(std::string_view line) {
   if (std::getenv("PROOF_LOG")) std::fprintf(stderr, "%.*s\n", static_cast<int>(line.size()), line.data());
 }
 
-// A router on a thread of its own, from construction to destruction.
+// Runs a router on its own thread from construction to destruction.
 class RouterThread {
  public:
   struct Parts {
@@ -78,12 +80,13 @@
     const WireSettings& wire_settings;
     const RouterSettings& settings;
   };
-  // Called on the router's thread before the service starts; what it returns lives until the loop has ended.
+  // Called on the router's thread before the service starts. The object that it returns is kept until the
+  // event loop has ended.
   using SetUp = std::function<std::shared_ptr<void>(const Parts&)>;
 
-  RouterThread(std::string configuration, InstanceSettings site, SetUp set_up)
-      : thread_([this, configuration = std::move(configuration), site = std::move(site),
-                 set_up = std::move(set_up)] { run(configuration, site, set_up); }) {
+  RouterThread(std::string configuration, InstanceSettings instance, SetUp set_up)
+      : thread_([this, configuration = std::move(configuration), instance = std::move(instance),
+                 set_up = std::move(set_up)] { run(configuration, instance, set_up); }) {
     while (!running_) ::usleep(1000);
   }
   ~RouterThread() {
@@ -96,22 +99,22 @@
 
   std::string address() const { return "127.0.0.1:" + std::to_string(port_); }
   std::string tls_address() const { return "127.0.0.1:" + std::to_string(tls_port_); }
-  // Runs it on the router's thread.
+  // Calls `function` on the router's thread, asynchronously.
   void post(std::function<void()> function) { loop_.load()->post_from_thread(std::move(function)); }
 
  private:
-  void run(const std::string& configuration, const InstanceSettings& site, const SetUp& set_up) {
+  void run(const std::string& configuration, const InstanceSettings& instance, const SetUp& set_up) {
     EventLoop loop;
-    const StartupConfiguration start = parse_startup_configuration(configuration, site);
-    InstanceSettings full_site = start.instance;
-    full_site.release_platform_address = site.release_platform_address;
-    full_site.discovery_address = site.discovery_address;
-    full_site.configured_endpoint_list = site.configured_endpoint_list;
-    full_site.configured_release_state = site.configured_release_state;
+    const StartupConfiguration start = parse_startup_configuration(configuration, instance);
+    InstanceSettings full_instance = start.instance;
+    full_instance.release_platform_address = instance.release_platform_address;
+    full_instance.discovery_address = instance.discovery_address;
+    full_instance.configured_endpoint_list = instance.configured_endpoint_list;
+    full_instance.configured_release_state = instance.configured_release_state;
     const RouterSettings settings = read_router_settings(start.settings);
     const WireSettings wire_settings = read_wire_settings(start.settings);
     const Limits limits = make_limits(1024, wire_settings, settings);
-    Service service(loop, limits, settings, wire_settings, full_site, print_log_line);
+    Service service(loop, limits, settings, wire_settings, full_instance, print_log_line);
     const std::shared_ptr<void> attached = set_up({loop, service, wire_settings, settings});
     service.start();
     loop.enable_posts_from_threads();
--- a/proofs/soak.cpp
+++ b/proofs/soak.cpp
@@ -1,11 +1,14 @@
-// Soak test: real router processes between fakes on loopback, with faults drawn from a seed: discovery down
-// and then crowded, lists that stall in the middle of a line, watches that fall silent, endpoints that drain
-// at once, routers killed, stopped and reloaded in series, system calls that fail, a wall clock that steps.
-// Judged by what clients and endpoints saw: a request has one final answer in time, no unsafe request runs
-// twice or is rejected after it ran, nothing goes to an endpoint past the grace of a drain that counts as
-// notified.
+// Soak test: real router processes between fakes on loopback, with faults drawn from a seed. Discovery fails
+// and is overloaded when it returns; lines of a watch stop half-way; watches receive nothing further; several
+// endpoints drain at the same time; routers are killed, stopped and reloaded one after another; system calls
+// fail; the wall clock steps.
+//
+// The test judges by what clients and endpoints observe. Each request gets one final answer in time. No
+// unsafe request runs twice, or is rejected after it ran. No request reaches an endpoint after the drain
+// grace that starts when the router counts as notified of the drain.
 //   proof_soak --seconds N --seed N
-// ASHBEAM_PROGRAM names the program; beside this one where it is not set.
+// The environment variable ASHBEAM_PROGRAM names the router program; the default is `ashbeam` in the folder
+// of this program.
 #include <fcntl.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -27,18 +30,23 @@
 
 using fakes::ListedState;
 
-constexpr int kServers = 6;
-constexpr int kFewRouters = 3;
-constexpr int kManyRouters = 12;
-constexpr Duration kGrace = Duration::s(1);
-constexpr Duration kSlack = Duration::ms(50);
-constexpr Duration kNotifiedWithin = Duration::s(6);
-constexpr Duration kTimeLeft = Duration::ms(1500);
-constexpr Duration kLateAllowed = Duration::ms(500);
-constexpr Duration kKilledAfterStop = Duration::ms(2200);  // the longest deadline and 0.7 s
-constexpr Duration kServiceTime = Duration::ms(400);   // discovery's, for a call: many routers take 5 s of it
-constexpr Duration kIdleMayCross = Duration::ms(300);  // after a stop, a close may cross a request
-constexpr Duration kFirstFault = Duration::s(7);       // each router has its first list by then
+constexpr int kServerCount = 6;
+constexpr int kSmallRouterCount = 3;
+constexpr int kLargeRouterCount = 12;
+constexpr Duration kDrainGrace = Duration::s(1);        // as `drainGraceMs` of the settings
+constexpr Duration kDrainTolerance = Duration::ms(50);  // of the check of the drain grace
+// A router counts as notified of a change after this time at the latest.
+constexpr Duration kMaxNotificationDelay = Duration::s(6);
+constexpr Duration kRequestTimeout = Duration::ms(1500);
+// An answer counts as late if it comes later than the request's timeout and this.
+constexpr Duration kAnswerTolerance = Duration::ms(500);
+// A router is killed this long after SIGTERM: the longest deadline and 0.7 s.
+constexpr Duration kStopTimeout = Duration::ms(2200);
+// Of discovery, per call. The calls of kLargeRouterCount routers take about 5 s.
+constexpr Duration kServiceTime = Duration::ms(400);
+// The close of an idle connection may cross a request until this long after kStopTimeout.
+constexpr Duration kCloseRaceWindow = Duration::ms(300);
+constexpr Duration kFirstFaultDelay = Duration::s(7);  // by then each router has its first list
 
 const char* const kSettings = R"(,"settings":{
   "allowed":{"cancel":true,"connectTimeoutMs":250,"connIdleMs":20000,"maxAttempts":3},"discovery":"subscribe",
@@ -49,12 +57,12 @@
   "rules":{"drainGraceMs":1000,"fallMs":400,"fallMultiple":20,"startCapacity":1.0,"warmAfterMs":100,"askWithinMs":10000},
   "stats":{"how":"off"},"tickMs":5,"zone":0,"zones":["one"])";
 
-struct Tally {
+struct SoakCounts {
   double sent = 0;
   double served = 0;
   double rejected = 0;
   double failed = 0;
-  double crossed_a_close = 0;
+  double crossed_close = 0;
   double router_starts = 0;
   double lost = 0;
   double answered_late = 0;
@@ -64,14 +72,14 @@
   double sent_past_grace = 0;
 };
 
-// One endpoint, with what discovery has listed of it.
+// An endpoint, with the history of the states in which discovery listed it.
 class Server {
  public:
   struct Change {
     Instant at;
     ListedState state = ListedState::kUp;
   };
-  // Called for each complete request with its id, and whether it runs: a draining server rejects it.
+  // Called for each complete request with its id. `runs` is false if the server drains and rejects it.
   using OnRequest = std::function<void(Server& server, const std::string& id, bool unsafe, bool runs)>;
 
   Server(EventLoop& loop, const Limits& limits, std::string uid, OnRequest on_request)
@@ -111,7 +119,8 @@
   fakes::Endpoint endpoint_;
 };
 
-// One router: a process, its configuration, and clients that keep their connections.
+// A router's process, the address that it listens at, the path of its configuration file, and its clients,
+// which keep their connections.
 struct Router {
   int number = 0;
   pid_t pid = -1;
@@ -123,29 +132,29 @@
 
 class Soak {
  public:
-  Soak(const Proof& proof, Tally& tally)
-      : chance_(proof.seed), tally_(tally), seed_(proof.seed), many_routers_(proof.seed % 3 == 0),
+  Soak(const Proof& proof, SoakCounts& counts)
+      : random_(proof.seed), counts_(counts), seed_(proof.seed), many_routers_(proof.seed % 3 == 0),
         folder_(std::filesystem::temp_directory_path() / ("ashbeam-soak-" + std::to_string(::getpid()))),
         release_(loop_, limits_, {1}, [](const fakes::ReleasePlatform::State&) {}),
         end_(loop_, [this] { loop_.stop(); }), fault_timer_(loop_, [this] { inject_next_fault(); }) {
     std::filesystem::create_directories(folder_);
-    for (int s = 0; s < kServers; ++s) {
+    for (int s = 0; s < kServerCount; ++s) {
       servers_.push_back(
           std::make_unique<Server>(loop_, limits_, "s" + std::to_string(s),
                                    [this](Server& server, const std::string& id, bool unsafe, bool runs) {
                                      on_request(server, id, unsafe, runs);
                                    }));
     }
-    const int routers = many_routers_ ? kManyRouters : kFewRouters;
-    const fakes::DiscoveryOptions options{static_cast<std::size_t>(routers), kServiceTime, chance_.next()};
+    const int routers = many_routers_ ? kLargeRouterCount : kSmallRouterCount;
+    const fakes::DiscoveryOptions options{static_cast<std::size_t>(routers), kServiceTime, random_.next()};
     discovery_ = std::make_unique<fakes::Discovery>(loop_, limits_, options);
-    list_servers(ListedState::kUp);
+    list_all_servers(ListedState::kUp);
     step_file_ = (folder_ / "wall-step").string();
     step_clock(0);
-    for (int r = 0; r < routers; ++r) prepare(r);
+    for (int r = 0; r < routers; ++r) add_router(r);
     for (auto& router : routers_) start(*router);
     end_.schedule_after(Duration::s(proof.seconds));
-    fault_timer_.schedule_after(kFirstFault);
+    fault_timer_.schedule_after(kFirstFaultDelay);
     loop_.run();
   }
   ~Soak() {
@@ -156,7 +165,7 @@
  private:
   // ---- Processes ----
 
-  void prepare(int number) {
+  void add_router(int number) {
     auto router = std::make_unique<Router>();
     router->number = number;
     {
@@ -169,27 +178,28 @@
       router->clients.push_back(std::make_unique<fakes::Client>(loop_, limits_, router->address));
     routers_.push_back(std::move(router));
     configure(*routers_.back());
-    Router& at = *routers_.back();
-    for (int c = 0; c < clients; ++c) send_later(at, c, Duration::s(1));
+    Router& added = *routers_.back();
+    for (int c = 0; c < clients; ++c) schedule_send(added, c, Duration::s(1));
   }
-  void configure(const Router& router) {  // with the list as it stands now: it may be old when it is read
-    std::ofstream(router.path) << R"({"seed":")" << std::hex << (seed_ * 97 + chance_.next()) << std::dec
+  // Writes the configuration file with the current list, which may be out of date when the router reads it.
+  void configure(const Router& router) {
+    std::ofstream(router.path) << R"({"seed":")" << std::hex << (seed_ * 97 + random_.next()) << std::dec
                                << R"(","release_api":{"address":")" << release_.address() << R"(","news":)"
                                << release_.state_json() << R"(},"known":)" << discovery_->list() << kSettings
                                << R"(,"myNumber":)" << router.number << R"(,"replicasOfMe":)"
                                << routers_.size() << "}}";
   }
   void start(Router& router) {
-    ++tally_.router_starts;
+    ++counts_.router_starts;
     router.stopping = false;
-    const std::string faults = "seed=" + std::to_string(chance_.next()) +
+    const std::string faults = "seed=" + std::to_string(random_.next()) +
                                " socket=ENFILE:0.01 connect=EADDRNOTAVAIL:0.01 accept=ECONNABORTED:0.02"
                                " send=EINTR:0.02 recv=EINTR:0.02 poll=EINTR:0.02 short=0.05";
-    const std::string here = std::filesystem::read_symlink("/proc/self/exe").parent_path().string();
-    const char* const named = std::getenv("ASHBEAM_PROGRAM");
-    const std::string program = named ? named : here + "/ashbeam";
+    const std::string program_folder = std::filesystem::read_symlink("/proc/self/exe").parent_path().string();
+    const char* const program_override = std::getenv("ASHBEAM_PROGRAM");
+    const std::string program = program_override ? program_override : program_folder + "/ashbeam";
     const std::string discovery = discovery_->address(static_cast<std::size_t>(router.number)),
-                      library = here + "/libashbeam_faults.so";
+                      library = program_folder + "/libashbeam_faults.so";
     router.pid = ::fork();
     if (router.pid != 0) return;
     const int log = ::open((folder_ / ("n" + std::to_string(router.number) + ".log")).c_str(),
@@ -212,54 +222,55 @@
     ::waitpid(router.pid, nullptr, 0);
     router.pid = -1;
   }
-  void kill_and_start(Router& router, Duration away) {
+  void kill_and_start(Router& router, Duration downtime) {
     kill(router);
     configure(router);
     router.signalled_at = loop_.now();
-    after(away, [this, &router] { start(router); });
+    after(downtime, [this, &router] { start(router); });
   }
   void stop(Router& router) {
     if (router.pid <= 0 || router.stopping) return;
     router.stopping = true;
     router.signalled_at = loop_.now();
     ::kill(router.pid, SIGTERM);
-    after(kKilledAfterStop, [this, &router] { kill_and_start(router, Duration::ms(300)); });
+    after(kStopTimeout, [this, &router] { kill_and_start(router, Duration::ms(300)); });
   }
 
   // ---- Faults ----
 
   void inject_next_fault() {
-    fault_timer_.schedule_after(Duration::s(6 + 6 * chance_.next_double()));
-    switch (chance_.next_below(6)) {
+    fault_timer_.schedule_after(Duration::s(6 + 6 * random_.next_double()));
+    switch (random_.next_below(6)) {
       case 0:
       case 1:
         return outage_and_kills();
       case 2:
         return rolling_restart();
       case 3:
-        step_clock(chance_.next_below(2) == 0 ? 3600 : -3600);
-        return drain_all(Duration());
+        step_clock(random_.next_below(2) == 0 ? 3600 : -3600);
+        return drain_half(Duration());
       case 4:
         discovery_->silence_watches();
-        return drain_all(Duration::ms(500));
+        return drain_half(Duration::ms(500));
       default:
         discovery_->set_stall_fraction(0.5);
-        drain_all(Duration());
+        drain_half(Duration());
         return after(Duration::s(3), [this] { discovery_->set_stall_fraction(0); });
     }
   }
-  // An outage ends, most routers are killed, and all servers drain while those start anew.
+  // Starts an outage of discovery. After it has ended, kills and restarts most routers, and drains half of
+  // the servers while those routers restart.
   void outage_and_kills() {
     discovery_->set_available(false);
-    const Duration outage = Duration::s(3 + 4 * chance_.next_double());
+    const Duration outage = Duration::s(3 + 4 * random_.next_double());
     after(outage, [this] { discovery_->set_available(true); });
     after(outage + Duration::ms(500), [this] {
       for (auto& router : routers_) {
-        if (chance_.next_double() < 0.7 && !router->stopping)
-          kill_and_start(*router, Duration::s(0.5 + chance_.next_double()));
+        if (random_.next_double() < 0.7 && !router->stopping)
+          kill_and_start(*router, Duration::s(0.5 + random_.next_double()));
       }
     });
-    drain_all(outage + Duration::s(chance_.next_double()));
+    drain_half(outage + Duration::s(random_.next_double()));
   }
   void rolling_restart() {
     Duration wait;
@@ -270,17 +281,18 @@
       });
       wait = wait + Duration::ms(700);
     }
-    drain_all(Duration::s(1));
+    drain_half(Duration::s(1));
   }
-  // Half of the servers, with the life of each: it drains, ends, starts again, and is listed again later.
-  void drain_all(Duration wait) {
+  // Drains half of the servers. Each of them drains, stops, is removed from the list, starts again, and is
+  // listed as up some time later.
+  void drain_half(Duration wait) {
     after(wait, [this] {
       std::vector<Server*> draining;
       for (auto& server : servers_) {
-        if (server->listed_state() == ListedState::kUp && draining.size() < kServers / 2)
+        if (server->listed_state() == ListedState::kUp && draining.size() < kServerCount / 2)
           draining.push_back(server.get());
       }
-      std::rotate(servers_.begin(), servers_.begin() + kServers / 2, servers_.end());
+      std::rotate(servers_.begin(), servers_.begin() + kServerCount / 2, servers_.end());
       for (Server* server : draining) server->drain();
       list(draining, ListedState::kDraining);
       after(Duration::ms(1500), [draining] {
@@ -301,89 +313,95 @@
     }
     discovery_->put(listed);
   }
-  void list_servers(ListedState state) {
+  void list_all_servers(ListedState state) {
     std::vector<Server*> all;
     for (const auto& server : servers_) all.push_back(server.get());
     list(all, state);
   }
   void step_clock(int seconds) { std::ofstream(step_file_) << seconds; }
-  void after(Duration wait, std::function<void()> what) {
-    timers_.push_back(std::make_unique<Timer>(loop_, std::move(what)));
+  // Calls `task` after the wait.
+  void after(Duration wait, std::function<void()> task) {
+    timers_.push_back(std::make_unique<Timer>(loop_, std::move(task)));
     timers_.back()->schedule_after(wait);
   }
 
   // ---- Clients ----
 
-  void send_later(Router& router, int client, Duration wait) {
+  void schedule_send(Router& router, int client, Duration wait) {
     after(wait, [this, &router, client] { send(router, client); });
   }
   void send(Router& router, int c) {
     fakes::Client& client = *router.clients[static_cast<std::size_t>(c)];
-    const bool unsafe = chance_.next_below(3) == 0;
-    const std::string id = "r" + std::to_string(router.number) + "-" + std::to_string(++ids_);
-    const std::string fields = "Host: o\r\nX-Account: shop\r\nX-Correlation-Id: " + id +
-                               "\r\nX-Time-Left-Ms: " + std::to_string(static_cast<int>(kTimeLeft.ms())) +
-                               "\r\n";
+    const bool unsafe = random_.next_below(3) == 0;
+    const std::string id = "r" + std::to_string(router.number) + "-" + std::to_string(++last_request_number_);
+    const std::string fields =
+        "Host: o\r\nX-Account: shop\r\nX-Correlation-Id: " + id +
+        "\r\nX-Time-Left-Ms: " + std::to_string(static_cast<int>(kRequestTimeout.ms())) + "\r\n";
     const std::string request = unsafe ? "POST /pay/1 HTTP/1.1\r\n" + fields + "Content-Length: 2\r\n\r\nok"
                                        : "GET /look/1 HTTP/1.1\r\n" + fields + "\r\n";
     const Instant sent = loop_.now();
     const pid_t pid = router.pid;
-    ++tally_.sent;
+    ++counts_.sent;
     client.send(request, [this, &router, c, id, unsafe, sent, pid](const fakes::Client::Answer& answer) {
       on_answer(router, pid, id, unsafe, sent, answer);
-      send_later(router, c, Duration::ms(answer.status == 200 ? 25 : 100));
+      schedule_send(router, c, Duration::ms(answer.status == 200 ? 25 : 100));
     });
   }
   void on_answer(const Router& router, pid_t pid, const std::string& id, bool unsafe, Instant sent,
                  const fakes::Client::Answer& answer) {
     const bool same_process = pid > 0 && pid == router.pid;
     if (answer.status == 0) {
-      // Killed, or not there: nobody's loss. A close in order may cross a request of a client that just stood
-      // idle.
+      // A request to a router that was killed, or that does not run, is not counted as lost. An orderly close
+      // of an idle connection may cross the client's next request.
       const bool stopping =
-          router.stopping && loop_.now() - router.signalled_at < kKilledAfterStop + kIdleMayCross;
+          router.stopping && loop_.now() - router.signalled_at < kStopTimeout + kCloseRaceWindow;
       if (!answer.request_written || !same_process) return;
-      if (stopping || loop_.now() - sent < Duration::ms(5)) return void(++tally_.crossed_a_close);
-      ++tally_.lost;
-      std::printf("lost: %s after %.0f ms\n", id.c_str(), (loop_.now() - sent).ms());
+      if (stopping || loop_.now() - sent < Duration::ms(5)) return void(++counts_.crossed_close);
+      ++counts_.lost;
+      std::printf("request %s lost: connection closed without an answer after %.0f ms\n", id.c_str(),
+                  (loop_.now() - sent).ms());
       return;
     }
-    if (loop_.now() - sent > kTimeLeft + kLateAllowed) ++tally_.answered_late;
+    if (loop_.now() - sent > kRequestTimeout + kAnswerTolerance) ++counts_.answered_late;
     const bool rejected = answer.status == 429 || answer.status == 503;
-    if (answer.status == 200) ++tally_.served;
-    else if (rejected) ++tally_.rejected;
-    else ++tally_.failed;
-    if (answer.status == 200 && answer.message->raw_body() != id) ++tally_.wrong_answers;
-    if (rejected && unsafe && ran_.contains(id)) ++tally_.rejected_after_run;
+    if (answer.status == 200) ++counts_.served;
+    else if (rejected) ++counts_.rejected;
+    else ++counts_.failed;
+    if (answer.status == 200 && answer.message->raw_body() != id) ++counts_.wrong_answers;
+    if (rejected && unsafe && unsafe_ids_run_.contains(id)) ++counts_.rejected_after_run;
   }
 
   // ---- Servers ----
 
   void on_request(Server& server, const std::string& id, bool unsafe, bool runs) {
-    if (runs && unsafe && !ran_.insert(id).second) ++tally_.run_twice;
+    if (runs && unsafe && !unsafe_ids_run_.insert(id).second) ++counts_.run_twice;
     const int router = std::atoi(id.c_str() + 1);
     const Instant now = loop_.now();
-    // The last change that counts as notified so long ago that its grace is over; a later listing as up
-    // excuses.
-    const Server::Change* binding = nullptr;
+    // The earliest change to draining or removed, since the server was last listed as up, of which the router
+    // counts as notified and whose grace is over.
+    const Server::Change* overdue_change = nullptr;
     for (const Server::Change& change : server.history()) {
-      if (change.state == ListedState::kUp) binding = nullptr;
-      else if (now > notified(router, change.at) + kGrace + kSlack && !binding) binding = &change;
+      if (change.state == ListedState::kUp) overdue_change = nullptr;
+      else if (now > notified_at(router, change.at) + kDrainGrace + kDrainTolerance && !overdue_change)
+        overdue_change = &change;
     }
-    if (!binding) return;
-    ++tally_.sent_past_grace;
-    std::printf("late: r%d to %s, %.0f ms after notice\n", router, server.uid().c_str(),
-                (now - notified(router, binding->at)).ms());
+    if (!overdue_change) return;
+    ++counts_.sent_past_grace;
+    std::printf("router r%d sent to draining or removed endpoint %s %.0f ms after its notification\n", router,
+                server.uid().c_str(), (now - notified_at(router, overdue_change->at)).ms());
   }
-  Instant notified(int router, Instant change) const {
-    // During an outage of discovery nothing is notified; from its end on the time counts anew.
+  // Returns when the router counts as notified of a change: when discovery first wrote to it afterwards, but
+  // no later than kMaxNotificationDelay after the change.
+  Instant notified_at(int router, Instant change) const {
+    // Nobody is notified during an outage of discovery; kMaxNotificationDelay then counts from its end.
     const Instant counts_from = std::max(change, discovery_->available_since());
-    const Instant at_latest = discovery_->is_available() ? counts_from + kNotifiedWithin : Instant::never();
+    const Instant at_latest =
+        discovery_->is_available() ? counts_from + kMaxNotificationDelay : Instant::never();
     return std::min(discovery_->first_write_since(static_cast<std::size_t>(router), change), at_latest);
   }
 
-  Pcg chance_;
-  Tally& tally_;
+  Pcg random_;
+  SoakCounts& counts_;
   std::uint64_t seed_;
   bool many_routers_;
   std::filesystem::path folder_;
@@ -395,30 +413,30 @@
   std::unique_ptr<fakes::Discovery> discovery_;
   std::vector<std::unique_ptr<Router>> routers_;
   std::vector<std::unique_ptr<Timer>> timers_;
-  std::set<std::string> ran_;  // unsafe requests
-  std::uint64_t ids_ = 0;
+  std::set<std::string> unsafe_ids_run_;  // ids of unsafe requests that ran
+  std::uint64_t last_request_number_ = 0;
   Timer end_, fault_timer_;
 };
 
 int prove(int argc, char** argv) {
   Proof proof("soak", argc, argv);
   std::signal(SIGPIPE, SIG_IGN);
-  Tally tally;
-  { const Soak soak(proof, tally); }
-  for (const auto& [name, value] : {std::pair{"requests", tally.sent},
-                                    {"served", tally.served},
-                                    {"refused", tally.rejected},
-                                    {"failed", tally.failed},
-                                    {"crossed_a_close", tally.crossed_a_close},
-                                    {"process_starts", tally.router_starts}})
+  SoakCounts counts;
+  { const Soak soak(proof, counts); }
+  for (const auto& [name, value] : {std::pair{"requests", counts.sent},
+                                    {"served", counts.served},
+                                    {"refused", counts.rejected},
+                                    {"failed", counts.failed},
+                                    {"crossed_a_close", counts.crossed_close},
+                                    {"process_starts", counts.router_starts}})
     proof.figure(name, value);
-  proof.at_least("served_share", tally.served / std::max(tally.sent, 1.0), 0.2);
-  proof.at_most("lost", tally.lost, 0);
-  proof.at_most("answered_late", tally.answered_late, 0);
-  proof.at_most("wrong_answers", tally.wrong_answers, 0);
-  proof.at_most("unsafe_run_twice", tally.run_twice, 0);
-  proof.at_most("refused_after_it_ran", tally.rejected_after_run, 0);
-  proof.at_most("sent_past_the_grace", tally.sent_past_grace, 0);
+  proof.at_least("served_share", counts.served / std::max(counts.sent, 1.0), 0.2);
+  proof.at_most("lost", counts.lost, 0);
+  proof.at_most("answered_late", counts.answered_late, 0);
+  proof.at_most("wrong_answers", counts.wrong_answers, 0);
+  proof.at_most("unsafe_run_twice", counts.run_twice, 0);
+  proof.at_most("refused_after_it_ran", counts.rejected_after_run, 0);
+  proof.at_most("sent_past_the_grace", counts.sent_past_grace, 0);
   return proof.verdict();
 }
 
--- a/proofs/token_flood.cpp
+++ b/proofs/token_flood.cpp
@@ -12,7 +12,7 @@
 }  // namespace
 
 TokenFlood::TokenFlood(const std::string& router_address, const std::string& kid, std::uint64_t seed)
-    : router_address_(router_address), chance_(seed),
+    : router_address_(router_address), random_(seed),
       signer_(tokens::Key::generate(tokens::Algorithm::kEdDsa)), kid_(kid), thread_([this] { run(); }) {}
 
 TokenFlood::~TokenFlood() { stop(); }
@@ -35,7 +35,7 @@
                                R"(","iat":1700000000,"exp":)" + expires + "}");
     unsigned_tokens_.push_back(token.substr(0, token.rfind('.') + 1));
     senders.push_back(std::make_unique<Sender>(*this, limits, loop));
-    senders.back()->timer.schedule_after(Duration::ms(chance_.next_below(20)));
+    senders.back()->timer.schedule_after(Duration::ms(random_.next_below(20)));
   }
   Timer stop_check(loop, [&] {
     if (stopping_) return loop.stop();
@@ -47,13 +47,13 @@
 
 std::string TokenFlood::bad_token() {
   std::string noise(tokens::kSignatureBytes, '\0');
-  for (char& byte : noise) byte = static_cast<char>(chance_.next_below(256));
+  for (char& byte : noise) byte = static_cast<char>(random_.next_below(256));
   const auto count = static_cast<std::uint32_t>(unsigned_tokens_.size());
-  return unsigned_tokens_[chance_.next_below(count)] + tokens::encode_base64url(noise);
+  return unsigned_tokens_[random_.next_below(count)] + tokens::encode_base64url(noise);
 }
 
 void TokenFlood::send(Sender& sender) {
-  sender.timer.schedule_after(Duration::ms(15 + chance_.next_below(18)));
+  sender.timer.schedule_after(Duration::ms(15 + random_.next_below(18)));
   if (sender.client.is_busy()) return;
   const std::string token = bad_token();
   ++result_.sent;
--- a/proofs/token_flood.hpp
+++ b/proofs/token_flood.hpp
@@ -1,6 +1,6 @@
-// A flood of bad tokens on a thread of its own: in the form of good ones, signed with nothing, each another
-// one, each on a new connection, since a kept one would have to wait a tenth of a second. The names are made
-// up.
+// Floods a router with bad tokens from its own thread. The tokens are well-formed and name made-up subjects,
+// but have random bytes as their signature. All are different. Each is sent on a new connection, since the
+// router makes a connection wait 0.1 s after a bad token.
 #pragma once
 #include <atomic>
 #include <cstdint>
@@ -22,12 +22,13 @@
     std::uint64_t sent = 0;
     std::uint64_t served = 0;
   };
-  // `kid` is of a key that the router knows.
+  // Starts the flood. `kid` is the id of a key that the router knows.
   TokenFlood(const std::string& router_address, const std::string& kid, std::uint64_t seed);
   ~TokenFlood();
   TokenFlood(const TokenFlood&) = delete;
   TokenFlood& operator=(const TokenFlood&) = delete;
-  Result stop();  // returns once the flood has ended
+  // Stops the flood and returns its result once the thread has ended.
+  Result stop();
 
  private:
   struct Sender {
@@ -41,10 +42,10 @@
   std::string bad_token();
 
   std::string router_address_;
-  Pcg chance_;
+  Pcg random_;
   tokens::Key signer_;
   std::string kid_;
-  std::vector<std::string> unsigned_tokens_;  // up to and with the second dot
+  std::vector<std::string> unsigned_tokens_;  // header and claims, each with its dot
   Result result_;
   std::atomic<bool> stopping_ = false;
   std::thread thread_;
