--- a/benches/calling.cpp
+++ b/benches/calling.cpp
@@ -1,5 +1,5 @@
-// The authorizer, with and without it, in one run: decisions, verifications, handshakes, and requests over
-// kept connections through a whole router on loopback.
+// Benchmarks of the authorizer: quota decisions, token verifications, and requests and TLS handshakes through
+// a whole router on loopback, compared with a router without authorization in the same run.
 #include <benchmark/benchmark.h>
 
 #include <csignal>
@@ -20,7 +20,7 @@
 
 std::uint64_t hash_of(std::uint64_t subject) { return (subject + 1) * 0x9e3779b97f4a7c15ULL; }
 
-// ---- Quota decisions: tenant and subject together, subjects drawn at random ----
+// ---- Quota decisions, each for a tenant and a random subject ----
 
 void quota_decision(benchmark::State& state) {
   const auto subjects = static_cast<std::uint32_t>(state.range(0));
@@ -30,13 +30,13 @@
   std::int64_t now_ns = nanoseconds_of(kBegin);
   Bucket tenant;
   tenant.reset(now_ns, Bucket::kUnset, Bucket::kUnset);
-  Pcg chance(3);
+  Pcg random(3);
   std::uint64_t admitted = 0;
   for (std::uint32_t i = 0; i < subjects; ++i) table.find_or_insert(hash_of(i), kBegin);
-  std::uint64_t next = hash_of(chance.next_below(subjects));
+  std::uint64_t next = hash_of(random.next_below(subjects));
   for (auto _ : state) {
     const std::uint64_t hash = next;
-    next = hash_of(chance.next_below(subjects));
+    next = hash_of(random.next_below(subjects));
     table.prefetch(next);  // as the authorizer does between the token and the quota
     now_ns += 1000;
     const std::uint32_t slot = table.find_or_insert(hash, Instant::at_us(now_ns / 1000));
@@ -79,7 +79,7 @@
     Credentials credentials;
     credentials.authorization = fields[at];
     if (authorizer.authenticate(credentials, history, now, identity, retry_after) != Refusal::kNone)
-      state.SkipWithError("refused");
+      state.SkipWithError("the authorizer refused a valid token");
   }
   state.SetItemsProcessed(state.iterations());
 }
@@ -89,17 +89,18 @@
 
 // ---- A whole router on loopback ----
 
-// By the router's own CPU: the fakes would bound the plain rate otherwise. Turn by turn with plain, in the
-// same run: the machine's pace changes from one second to the next.
+// Counts requests per CPU time of the router's thread, since the fakes would limit the rate of plain
+// requests. Alternates with plain requests in the same run, since the machine's speed changes from second to
+// second.
 void router(benchmark::State& state, LoadKind kind) {
-  constexpr int kTurns = 5;
-  constexpr double kTurnSeconds = 1;
+  constexpr int kRounds = 5;
+  constexpr double kRoundSeconds = 1;
   for (auto _ : state) {
     RouterUnderLoad::Result plain;
     RouterUnderLoad::Result own;
-    for (int i = 0; i < kTurns; ++i) {
-      plain += RouterUnderLoad(LoadKind::kPlain).run(kTurnSeconds);
-      own += RouterUnderLoad(kind).run(kTurnSeconds);
+    for (int i = 0; i < kRounds; ++i) {
+      plain += RouterUnderLoad(LoadKind::kPlain).run(kRoundSeconds);
+      own += RouterUnderLoad(kind).run(kRoundSeconds);
     }
     state.counters["per_s"] = static_cast<double>(own.good) / own.seconds;
     state.counters["per_cpu_s"] = own.good_per_cpu_s();
--- a/benches/load.cpp
+++ b/benches/load.cpp
@@ -1,6 +1,7 @@
-// Starts a router on loopback between fakes, sends it so many requests one after another, and ends it:
+// Starts a router on loopback with fake peers, sends it REQUESTS requests one after another, and stops it:
 //   ashbeam_load REQUESTS COMMAND [ARGS...]
-// Under callgrind the difference of two runs is what a request costs, in instructions, and repeats.
+// If COMMAND runs the router under callgrind, the difference of the instruction counts of two runs gives the
+// instructions per request. This figure is repeatable.
 #include <cstdio>
 #include <cstdlib>
 #include <string>
@@ -32,7 +33,7 @@
         router_(command, kListen, deployment_, kSettings), client_(loop_, limits_, kListen),
         next_request_(loop_, [this] { send_request(); }) {}
 
-  // Returns the program's exit code.
+  // Returns the exit status of the program: 0 if all requests were served and the router exited with 0.
   int run() {
     next_request_.schedule_after(kStartTime);
     loop_.run();
--- a/benches/policy.cpp
+++ b/benches/policy.cpp
@@ -1,9 +1,9 @@
-// What the decision module spends on a request ("hit") and on a wakeup ("beat"), by the number of endpoints
-// listed: one of 300 routers, a tenth of the endpoints on the canary, a twentieth cold. Times by Google
-// Benchmark; instruction counts, which repeat, by
+// Benchmarks of the decision module: the cost of a request (`hit`) and of a wakeup (`beat`) by the number of
+// listed endpoints. The router is one of 300; a tenth of the endpoints run the canary, a twentieth are cold.
+// Google Benchmark measures times. For instruction counts, which are repeatable, run
 //   valgrind --tool=callgrind --toggle-collect='ashbeam::one_hit*' build/ashbeam_policy_bench
 //   --benchmark_filter=hit/1024
-// divided by the iterations that it names (and one_beat alike).
+// and divide by the number of iterations that it prints; likewise for `one_beat`.
 #include <benchmark/benchmark.h>
 
 #include <memory>
@@ -20,17 +20,17 @@
 constexpr std::uint64_t kPolicySeed = 7;
 constexpr std::uint64_t kWakeupToken = 1;
 
-// A router that notes where its latest attempt went.
-struct BenchedRouter : RouterActions {
+// A router that records the endpoint of its latest attempt.
+struct BenchmarkRouter : RouterActions {
   std::unique_ptr<RouterPolicy> policy;
   Instant now = Instant::at_us(100'000'000);
   RequestId request = 0;
   EndpointIndex endpoint = 0;
   bool sent = false;
 
-  explicit BenchedRouter(unsigned endpoints) {
+  explicit BenchmarkRouter(unsigned endpoints) {
     RouterSettings settings = fleet_settings(kRouters, 0);
-    settings.tenant_quota_per_s.clear();  // without quotas the time since the start changes no bound
+    settings.tenant_quota_per_s.clear();  // without quotas, no limit depends on the time since the start
     policy = make_router_policy(settings, kPolicySeed, *this);
     policy->set_time(now);
     policy->start();
@@ -53,7 +53,7 @@
   void log(std::string_view) override {}
 
  private:
-  // A start in the future keeps an endpoint cold.
+  // An endpoint whose start lies in the future stays cold.
   EndpointUpdate listed_endpoint(EndpointIndex index) const {
     const ReleaseVersion version = index % 10 == 0 ? 2 : 1;
     const Instant started_at = index % 20 == 0 ? now + Duration::s(3600) : Instant();
@@ -61,8 +61,9 @@
   }
 };
 
-// A request and its answer 100 ms later, one every 100 ms: accepted, sent, ended.
-[[gnu::noinline]] void one_hit(BenchedRouter& router) {
+// Processes one request: accepts it, sends an attempt, and ends the attempt 100 ms later, when the next
+// request is due.
+[[gnu::noinline]] void one_hit(BenchmarkRouter& router) {
   router.sent = false;
   router.policy->set_time(router.now);
   ++router.request;
@@ -74,7 +75,7 @@
       {router.request, 0, router.endpoint, AttemptResult::kOk, kRequestDuration, true});
 }
 
-[[gnu::noinline]] void one_beat(BenchedRouter& router) {
+[[gnu::noinline]] void one_beat(BenchmarkRouter& router) {
   router.now = router.now + kWakeupInterval;
   router.policy->set_time(router.now);
   router.policy->on_wakeup(kWakeupToken);
@@ -83,13 +84,13 @@
 namespace {
 
 void hit(benchmark::State& state) {
-  BenchedRouter router(static_cast<unsigned>(state.range(0)));
+  BenchmarkRouter router(static_cast<unsigned>(state.range(0)));
   for (auto _ : state) one_hit(router);
 }
 
 void beat(benchmark::State& state) {
   constexpr int kRequestsBefore = 50;
-  BenchedRouter router(static_cast<unsigned>(state.range(0)));
+  BenchmarkRouter router(static_cast<unsigned>(state.range(0)));
   for (int i = 0; i < kRequestsBefore; ++i) one_hit(router);
   for (auto _ : state) one_beat(router);
 }
--- a/benches/router_process.hpp
+++ b/benches/router_process.hpp
@@ -1,4 +1,4 @@
-// A router's process on loopback between fakes, as the benchmarks start it.
+// Shared by the benchmarks that run the router program: its process, and fake peers on loopback.
 #pragma once
 #include <sys/resource.h>
 #include <sys/wait.h>
@@ -19,7 +19,7 @@
 
 namespace ashbeam {
 
-// Fake endpoints that answer at once, with the discovery and the release platform that go with them.
+// Fake endpoints that answer at once, and a fake discovery and release platform.
 class FakeDeployment {
  public:
   FakeDeployment(EventLoop& loop, const Limits& limits, int endpoint_count)
@@ -34,7 +34,7 @@
     }
   }
   std::string discovery_address() const { return discovery_.address(); }
-  // A router's configuration file; `settings`: a JSON object.
+  // Returns a router's configuration file. `settings` is its member of that name, a JSON object.
   std::string configuration(const std::string& settings) const {
     return R"({"seed":"7","release_api":{"address":")" + platform_.address() + R"(","news":)" +
            platform_.state_json() + R"(},"known":)" + discovery_.list() + R"(,"settings":)" + settings + "}";
@@ -46,20 +46,22 @@
   std::vector<std::unique_ptr<fakes::Endpoint>> endpoints_;
 };
 
-// A request of the class "look" and the tenant "shop".
+// Returns a request of the request class "look" and the tenant "shop".
 inline std::string look_request(std::uint64_t id, unsigned time_left_ms) {
   return "GET /look/1 HTTP/1.1\r\nHost: l\r\nX-Account: shop\r\nX-Time-Left-Ms: " +
          std::to_string(time_left_ms) + "\r\nX-Correlation-Id: l" + std::to_string(id) + "\r\n\r\n";
 }
 
+// A process of the router program.
 class RouterProcess {
  public:
-  // Starts `command` (with its arguments, ended by a null) as a router that listens at `listen`.
+  // Starts `command`, a null-terminated list of the program and its arguments, as a router that listens at
+  // `listen`.
   RouterProcess(char** command, const char* listen, const FakeDeployment& deployment,
                 const std::string& settings) {
     char path[] = "/tmp/ashbeam-bench-XXXXXX";
     const int file = ::mkstemp(path);
-    if (file < 0) throw std::runtime_error("no file for the configuration");
+    if (file < 0) throw std::runtime_error("mkstemp failed: /tmp/ashbeam-bench-XXXXXX");
     ::close(file);
     configuration_path_ = path;
     std::ofstream(path) << deployment.configuration(settings);
@@ -80,10 +82,10 @@
   RouterProcess& operator=(const RouterProcess&) = delete;
 
   struct End {
-    int status = 0;  // as wait gives it
+    int status = 0;  // the wait status of wait4
     rusage used{};
   };
-  // Once. Waits for the process.
+  // Sends the signal and waits for the process to end. To be called once.
   End end(int signal) {
     End end;
     ::kill(pid_, signal);
--- a/benches/router_under_load.cpp
+++ b/benches/router_under_load.cpp
@@ -119,10 +119,10 @@
 
 void RouterUnderLoad::run_router() {
   EventLoop loop;
-  const InstanceSettings site{
+  const InstanceSettings instance{
       "bench", "127.0.0.1:0",      discovery_->address(),          release_platform_->address(),
       7,       discovery_->list(), release_platform_->state_json()};
-  Service service(loop, limits_, settings_, wire_settings_, site, [](std::string_view) {});
+  Service service(loop, limits_, settings_, wire_settings_, instance, [](std::string_view) {});
   if (kind_ != LoadKind::kPlain) add_access_control(loop, service);
   service.start();
   port_ = uses_tls() ? service.tls_port() : service.port();
--- a/benches/router_under_load.hpp
+++ b/benches/router_under_load.hpp
@@ -1,5 +1,5 @@
-// A whole router on loopback with fakes around it, and its clients: what its own thread's CPU does by the
-// request, or by the handshake.
+// Measures the CPU time that a whole router spends per request or per TLS handshake. The router runs on its
+// own thread; fake peers and the clients run on the caller's.
 #pragma once
 #include <atomic>
 #include <cstdint>
@@ -20,28 +20,31 @@
 
 namespace ashbeam {
 
+// Settings of an authorizer that requires tokens or certificates of the tenant "shop".
 calling::CallingSettings benchmark_settings();
+// Returns a token of the tenant "shop", valid for one hour from `now`.
 std::string benchmark_token(const tokens::Key& key, const std::string& subject, Instant now);
 
-// How the clients prove who they are, and how often they connect.
+// The clients' credentials, and how often they connect.
 enum class LoadKind : std::uint8_t {
-  kPlain,             // no proof, kept connections
-  kToken,             // a token each, kept connections
-  kMtls,              // a certificate each, kept connections
-  kFullHandshake,     // a certificate each, a new connection for each request
-  kResumedHandshake,  // the same, with session resumption
+  kPlain,             // no credentials, persistent connections
+  kToken,             // a token per client, persistent connections
+  kMtls,              // a certificate per client, persistent connections
+  kFullHandshake,     // a certificate per client, a new connection for each request
+  kResumedHandshake,  // the same, with TLS session resumption
 };
 
 class RouterUnderLoad {
  public:
   struct Result {
-    std::uint64_t good = 0;
-    std::uint64_t other = 0;
-    std::uint64_t resumed = 0;
-    std::int64_t cpu_us = 0;  // of the router's thread
+    std::uint64_t good = 0;     // answers with status 200
+    std::uint64_t other = 0;    // other statuses, and connections closed without an answer
+    std::uint64_t resumed = 0;  // answers on connections with a resumed TLS session
+    std::int64_t cpu_us = 0;    // of the router's thread
     double seconds = 0;
 
     Result& operator+=(const Result& other_result);
+    // Returns the served requests per second of the router thread's CPU time.
     double good_per_cpu_s() const;
   };
 
@@ -49,7 +52,7 @@
   ~RouterUnderLoad();
   RouterUnderLoad(const RouterUnderLoad&) = delete;
   RouterUnderLoad& operator=(const RouterUnderLoad&) = delete;
-  // All clients send requests for so long, each the next one as soon as it has its answer.
+  // Sends requests for the given time. Each client sends its next request as soon as it has an answer.
   Result run(double seconds);
 
  private:
--- a/benches/throughput.cpp
+++ b/benches/throughput.cpp
@@ -1,8 +1,9 @@
-// A router on loopback between eight endpoints and clients that send the next request at once, each on one
-// connection:
+// Measures the throughput of a router on loopback with eight fake endpoints. Each client has one connection
+// and sends its next request as soon as it has an answer:
 //   ashbeam_throughput SECONDS CLIENTS COMMAND [ARGS...]
-// Prints requests a second, the share not served, the 99th percentile of latency, the router's CPU for each
-// request, and its peak memory. Compare figures of one machine and one run only.
+// Prints requests per second, the fraction of requests not served, the 99th percentile of the latency, the
+// router's CPU time per request, and its peak memory. Figures of different machines or runs are not
+// comparable.
 #include <algorithm>
 #include <cstdint>
 #include <cstdio>
@@ -19,7 +20,7 @@
 
 constexpr const char* kListen = "127.0.0.1:9188";
 constexpr int kEndpoints = 8;
-constexpr Duration kStartTime = Duration::s(1);  // the router starts, and connections are made
+constexpr Duration kStartTime = Duration::s(1);  // for the router to start and to connect to its peers
 constexpr unsigned kTimeLeftMs = 2000;
 constexpr Duration kRetryDelay = Duration::ms(20);
 
@@ -48,7 +49,7 @@
     }
   }
 
-  // Returns the program's exit code.
+  // Returns the exit status of the program: 0 if any request was served.
   int run() {
     begin_timer_.schedule_after(kStartTime);
     loop_.run();
