--- a/proofs/access_reloads.hpp
+++ b/proofs/access_reloads.hpp
@@ -16,7 +16,7 @@
 struct Revocation {
   Instant written_at;             // when its file was complete
   std::uint64_t load_number = 0;  // number of the load that includes it
-  // When it in_force_after effect, in microseconds: all later requests are decided with it. 0: not yet in
+  // When it took effect, in microseconds: all later requests are decided with it. 0: not yet in
   // effect.
   std::atomic<std::int64_t> in_force_us{0};
 };
