--- a/benches/router_under_load.cpp
+++ b/benches/router_under_load.cpp
@@ -119,10 +119,10 @@
 
 void RouterUnderLoad::run_router() {
   EventLoop loop;
-  const InstanceSettings site{
+  const InstanceSettings instance{
       "bench", "127.0.0.1:0",      discovery_->address(),          release_platform_->address(),
       7,       discovery_->list(), release_platform_->state_json()};
-  Service service(loop, limits_, settings_, wire_settings_, site, [](std::string_view) {});
+  Service service(loop, limits_, settings_, wire_settings_, instance, [](std::string_view) {});
   if (kind_ != LoadKind::kPlain) add_access_control(loop, service);
   service.start();
   port_ = uses_tls() ? service.tls_port() : service.port();
@@ -177,7 +177,7 @@
   }
   clients_[client]->send(request + "\r\n", [this, client](const fakes::Client::Answer& answer) {
     ++(answer.status == 200 ? result_.good : result_.other);
-    if (clients_[client]->resumed()) ++result_.resumed;
+    if (clients_[client]->has_resumed_session()) ++result_.resumed;
     if (kind_ >= LoadKind::kFullHandshake) clients_[client]->disconnect();
     loop_.post([this, client] { send(client); });
   });
