--- a/src/fakes/endpoint.cpp
+++ b/src/fakes/endpoint.cpp
@@ -16,23 +16,25 @@
 
 }  // namespace
 
-// One connection: a request at a time; further bytes wait for the answer.
+// A connection of a client. It serves one request at a time; bytes of the next one stay unread until the
+// answer is written.
 class Endpoint::ServerConnection : private Connection::Owner {
  public:
   ServerConnection(Endpoint& endpoint, int fd)
       : endpoint_(endpoint), connection_(endpoint.loop_, endpoint.limits_, *this, fd),
-        requests_(http::Side::kRequests, endpoint.limits_.max_head_bytes, endpoint.limits_.max_body_bytes),
+        requests_(http::MessageType::kRequest, endpoint.limits_.max_head_bytes,
+                  endpoint.limits_.max_body_bytes),
         answer_timer_(endpoint.loop_, [this] { write_answer(); }) {}
 
  private:
   void on_data() override {
     if (answer_timer_.is_scheduled()) return;
     std::string_view bytes = connection_.unread();
-    const std::size_t had = bytes.size();
-    const auto got = requests_.feed(bytes);
-    connection_.consume(had - bytes.size());
-    if (got == http::ParseResult::kIncomplete) return;
-    if (got == http::ParseResult::kInvalid) return endpoint_.remove(this);
+    const std::size_t unread_size = bytes.size();
+    const auto result = requests_.feed(bytes);
+    connection_.consume(unread_size - bytes.size());
+    if (result == http::ParseResult::kIncomplete) return;
+    if (result == http::ParseResult::kInvalid) return endpoint_.remove(this);
     ++endpoint_.request_count_;
     answer_ = endpoint_.handler_(requests_.head(), requests_.raw_body());
     answer_timer_.schedule_after(answer_.delay);
@@ -40,7 +42,7 @@
   void write_answer() {
     if (answer_.drops_connection) return endpoint_.remove(this);
     connection_.write(answer_text(answer_));
-    requests_.start_next();
+    requests_.start_next_message();
     if (!connection_.unread().empty()) endpoint_.loop_.post([this] { on_data(); });
   }
   void on_closed() override { endpoint_.remove(this); }
--- a/src/protocol/json.cpp
+++ b/src/protocol/json.cpp
@@ -8,16 +8,17 @@
 
 namespace {
 
-constexpr std::size_t kHexDigits = 4;  // of an escaped UTF-16 code unit
+constexpr std::size_t kHexDigits = 4;  // digits of a \u escape, which stands for one UTF-16 code unit
 constexpr unsigned kReplacementCharacter = 0xfffd;
 constexpr unsigned kFirstHighSurrogate = 0xd800;
 constexpr unsigned kFirstLowSurrogate = 0xdc00;
-constexpr unsigned kAfterSurrogates = 0xe000;
+constexpr unsigned kSurrogateEnd = 0xe000;
 
-// ---- Syntax (RFC 8259): each removes what it is named by from the front of `text`, and is false where
-// something else stands there ----
+// ---- Syntax (RFC 8259) ----
+// Each skip_ function removes the element that it is named after from the front of `text`. Those that return
+// bool return false if another element, or a malformed one, stands there.
 
-void skip_blanks(std::string_view& text) {
+void skip_whitespace(std::string_view& text) {
   while (!text.empty() && (text[0] == ' ' || text[0] == '\t' || text[0] == '\n' || text[0] == '\r'))
     text.remove_prefix(1);
 }
@@ -28,9 +29,9 @@
   return true;
 }
 
-bool skip_word(std::string_view& text, std::string_view word) {
-  if (!text.starts_with(word)) return false;
-  text.remove_prefix(word.size());
+bool skip_literal(std::string_view& text, std::string_view literal) {
+  if (!text.starts_with(literal)) return false;
+  text.remove_prefix(literal.size());
   return true;
 }
 
@@ -45,7 +46,7 @@
   return code;
 }
 
-// What stands behind a backslash.
+// Skips the part of an escape sequence that follows the backslash.
 bool skip_escape(std::string_view& text) {
   if (text.empty()) return false;
   const char kind = text[0];
@@ -87,54 +88,54 @@
 }
 
 bool skip_member_name(std::string_view& text) {
-  skip_blanks(text);
+  skip_whitespace(text);
   if (!skip_string(text)) return false;
-  skip_blanks(text);
+  skip_whitespace(text);
   return skip_char(text, ':');
 }
 
 bool skip_value(std::string_view& text, int depth);
 
-// The members of an object or the elements of an array, and the bracket behind them.
-bool skip_contents(std::string_view& text, bool object, int depth) {
-  const char closing = object ? '}' : ']';
-  skip_blanks(text);
+// Skips the members of an object or the elements of an array, with the closing bracket.
+bool skip_contents(std::string_view& text, bool is_object, int depth) {
+  const char closing = is_object ? '}' : ']';
+  skip_whitespace(text);
   if (skip_char(text, closing)) return true;
   for (;;) {
-    if (object && !skip_member_name(text)) return false;
+    if (is_object && !skip_member_name(text)) return false;
     if (!skip_value(text, depth + 1)) return false;
-    skip_blanks(text);
+    skip_whitespace(text);
     if (skip_char(text, closing)) return true;
     if (!skip_char(text, ',')) return false;
   }
 }
 
 bool skip_value(std::string_view& text, int depth) {
-  skip_blanks(text);
+  skip_whitespace(text);
   if (text.empty() || depth > Json::kMaxDepth) return false;
   switch (text[0]) {
     case '"':
       return skip_string(text);
     case 't':
-      return skip_word(text, "true");
+      return skip_literal(text, "true");
     case 'f':
-      return skip_word(text, "false");
+      return skip_literal(text, "false");
     case 'n':
-      return skip_word(text, "null");
+      return skip_literal(text, "null");
     case '{':
     case '[': {
-      const bool object = text[0] == '{';
+      const bool is_object = text[0] == '{';
       text.remove_prefix(1);
-      return skip_contents(text, object, depth);
+      return skip_contents(text, is_object, depth);
     }
     default:
       return skip_number(text);
   }
 }
 
-// Removes and returns the next value of text that is known to be valid.
+// Removes the next value from the front of `text` and returns it. `text` must be valid JSON.
 std::string_view take_value(std::string_view& text) {
-  skip_blanks(text);
+  skip_whitespace(text);
   const char* const begin = text.data();
   skip_value(text, 0);
   return {begin, static_cast<std::size_t>(text.data() - begin)};
@@ -142,7 +143,7 @@
 
 // ---- Characters ----
 
-// RFC 3629, section 3.
+// Encodes a code point in UTF-8 (RFC 3629, section 3).
 void append_utf8(std::string& out, unsigned code_point) {
   const auto append = [&](unsigned byte) { out.push_back(static_cast<char>(byte)); };
   const auto append_continuation = [&](unsigned shift) { append(0x80U | (code_point >> shift & 0x3fU)); };
@@ -163,17 +164,17 @@
   }
 }
 
-// Appends the character of the `\u` escape whose digits begin at `index`, and moves `index` past it. Half of
-// a surrogate pair stands for no character.
+// Appends the character of the `\u` escape whose digits begin at `index`, and advances `index` past it. A
+// surrogate without its counterpart becomes U+FFFD, the replacement character.
 void append_unicode_escape(std::string& out, std::string_view escaped, std::size_t& index) {
   unsigned code = parse_hex4(escaped.substr(index)).value_or(kReplacementCharacter);
   index += kHexDigits;
-  if (code >= kFirstHighSurrogate && code < kAfterSurrogates) {
+  if (code >= kFirstHighSurrogate && code < kSurrogateEnd) {
     const std::string_view rest = escaped.substr(index);
     const auto low = rest.starts_with("\\u") ? parse_hex4(rest.substr(2)) : std::nullopt;
-    const bool pair =
-        code < kFirstLowSurrogate && low && *low >= kFirstLowSurrogate && *low < kAfterSurrogates;
-    if (pair) {
+    const bool is_pair =
+        code < kFirstLowSurrogate && low && *low >= kFirstLowSurrogate && *low < kSurrogateEnd;
+    if (is_pair) {
       code = 0x10000 + ((code - kFirstHighSurrogate) << 10U) + (*low - kFirstLowSurrogate);
       index += 2 + kHexDigits;
     } else {
@@ -183,8 +184,8 @@
   append_utf8(out, code);
 }
 
-// `escaped`: what stands between a string's quotes.
-std::string unescaped(std::string_view escaped) {
+// `escaped` is the part of a valid JSON string between its quotes.
+std::string unescape(std::string_view escaped) {
   constexpr std::string_view kControlEscapes = "bfnrt";
   constexpr std::string_view kControlCharacters = "\b\f\n\r\t";
   std::string out;
@@ -206,7 +207,8 @@
   return out;
 }
 
-// How many continuation bytes follow the first byte of a character; nothing where it can't be a first byte.
+// Returns the number of continuation bytes that follow the first byte of a character, or nothing if the byte
+// cannot be the first one.
 std::optional<std::size_t> utf8_continuation_bytes(unsigned char first) {
   if (first < 0x80) return 0;
   if (first < 0xc2 || first > 0xf4) return std::nullopt;
@@ -214,7 +216,8 @@
   return first < 0xf0 ? 2 : 3;
 }
 
-// Checks the number of bytes of each character: random bytes are seldom valid.
+// Checks only that each character has its number of continuation bytes, which random bytes seldom pass.
+// Overlong forms of three and four bytes and surrogates are not detected.
 bool is_utf8(std::string_view text) {
   std::size_t index = 0;
   while (index < text.size()) {
@@ -234,11 +237,11 @@
 
 std::optional<Json> Json::parse(std::string_view text) {
   if (!is_utf8(text)) return std::nullopt;
-  skip_blanks(text);
+  skip_whitespace(text);
   std::string_view rest = text;
   if (!skip_value(rest, 0)) return std::nullopt;
   const Json value(text.substr(0, text.size() - rest.size()));
-  skip_blanks(rest);
+  skip_whitespace(rest);
   if (!rest.empty()) return std::nullopt;
   return value;
 }
@@ -259,31 +262,31 @@
 
 std::optional<std::string> Json::text() const {
   if (!is_string()) return std::nullopt;
-  return unescaped(without_quotes(text_));
+  return unescape(without_quotes(text_));
 }
 
 void Json::for_each_member(const std::function<void(const std::string&, const Json&)>& visit) const {
   if (!is_object()) return;
   std::string_view rest = text_.substr(1);
-  skip_blanks(rest);
+  skip_whitespace(rest);
   while (!skip_char(rest, '}')) {
     skip_char(rest, ',');
     const std::string_view name = take_value(rest);
-    skip_blanks(rest);
+    skip_whitespace(rest);
     skip_char(rest, ':');
-    visit(unescaped(without_quotes(name)), Json(take_value(rest)));
-    skip_blanks(rest);
+    visit(unescape(without_quotes(name)), Json(take_value(rest)));
+    skip_whitespace(rest);
   }
 }
 
 void Json::for_each_element(const std::function<void(const Json&)>& visit) const {
   if (!is_array()) return;
   std::string_view rest = text_.substr(1);
-  skip_blanks(rest);
+  skip_whitespace(rest);
   while (!skip_char(rest, ']')) {
     skip_char(rest, ',');
     visit(Json(take_value(rest)));
-    skip_blanks(rest);
+    skip_whitespace(rest);
   }
 }
 
@@ -295,9 +298,9 @@
   return found;
 }
 
-double Json::number(std::string_view name, double otherwise) const {
+double Json::number(std::string_view name, double default_value) const {
   const auto found = member(name);
-  return found ? found->number().value_or(otherwise) : otherwise;
+  return found ? found->number().value_or(default_value) : default_value;
 }
 
 std::string Json::text(std::string_view name) const {
--- a/src/routing/endpoint_pools.cpp
+++ b/src/routing/endpoint_pools.cpp
@@ -29,7 +29,7 @@
   PooledConnection(EndpointPools& pools, EndpointIndex endpoint, std::size_t slot)
       : pools_(pools), endpoint_(endpoint), slot_(slot),
         connection_(pools.loop_, pools.limits_, *this, pools.pools_[endpoint].address),
-        answers_(http::Side::kAnswers, pools.limits_.max_head_bytes, pools.limits_.max_body_bytes),
+        answers_(http::MessageType::kResponse, pools.limits_.max_head_bytes, pools.limits_.max_body_bytes),
         timer_(pools.loop_, [this] { on_timer(); }) {}
 
   EndpointIndex endpoint() const { return endpoint_; }
@@ -52,7 +52,7 @@
   void send(RequestBuilder build_request, Instant deadline, EndCallback on_end) {
     on_end_ = std::move(on_end);
     deadline_ = deadline;
-    answers_.start_next();
+    answers_.start_next_message();
     if (!connection_.is_connecting()) {
       timer_.schedule_at(deadline);
       connection_.write(build_request(deadline));
@@ -104,7 +104,7 @@
   void on_closed() override {
     if (!is_in_flight()) return pools_.remove(this);
     // A body without a length ends with a regular close of the connection. A reset may have cut it short.
-    if (!connection_.is_broken() && answers_.end_of_stream() == http::ParseResult::kComplete)
+    if (!connection_.is_broken() && answers_.on_end_of_stream() == http::ParseResult::kComplete)
       return on_answer(false);
     end_attempt(effective_result(AttemptResult::kReset));
   }
--- a/src/routing/metadata_check.cpp
+++ b/src/routing/metadata_check.cpp
@@ -10,7 +10,7 @@
 
 std::string decode_chunks(std::string_view bytes, std::size_t max_body_bytes) {
   http::Body body(max_body_bytes);
-  body.expect_chunks();
+  body.expect_chunked();
   std::string raw;
   std::string plain;
   body.feed(bytes, raw, &plain);
@@ -27,7 +27,7 @@
                                                               std::uint64_t client_id) const {
   if (!verifier_) return nullptr;
   std::string_view file;
-  const std::uint32_t repository = verifier_->repository_of(path, file);
+  const std::uint32_t repository = verifier_->find_repository(path, file);
   if (repository == metadata::MetadataVerifier::kNoRepository) return nullptr;
   return std::make_unique<MetadataRequest>(MetadataRequest{repository, std::string(file), client_id, {}});
 }
--- a/tests/access_config_loader_test.cpp
+++ b/tests/access_config_loader_test.cpp
@@ -211,7 +211,7 @@
   const TemporaryFolder folder;
   using namespace metadata;
   Publisher publisher(Instant::at_us(4'000'000'000'000'000));
-  publisher.contents["targets"]["app"] = "1";
+  publisher.target_contents["targets"]["app"] = "1";
   publisher.delegations.push_back(
       {"targets", "part", {{SigningKey::generate(SigningKey::Kind::kEcdsa)}, 1}, {"p/*"}, {}, false, {}, 1});
   const auto write_files = [&] {
@@ -235,7 +235,7 @@
   EXPECT_EQ(testing::internal::GetCapturedStderr(),
             "ashbeam metadata: 2.root.json: threshold root by the trusted root: 0 of 1 distinct keys (TUF "
             "5.3.4)\n");
-  write_file(folder.path_of("2.root.json"), publisher.root(&old_root), 0644);
+  write_file(folder.path_of("2.root.json"), publisher.root_file(&old_root), 0644);
   testing::internal::CaptureStdout();
   EXPECT_EQ(metadata_check(pinned, folder.path), 0);
   testing::internal::GetCapturedStdout();
